--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,6 @@
 	$(BIN)/python -m puffintide day run days/bad-day.ini --out $(OUT)
 
 test: install
-	$(BIN)/ruff check . && $(BIN)/mypy
+	$(BIN)/ruff format --check . && $(BIN)/ruff check . && $(BIN)/mypy
 	$(BIN)/pytest -q -n 6 -m "not processes"
 	$(BIN)/pytest -q -m processes
--- a/benchmarks/proxy_churn.py
+++ b/benchmarks/proxy_churn.py
@@ -114,12 +114,18 @@
     ]
     with tempfile.TemporaryDirectory() as made:
         parser = configparser.ConfigParser(interpolation=None)
-        parser.read_dict({
-            "deployment": {"name": "churn", "proxies": "1", "slices": str(slices)},
-            "class read": {"aim_s": "1", "deadline_s": "10"},
-            "proxy": {"id": "0", "listen": f"127.0.0.1:{front}", "assigners": f"127.0.0.1:{order}",
-                      "store": f"127.0.0.1:{store}"},
-        })  # fmt: skip
+        parser.read_dict(
+            {
+                "deployment": {"name": "churn", "proxies": "1", "slices": str(slices)},
+                "class read": {"aim_s": "1", "deadline_s": "10"},
+                "proxy": {
+                    "id": "0",
+                    "listen": f"127.0.0.1:{front}",
+                    "assigners": f"127.0.0.1:{order}",
+                    "store": f"127.0.0.1:{store}",
+                },
+            }
+        )
         path = Path(made) / "proxy.ini"
         with path.open("w") as file:
             parser.write(file)
--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -349,12 +349,20 @@
     charges = [m.Charge(n, 1, 0, held) for n in range(SLICES)]
     save_state(str(folder / f"{name}.json"), Saved(1, time.time(), charges, {}, []))
     parser = configparser.ConfigParser(interpolation=None)
-    parser.read_dict({
-        "deployment": {"name": "cost", "proxies": "8", "slices": str(SLICES)},
-        "class read": {"aim_s": "1", "deadline_s": "10"},
-        "proxy": {"id": "0", "listen": f"127.0.0.1:{port}", "assigners": f"127.0.0.1:{nobody}",
-                  "store": f"127.0.0.1:{nobody}", "state": str(folder / f"{name}.json")} | more,
-    })  # fmt: skip
+    parser.read_dict(
+        {
+            "deployment": {"name": "cost", "proxies": "8", "slices": str(SLICES)},
+            "class read": {"aim_s": "1", "deadline_s": "10"},
+            "proxy": {
+                "id": "0",
+                "listen": f"127.0.0.1:{port}",
+                "assigners": f"127.0.0.1:{nobody}",
+                "store": f"127.0.0.1:{nobody}",
+                "state": str(folder / f"{name}.json"),
+            }
+            | more,
+        }
+    )
     path = folder / f"{name}.ini"
     with path.open("w") as file:
         parser.write(file)
@@ -369,12 +377,14 @@
             rows[way].append(_drive(ways[way], "http", requests // rounds, 0, WINDOW))
     rate = {way: statistics.median(row["rate"] for row in rows[way]) for way in WAYS}
     p99 = {way: statistics.median(row["p99"] for row in rows[way]) / 1000 for way in WAYS}
-    return "\n".join([
-        "| HTTP/1.1, requests a second | direct | relay | proxy | proxy over relay |",
-        "| --- | --- | --- | --- | --- |",
-        _rates(f"one under way on each of {WINDOW} connections", rate),
-        f"| p99 ms at that rate | {p99['direct']:.2f} | {p99['relay']:.2f} | {p99['proxy']:.2f} | |",
-    ])  # fmt: skip
+    return "\n".join(
+        [
+            "| HTTP/1.1, requests a second | direct | relay | proxy | proxy over relay |",
+            "| --- | --- | --- | --- | --- |",
+            _rates(f"one under way on each of {WINDOW} connections", rate),
+            f"| p99 ms at that rate | {p99['direct']:.2f} | {p99['relay']:.2f} | {p99['proxy']:.2f} | |",
+        ]
+    )
 
 
 def _scale(requests: int, rounds: int, ports: dict[int, int]) -> str:
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -31,21 +31,28 @@
         "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "1"},
     },
     "the same, two servers hang": {
-        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "1"}, "hang": HANG,
+        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "1"},
+        "hang": HANG,
     },
     "the same, two servers slow": {
-        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "1"}, "slow": SLOW,
+        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "1"},
+        "slow": SLOW,
     },
     "taken over, back after 5 s, two hang": {
-        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 5, "assigners": "1"}, "hang": HANG,
+        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 5, "assigners": "1"},
+        "hang": HANG,
     },
     "all three killed, two hang": {
-        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "0, 1, 2"}, "hang": HANG,
+        "kill": {"kind": "balancer_crash", "at_s": KILL_S, "for_s": 1, "assigners": "0, 1, 2"},
+        "hang": HANG,
     },
-}  # fmt: skip
+}
 KINDS: dict[str, tuple[str, ...]] = {
-    "none": (), "fleet": ("fleet",), "server": ("server",), "all": ("fleet", "server"),
-}  # fmt: skip
+    "none": (),
+    "fleet": ("fleet",),
+    "server": ("server",),
+    "all": ("fleet", "server"),
+}
 FIGURES = ("worth", "seconds", "moves", "wrong", "probes")
 
 
@@ -53,9 +60,11 @@
     """worth: served of asked; seconds: until a second's share is as in the 5 s before, for 3 s on; moves: lines
     added; wrong: servers left as ejected that did not hang; probes."""
     changes: dict[str, dict[str, Any]] = {
-        "deployment": {"assigners": 3}, "day": {"seed": seed, "length_s": 24}, "load": {"requests_per_s": LOAD},
+        "deployment": {"assigners": 3},
+        "day": {"seed": seed, "length_s": 24},
+        "load": {"requests_per_s": LOAD},
         "peers": {"every_s": 0.5, "catch_up_s": 1},
-    }  # fmt: skip
+    }
     if not kinds:
         del changes["peers"]
     put = Replica.put
@@ -94,7 +103,9 @@
         share[int(row["at"])].append(float(row["ok"] and row["took"] <= made.aim_s))
     good = {second: statistics.mean(rows) for second, rows in share.items()}
     before = statistics.mean(good[s] for s in range(KILL_S - 5, KILL_S))
-    back = [s for s in range(KILL_S, KILL_S + 10) if min(good.get(s + k, 1.0) for k in range(3)) >= 0.97 * before]
+    back = [
+        s for s in range(KILL_S, KILL_S + 10) if min(good.get(s + k, 1.0) for k in range(3)) >= 0.97 * before
+    ]
     return {
         "worth": whole,
         "seconds": float(back[0] - KILL_S) if back else AFTER_S,
@@ -112,10 +123,15 @@
         for case in CASES:
             for name, kinds in KINDS.items():
                 rows = list(pool.map(partial(killed, case, kinds), seeds))
-                worth, seconds, moves, wrong, probes = (statistics.median(r[k] for r in rows) for k in FIGURES)
+                worth, seconds, moves, wrong, probes = (
+                    statistics.median(r[k] for r in rows) for k in FIGURES
+                )
                 least = min(r["worth"] for r in rows)
-                print(f"| {case} | {name} | {worth:.3f} | {least:.3f} | {seconds:.0f} | {moves:.0f} | {wrong:.0f} "
-                      f"| {probes:.0f} |", flush=True)  # fmt: skip
+                print(
+                    f"| {case} | {name} | {worth:.3f} | {least:.3f} | {seconds:.0f} | {moves:.0f} | {wrong:.0f} "
+                    f"| {probes:.0f} |",
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -58,7 +58,14 @@
 
     def say(what: str, **more: Any) -> None:
         used = os.times()
-        row = {"t": time.monotonic(), "me": me, "what": what, "cpu": used.user + used.system, "bytes": size, **more}
+        row = {
+            "t": time.monotonic(),
+            "me": me,
+            "what": what,
+            "cpu": used.user + used.system,
+            "bytes": size,
+            **more,
+        }
         print(json.dumps(row), flush=True)
 
     class Log:
@@ -205,14 +212,19 @@
             group.running[1].send_signal(signal.SIGCONT)
             alike = group.alike(woken)
             return {
-                "assigners": count, "slices": slices, "why": caught["why"], "tables": caught["tables"],
-                "catch_up_s": caught["t"] - began["t"], "mb": caught["bytes"] / 1e6,
+                "assigners": count,
+                "slices": slices,
+                "why": caught["why"],
+                "tables": caught["tables"],
+                "catch_up_s": caught["t"] - began["t"],
+                "mb": caught["bytes"] / 1e6,
                 "cpu_s": caught["cpu"] - began["cpu"],
-                "late_ms": 1000 * max(b["late"] for b in during), "usual_ms": 1000 * statistics.median(before),
+                "late_ms": 1000 * max(b["late"] for b in during),
+                "usual_ms": 1000 * statistics.median(before),
                 "woken_s": max(0.0, alike - woken),
                 "idle_core": (idle[-1]["cpu"] - idle[0]["cpu"]) / span,
                 "idle_kb": (idle[-1]["bytes"] - idle[0]["bytes"]) / span / 1e3,
-            }  # fmt: skip
+            }
         finally:
             group.end()
 
@@ -245,8 +257,13 @@
             events = [json.loads(line) for line in (folder / "store.log").read_text().splitlines()]
             tables = next(e["tables"] for e in events if e["event"] == "refilled")
             asked = [group.first(k, "asked")["took"] for k in range(3)]
-            return {"slices": slices, "tables": tables, "start_s": ready - began, "charged_s": charged - ready,
-                    "answer_s": max(asked)}  # fmt: skip
+            return {
+                "slices": slices,
+                "tables": tables,
+                "start_s": ready - began,
+                "charged_s": charged - ready,
+                "answer_s": max(asked),
+            }
         finally:
             group.end()
 
@@ -261,12 +278,16 @@
     figure, axes = pyplot.subplots(1, 2, figsize=(9, 3.4))
     for count in GROUPS:
         mine = [r for r in rows if r["assigners"] == count]
-        axes[0].plot([r["slices"] for r in mine], [r["catch_up_s"] for r in mine], "o-", label=f"{count} assigners")
+        axes[0].plot(
+            [r["slices"] for r in mine], [r["catch_up_s"] for r in mine], "o-", label=f"{count} assigners"
+        )
     axes[0].set(xscale="log", yscale="log", xlabel="slices", ylabel="s until caught up")
     axes[0].legend()
     for slices in SLICES:
         mine = [r for r in rows if r["slices"] == slices]
-        axes[1].plot([r["assigners"] for r in mine], [r["idle_kb"] for r in mine], "o-", label=f"{slices} slices")
+        axes[1].plot(
+            [r["assigners"] for r in mine], [r["idle_kb"] for r in mine], "o-", label=f"{slices} slices"
+        )
     axes[1].set(xlabel="assigners", ylabel="idle, kB/s heard by one")
     axes[1].legend()
     figure.tight_layout()
@@ -282,8 +303,10 @@
         return
     rows = []
     keys = ("catch_up_s", "mb", "cpu_s", "late_ms", "usual_ms", "woken_s", "idle_core", "idle_kb")
-    print("| assigners | slices | caught up after s | MB heard | CPU s | timers late, ms | before, ms "
-          "| alike after a wake, s (max) | idle core | idle kB/s |")  # fmt: skip
+    print(
+        "| assigners | slices | caught up after s | MB heard | CPU s | timers late, ms | before, ms "
+        "| alike after a wake, s (max) | idle core | idle kB/s |"
+    )
     print("| --- " * 10 + "|")
     for count in GROUPS:
         for slices in SLICES:
@@ -292,16 +315,22 @@
             row = found[0] | {k: statistics.median(f[k] for f in found) for k in keys}
             rows.append(row)
             most = max(f["woken_s"] for f in found)
-            print(f"| {count} | {slices} | {row['catch_up_s']:.2f} | {row['mb']:.2f} | {row['cpu_s']:.2f} "
-                  f"| {row['late_ms']:.0f} | {row['usual_ms']:.0f} | {row['woken_s']:.2f} ({most:.2f}) "
-                  f"| {row['idle_core']:.4f} | {row['idle_kb']:.1f} |", flush=True)  # fmt: skip
+            print(
+                f"| {count} | {slices} | {row['catch_up_s']:.2f} | {row['mb']:.2f} | {row['cpu_s']:.2f} "
+                f"| {row['late_ms']:.0f} | {row['usual_ms']:.0f} | {row['woken_s']:.2f} ({most:.2f}) "
+                f"| {row['idle_core']:.4f} | {row['idle_kb']:.1f} |",
+                flush=True,
+            )
     print("\n| slices | tables | store ready after s | all in charge again after s | CPU s of an answer |")
     print("| --- " * 5 + "|")
     for slices in SLICES[:2]:  # the third was not done within 90 s
         found = [refill(slices) for _ in range(plays)]
         middle = {k: statistics.median(f[k] for f in found) for k in ("start_s", "charged_s", "answer_s")}
-        print(f"| {slices} | {found[0]['tables']} | {middle['start_s']:.2f} | {middle['charged_s']:.2f} "
-              f"| {middle['answer_s']:.2f} |", flush=True)  # fmt: skip
+        print(
+            f"| {slices} | {found[0]['tables']} | {middle['start_s']:.2f} | {middle['charged_s']:.2f} "
+            f"| {middle['answer_s']:.2f} |",
+            flush=True,
+        )
     if out:
         chart(rows, Path(out) / "replication.svg")
 
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -27,9 +27,19 @@
 
 def limits() -> Limits:
     return Limits(
-        slices=SLICES, kinds=KINDS, own_zone=(False, False), retry_default=0, retry_wait_aims=1.0, shun_after=0,
-        shun_s=2.0, admit="silent", pick="rotate", hold_s=0.2, again_s=0.5, zone=0,
-    )  # fmt: skip
+        slices=SLICES,
+        kinds=KINDS,
+        own_zone=(False, False),
+        retry_default=0,
+        retry_wait_aims=1.0,
+        shun_after=0,
+        shun_s=2.0,
+        admit="silent",
+        pick="rotate",
+        hold_s=0.2,
+        again_s=0.5,
+        zone=0,
+    )
 
 
 class World:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -114,11 +114,16 @@
     store_port, list_port = ports.take(), ports.take()
     listed(list_port, servers)
     common = {
-        "deployment": {"name": "takeover", "zones": "a, b", "assigners": str(assigners), "proxies": "1",
-                       "slices": str(slices)},
+        "deployment": {
+            "name": "takeover",
+            "zones": "a, b",
+            "assigners": str(assigners),
+            "proxies": "1",
+            "slices": str(slices),
+        },
         "class read": {"aim_s": "1", "deadline_s": "4"},
         "charge": {"takeover_s": "2.5"},
-    }  # fmt: skip
+    }
     running: dict[str, subprocess.Popen[str]] = {}
     gone: list[float] = []
     back: list[float] = []
@@ -131,9 +136,12 @@
 
             def assigner(number: int, life: int) -> None:
                 section = {
-                    "id": str(number), "listen": f"127.0.0.1:{mine[number]}", "store": f"127.0.0.1:{store_port}",
-                    "list": f"127.0.0.1:{list_port}", "log": str(folder / f"a{number}.log"),
-                }  # fmt: skip
+                    "id": str(number),
+                    "listen": f"127.0.0.1:{mine[number]}",
+                    "store": f"127.0.0.1:{store_port}",
+                    "list": f"127.0.0.1:{list_port}",
+                    "log": str(folder / f"a{number}.log"),
+                }
                 name = f"assigner-{number}"
                 running[name] = start(folder, name, common | {"assigner": section}, "--life", str(life))
 
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -91,9 +91,12 @@
         later: Orders = []
         for proxy, order in orders:
             rest = msgspec.structs.replace(
-                order, lines=[], clear=[], mark=None,
+                order,
+                lines=[],
+                clear=[],
+                mark=None,
                 cost=self.head_lines + len(order.out) + len(order.back) + len(order.levels),
-            )  # fmt: skip
+            )
             if rest.out or rest.back or rest.levels:
                 beside[proxy] = rest
             later.append((proxy, msgspec.structs.replace(order, out=[], back=[], levels=[])))
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -80,9 +80,17 @@
         )
         copies = self._copies if self.peers is not None else None
         self.stored = Stored(
-            reactor, self.me.id, self.runtime, self.ordered, self.reports, self.handover, log,
-            self._schedule, self._step, copies,
-        )  # fmt: skip
+            reactor,
+            self.me.id,
+            self.runtime,
+            self.ordered,
+            self.reports,
+            self.handover,
+            log,
+            self._schedule,
+            self._step,
+            copies,
+        )
 
     # Streams ------------------------------------------------------------------------------------
 
@@ -208,11 +216,19 @@
         states = self.zoned.plan.states() if self.zoned is not None else []
         rows = [
             m.ZoneRow(
-                s.zone, s.phase, s.cause, round(s.share, 4), round(s.bound, 4), round(s.bound_most, 4),
-                round(max(0.0, s.until - now), 3), s.flaps, list(s.spill), round(s.beyond, 4),
+                s.zone,
+                s.phase,
+                s.cause,
+                round(s.share, 4),
+                round(s.bound, 4),
+                round(s.bound_most, 4),
+                round(max(0.0, s.until - now), 3),
+                s.flaps,
+                list(s.spill),
+                round(s.beyond, 4),
             )
             for s in states
-        ]  # fmt: skip
+        ]
         return m.Zones(self.me.id, self.zoned is not None, rows)
 
     def _proxy_joined(self, now: float, stream: Stream, hello: m.Hello) -> None:
@@ -381,9 +397,13 @@
             if prober is not None:
                 prober.stop()
             prober = self.probers[server] = Prober(
-                self.reactor, address, self.hello, self.config.probes.timeout_s, self.tls,
+                self.reactor,
+                address,
+                self.hello,
+                self.config.probes.timeout_s,
+                self.tls,
                 lambda *what: self.probed(server, *what),
-            )  # fmt: skip
+            )
         prober.probe(now)
 
     def probed(self, server: int, status: int, took_s: float, values: tuple[float, ...]) -> None:
--- a/puffintide/assigner/stored.py
+++ b/puffintide/assigner/stored.py
@@ -37,7 +37,13 @@
         step: Callable[[Steps], None],
         copies: Pieces | None,
     ) -> None:
-        self.reactor, self.me, self.runtime, self.ordered, self.reports = reactor, me, runtime, ordered, reports
+        self.reactor, self.me, self.runtime, self.ordered, self.reports = (
+            reactor,
+            me,
+            runtime,
+            ordered,
+            reports,
+        )
         self.handover, self.log, self.due, self.step, self.copies = handover, log, due, step, copies
         self.stream: Stream | None = None
         self.hands: dict[int, int] = {}  # number of the order that stands, by zone
--- a/puffintide/audit/copies.py
+++ b/puffintide/audit/copies.py
@@ -29,7 +29,10 @@
         sender, taker = (target, dialled[r.conn].id) if r.to_dialler else (dialled[r.conn].id, target)
         if not 0 <= sender < assigners:
             continue
-        for who, at in ((sender, r.came), (taker, r.went)):  # what it tells it holds, also what is lost on the way
+        for who, at in (
+            (sender, r.came),
+            (taker, r.went),
+        ):  # what it tells it holds, also what is lost on the way
             if at is not None and at > ended.get(who, -1.0):
                 held[who].take(at, r.message)
         for row in r.message.rows:
--- a/puffintide/audit/rules.py
+++ b/puffintide/audit/rules.py
@@ -18,8 +18,15 @@
 from puffintide.wire import messages as m
 from puffintide.wire.checks import NEWS_KINDS, sound_entries
 
-RULES = ("nobody left", "no effect twice", "drains kept", "cold not pushed over", "short queue", "one owner",
-         "copies agree")  # fmt: skip
+RULES = (
+    "nobody left",
+    "no effect twice",
+    "drains kept",
+    "cold not pushed over",
+    "short queue",
+    "one owner",
+    "copies agree",
+)
 SLACK = 1.1  # for chance in the cold rule's budget
 EVER = float("inf")
 Span = tuple[float, float]
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -43,8 +43,10 @@
 def check_config(file: str) -> None:
     """Checks an INI file; tells every error at once."""
     config = _load(file)
-    click.echo(f"{file}: good ({config.deployment.name}: {config.deployment.slices} slices, "
-               f"{config.deployment.assigners} assigners, {len(config.classes)} classes)")  # fmt: skip
+    click.echo(
+        f"{file}: good ({config.deployment.name}: {config.deployment.slices} slices, "
+        f"{config.deployment.assigners} assigners, {len(config.classes)} classes)"
+    )
 
 
 @cli.command()
@@ -210,8 +212,16 @@
             if origin >= 0:
                 ages = [-row.seen for row in held.rows.values()] or [0.0]
                 tables = sum(kind == "table" for kind, _ in held.rows)
-                table.add_row(address, str(origin), str(held.life >> NONCE_BITS), str(held.seq), str(tables),
-                              str(len(held.rows) - tables), f"{min(ages):.1f}", f"{max(ages):.1f}")  # fmt: skip
+                table.add_row(
+                    address,
+                    str(origin),
+                    str(held.life >> NONCE_BITS),
+                    str(held.seq),
+                    str(tables),
+                    str(len(held.rows) - tables),
+                    f"{min(ages):.1f}",
+                    f"{max(ages):.1f}",
+                )
     out_console.print(table)
     for line in _disputes(found):
         click.echo(line)
@@ -371,9 +381,15 @@
             spill += f", beyond {row.beyond:.0%}" if spill else ""
             why = row.cause + (f", {row.held_s:.0f} s more" if row.phase == "held" else "")
             table.add_row(
-                str(answer.assigner), names[row.zone], row.phase, why, f"{row.share:.0%}",
-                f"{row.bound:.2f} to {row.bound_most:.2f}", str(row.flaps), spill,
-            )  # fmt: skip
+                str(answer.assigner),
+                names[row.zone],
+                row.phase,
+                why,
+                f"{row.share:.0%}",
+                f"{row.bound:.2f} to {row.bound_most:.2f}",
+                str(row.flaps),
+                spill,
+            )
     out_console.print(table)
     sys.exit(1 if missing else 0)
 
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -134,9 +134,13 @@
     reactor = monotonic_reactor()
     log = setup("store", me.log, me.level)
     book = Book(
-        d.slices, d.assigners, config.charge.takeover_s, d.single_writer,
-        opened=reactor.seconds(), moves_per_s=config.charge.moves_per_s,
-    )  # fmt: skip
+        d.slices,
+        d.assigners,
+        config.charge.takeover_s,
+        d.single_writer,
+        opened=reactor.seconds(),
+        moves_per_s=config.charge.moves_per_s,
+    )
     pool = ThreadPool(1, 1, "engine")  # one thread: an engine's calls follow each other
     try:
         engine: Engine = Memory()
@@ -154,13 +158,20 @@
         print(f"puffintide: {error}", file=sys.stderr)
         sys.exit(2)
     service = StoreService(
-        reactor, book, d.name, log, engine, image, len(d.zones),
+        reactor,
+        book,
+        d.name,
+        log,
+        engine,
+        image,
+        len(d.zones),
         run=(lambda call, *args: deferToThreadPool(reactor, pool, call, *args))
-        if me.file or me.etcd else maybeDeferred,
+        if me.file or me.etcd
+        else maybeDeferred,
         streams_most=me.streams_most,
         backups=(lambda name: _name(me.backups, name)) if me.file and me.backups else None,
         refill=Refill(d.slices, d.assigners, me.refill_wait_s) if me.refill else None,
-    )  # fmt: skip
+    )
     _listen(reactor, me.listen, service.factory(), _tls(config, log))
     log.info(
         "started", file=me.file, identity=image.identity, revision=image.revision, slices=len(image.slices)
--- a/puffintide/config/schema.py
+++ b/puffintide/config/schema.py
@@ -295,12 +295,40 @@
 
 
 FAULTS = (
-    "crash", "hang", "slow", "pauses", "report_late", "hot_key", "heavy_tail", "zone_loss", "deploy", "shrink",
-    "grow", "balancer_crash", "balancer_stop", "shared_slow", "counter_down", "give_up", "preempt", "slow_link",
-    "one_sided", "conn_squeeze", "false_reports", "handshake_slow", "mass_restart", "shift", "store_down",
-    "list_down", "slow_reader", "zone_flap", "store_crash", "store_lost", "store_restored", "peer_cut",
+    "crash",
+    "hang",
+    "slow",
+    "pauses",
+    "report_late",
+    "hot_key",
+    "heavy_tail",
+    "zone_loss",
+    "deploy",
+    "shrink",
+    "grow",
+    "balancer_crash",
+    "balancer_stop",
+    "shared_slow",
+    "counter_down",
+    "give_up",
+    "preempt",
+    "slow_link",
+    "one_sided",
+    "conn_squeeze",
+    "false_reports",
+    "handshake_slow",
+    "mass_restart",
+    "shift",
+    "store_down",
+    "list_down",
+    "slow_reader",
+    "zone_flap",
+    "store_crash",
+    "store_lost",
+    "store_restored",
+    "peer_cut",
     "peer_mess",
-)  # fmt: skip
+)
 
 
 class Fault(Section):
@@ -314,7 +342,9 @@
     extra: Amount = 0.0
     assigners: Ints = []
     others: Ints = []  # peer_cut: those on the other side; empty: all others
-    way: str = ""  # counter_down: "refuse", "silent" or "empty"; zone_loss: "all"; peer_cut: "out", "in" or ""
+    way: str = (
+        ""  # counter_down: "refuse", "silent" or "empty"; zone_loss: "all"; peer_cut: "out", "in" or ""
+    )
 
     @model_validator(mode="after")
     def _known(self) -> Fault:
--- a/puffintide/days/faults.py
+++ b/puffintide/days/faults.py
@@ -145,7 +145,9 @@
             return [process(begin, "kill", "store"), process(end, "start", "store")]
         case "store_lost":  # killed, and all that it kept is gone; it starts empty
             return [process(begin, "lose", "store"), process(end, "start", "store")]
-        case "store_restored":  # killed; it starts from a backup that it had made, size: so many seconds before
+        case (
+            "store_restored"
+        ):  # killed; it starts from a backup that it had made, size: so many seconds before
             return [
                 process(max(0.0, begin - fault.size), "backup", "store"),
                 process(begin, "restore", "store"),
@@ -155,10 +157,10 @@
             who_ids = sorted(fault.assigners or [0])
             there = sorted(fault.others) or others(who_ids)
             ends = {"out": {"senders": who_ids}, "in": {"senders": there}}
-            return tap(
-                kinds=["peer"], cut="silent", parties=who_ids, facing=there, **ends.get(fault.way, {})
-            )
-        case "peer_mess":  # between all: size: seconds late at most, out of order; extra: share that comes twice
+            return tap(kinds=["peer"], cut="silent", parties=who_ids, facing=there, **ends.get(fault.way, {}))
+        case (
+            "peer_mess"
+        ):  # between all: size: seconds late at most, out of order; extra: share that comes twice
             words = ["copies", "digest"]
             return tap(kinds=["peer"], words=words, late_s=fault.size, mixed=True, double=fault.extra)
         case "store_down":
--- a/puffintide/days/importer.py
+++ b/puffintide/days/importer.py
@@ -66,67 +66,104 @@
         return sum(values) / len(values)
 
     out: dict[str, dict[str, Any]] = {
-        "day": {"name": f"{day['site']}-{day['kind']}", "length_s": round(length, 2), "seed": day["noise"] % 100000,
-                "settle_s": 5},
+        "day": {
+            "name": f"{day['site']}-{day['kind']}",
+            "length_s": round(length, 2),
+            "seed": day["noise"] % 100000,
+            "settle_s": 5,
+        },
         "deployment": {
-            "name": day["site"], "zones": ", ".join(f"z{k}" for k in range(zones)),
-            "assigners": len(fam["controllers"]), "proxies": proxies, "slices": slices,
-            "single_writer": fam["exclusive"], "warm_keys": fam["affinity_gain"] > 0,
-            "retry_default": fam["usual_how"], "retry_wait_aims": fam["try_aims"], "shun_after": fam["ejects"],
-            "shun_s": fam["eject"] / US, "admit": ADMITS[fam["admit"]], "pick": PICKS[fam["pick"]],
-            "hold_s": fam["hold"] / US, "refuse_again_s": fam["refuse_wait"] / US,
+            "name": day["site"],
+            "zones": ", ".join(f"z{k}" for k in range(zones)),
+            "assigners": len(fam["controllers"]),
+            "proxies": proxies,
+            "slices": slices,
+            "single_writer": fam["exclusive"],
+            "warm_keys": fam["affinity_gain"] > 0,
+            "retry_default": fam["usual_how"],
+            "retry_wait_aims": fam["try_aims"],
+            "shun_after": fam["ejects"],
+            "shun_s": fam["eject"] / US,
+            "admit": ADMITS[fam["admit"]],
+            "pick": PICKS[fam["pick"]],
+            "hold_s": fam["hold"] / US,
+            "refuse_again_s": fam["refuse_wait"] / US,
         },
         "channel": {
-            "lines_per_s": round(max(fam["rate"] * part, 2000.0)), "head_lines": fam["head"],
+            "lines_per_s": round(max(fam["rate"] * part, 2000.0)),
+            "head_lines": fam["head"],
             "limit": round(max(fam["backlog"] * part, 3 * proxies * (fam["head"] + 15))),
-            "delay_s": fam["late"] / US, "delay_max_s": 3 * fam["late"] / US,
+            "delay_s": fam["late"] / US,
+            "delay_max_s": 3 * fam["late"] / US,
             "messages_most": fam["messages_most"],
         },
-        "reports": {"period_s": fam["period"] / US, "lines_per_s": fam["intake"],
-                    "names": ", ".join(FIELDS[f] for f in tier["report_fields"])},
+        "reports": {
+            "period_s": fam["period"] / US,
+            "lines_per_s": fam["intake"],
+            "names": ", ".join(FIELDS[f] for f in tier["report_fields"]),
+        },
         "list": {"asked": day["discovery"]["ask"]},
         "probes": {"allowed": day["allow"]["probes"], "timeout_s": tier["probe_timeout"] / US},
         "rules": {
-            "drain_grace_s": day["drain_grace"] / US, "cold_from": tier["stated_cold_from"],
-            "warm_within_s": tier["stated_cold"] / US, "fall_multiple": day["fall_multiple"],
-            "fall_s": day["fall_for"] / US, "bare_s": fam["bare"] / US,
+            "drain_grace_s": day["drain_grace"] / US,
+            "cold_from": tier["stated_cold_from"],
+            "warm_within_s": tier["stated_cold"] / US,
+            "fall_multiple": day["fall_multiple"],
+            "fall_s": day["fall_for"] / US,
+            "bare_s": fam["bare"] / US,
         },
         "charge": {"takeover_s": fam["takeover"] / US, "write_lease_s": fam["lease"] / US},
         "fleet": {
-            "servers": len(order), "spare": len(spares), "cores": ", ".join(map(str, cores)),
+            "servers": len(order),
+            "spare": len(spares),
+            "cores": ", ".join(map(str, cores)),
             "speed": ", ".join(f"{s['speed']:.3f}" for s in fleet),
             "slots_per_core": round(mean([k["slots"] / k["cores"] for k in every]), 2),
             "queue_per_core": round(mean([k["queue"] / k["cores"] for k in every]), 2),
             "cold_from": round(mean([k["cold_from"] for k in every]), 3),
             "warm_s": round(mean([k["cold"] for k in every]) / US, 2),
-            "cache_gain": round(fam["affinity_gain"], 3), "cache_s": round(fam["affinity_s"], 2),
+            "cache_gain": round(fam["affinity_gain"], 3),
+            "cache_s": round(fam["affinity_s"], 2),
             "cache_keys": round(fam["affinity_keys_per_core"] * mean([float(c) for c in cores])),
             "connections": round(tier["conn_cap_per_core"] * min(cores)),
-            "handshake_s": tier["handshake_work"] / US, "probe_s": tier["probe_work"] / US,
-            "report_every_s": tier["report_period"] / US, "report_noise": round(tier["report_noise"], 3),
-            "notice_s": day["discovery"]["notice"] / US, "add_s": day["discovery"]["add"] / US,
+            "handshake_s": tier["handshake_work"] / US,
+            "probe_s": tier["probe_work"] / US,
+            "report_every_s": tier["report_period"] / US,
+            "report_noise": round(tier["report_noise"], 3),
+            "notice_s": day["discovery"]["notice"] / US,
+            "add_s": day["discovery"]["add"] / US,
         },
         "net": {
-            "same_s": day["net"]["same"] / US, "cross_s": day["net"]["cross"] / US,
-            "report_late_s": fam["heard_late"] / US, "order_late_s": fam["late"] / US,
+            "same_s": day["net"]["same"] / US,
+            "cross_s": day["net"]["cross"] / US,
+            "report_late_s": fam["heard_late"] / US,
+            "order_late_s": fam["late"] / US,
         },
         "load": {
-            "requests_per_s": round(rate, 2), "keys": max(100, round(traffic["keys"] * scale)),
+            "requests_per_s": round(rate, 2),
+            "keys": max(100, round(traffic["keys"] * scale)),
             "shape": ", ".join(f"{at:.2f}:{v:.3f}" for at, v in traffic["shape"]),
-            "zipf": round(traffic["key_zipf"], 3), "retries": min(3, int(day["clients"]["retries"])),
-            "retry_s": round(day["clients"]["backoff_us"] / US, 3), "try_share": day["clients"]["try_share"],
+            "zipf": round(traffic["key_zipf"], 3),
+            "retries": min(3, int(day["clients"]["retries"])),
+            "retry_s": round(day["clients"]["backoff_us"] / US, 3),
+            "try_share": day["clients"]["try_share"],
             "honour": day["clients"]["honour"],
         },
-    }  # fmt: skip
+    }
     total = sum(c["share"] for c in day["classes"])
     for c in day["classes"]:
         out[f"class {c['name']}"] = {
-            "share": round(c["share"] / total, 4), "effect": EFFECTS[c["effect"]],
+            "share": round(c["share"] / total, 4),
+            "effect": EFFECTS[c["effect"]],
             "group": c["group"] if c["group"] in ("all", "zone", "cell") else "all",
-            "window_s": c["window"] / US, "aim_s": c["aim"] / US, "deadline_s": c["deadline"] / US,
-            "worth": c["worth"], "late_worth": c["late_worth"], "work_s": round(c["work"] / US, 5),
+            "window_s": c["window"] / US,
+            "aim_s": c["aim"] / US,
+            "deadline_s": c["deadline"] / US,
+            "worth": c["worth"],
+            "late_worth": c["late_worth"],
+            "work_s": round(c["work"] / US, 5),
             "work_cv": round(c["cv"], 3),
-        }  # fmt: skip
+        }
     for k, trouble in enumerate(day["troubles"]):
         out[f"fault {k}-{trouble['kind']}"] = _fault(trouble, day, len(up), len(spares), zones)
     parser = configparser.ConfigParser(interpolation=None)
@@ -154,11 +191,14 @@
     steps = trouble["steps"]
     stopped = sum(len(step["stop"]) for step in steps)
     made: dict[str, Any] = {
-        "kind": kind, "at_s": round(trouble["at"] / US, 2), "for_s": round(length, 2),
+        "kind": kind,
+        "at_s": round(trouble["at"] / US, 2),
+        "for_s": round(length, 2),
         "part": round(min(1.0, (len(trouble["on"]) or stopped or 1) / fleet), 3),
-        "size": round(trouble["size"], 4), "extra": round(trouble["extra"], 3),
+        "size": round(trouble["size"], 4),
+        "extra": round(trouble["extra"], 3),
         "zone": trouble["which"] % zones,
-    }  # fmt: skip
+    }
     match kind:
         case "pauses":
             made["size"] = round(trouble["size"] / 1000, 4)
--- a/puffintide/interface.py
+++ b/puffintide/interface.py
@@ -260,13 +260,4 @@
     text: str
 
 
-Action = (
-    SetLine
-    | Withdraw
-    | Admit
-    | Mark
-    | Probe
-    | WatchList
-    | SetTimer
-    | Log
-)
+Action = SetLine | Withdraw | Admit | Mark | Probe | WatchList | SetTimer | Log
--- a/puffintide/node/lifecycle.py
+++ b/puffintide/node/lifecycle.py
@@ -1,7 +1,7 @@
 """Start, reload and end of one assigner, as states. Pure: the service does what these answers say.
 
-    starting --ready--> serving --terminate--> stopping --ended--> over
-        \\_________________terminate_________/ \\___ nothing on its way ___/
+starting --ready--> serving --terminate--> stopping --ended--> over
+    \\_________________terminate_________/ \\___ nothing on its way ___/
 """
 
 from __future__ import annotations
--- a/puffintide/node/listing.py
+++ b/puffintide/node/listing.py
@@ -12,7 +12,9 @@
 class Listing:
     def __init__(self) -> None:
         self.version = 0
-        self.behind_since: float | None = None  # an older whole list has come, and nothing newer than ours since
+        self.behind_since: float | None = (
+            None  # an older whole list has come, and nothing newer than ours since
+        )
 
     def take(self, now: float, told: Members, known: bool = False) -> str | None:
         """How the module is told a list or changes: "full", "delta" or "cached"; None: not at all. A whole list
--- a/puffintide/node/news.py
+++ b/puffintide/node/news.py
@@ -29,7 +29,9 @@
         self.reactor, self.log = reactor, log
         self._changed, self._first = changed, settled
         self.standing = Standing()
-        self.watch = Watch(reactor, address, lambda: "/api/watch", self._opened, self._line, self._lost, SILENT_S)
+        self.watch = Watch(
+            reactor, address, lambda: "/api/watch", self._opened, self._line, self._lost, SILENT_S
+        )
         self.settled = False
         self._timer: Any = None
 
--- a/puffintide/node/service.py
+++ b/puffintide/node/service.py
@@ -64,11 +64,18 @@
         )
         room = max(16, min(config.sockets - RESERVE - 2 * tasks - BURST, STRANGERS_MOST))
         self.listener = Listener(reactor, self.names.zones, self._report, log, room)
-        self.news = NewsFeed(reactor, config.relay, self._changes, lambda: reactor.callLater(0, self._serve), log)
+        self.news = NewsFeed(
+            reactor, config.relay, self._changes, lambda: reactor.callLater(0, self._serve), log
+        )
         self.list_watch = Watch(
-            reactor, config.discovery, self._list_target, self._list_opened, self._members, self._list_lost,
+            reactor,
+            config.discovery,
+            self._list_target,
+            self._list_opened,
+            self._members,
+            self._list_lost,
             LIST_SILENT_S,
-        )  # fmt: skip
+        )
         self.lifecycle, self.listing = Lifecycle(), Listing()
         self.port: Any = None
         self.probers: dict[int, Prober] = {}
@@ -213,9 +220,12 @@
         if changes.taken or changes.given or len(changes.joined) > 1:
             self.log(
                 "standing",
-                taken=len(changes.taken), given=len(changes.given), again=len(changes.again),
-                proxies=len(self.news.standing.proxies), slices=len(self.news.standing.slices),
-            )  # fmt: skip
+                taken=len(changes.taken),
+                given=len(changes.given),
+                again=len(changes.again),
+                proxies=len(self.news.standing.proxies),
+                slices=len(self.news.standing.slices),
+            )
         self._schedule()
 
     def _given(self, now: float, number: int, table: dict[str, float]) -> None:
@@ -226,7 +236,9 @@
     def _ours(self, number: int) -> set[int]:
         """Servers whose lines of a slice are on their way, or were sent so lately that the store may be behind."""
         late = self.reactor.seconds() - TOLD_S
-        return {k[2] for k, at in self._sent.items() if k[1] == number and at > late} | self.outbox.servers(number)
+        return {k[2] for k, at in self._sent.items() if k[1] == number and at > late} | self.outbox.servers(
+            number
+        )
 
     def _late(self, now: float, number: int, lines: dict[str, float]) -> None:
         """Further lines of a table that was passed on: the store has them beside what is known."""
@@ -345,10 +357,12 @@
                 self.outbox.put(orders)
                 self.caller.send_next()
                 self.log(
-                    "decision", orders=len(orders), proxies=len(self.runtime.proxies),
+                    "decision",
+                    orders=len(orders),
+                    proxies=len(self.runtime.proxies),
                     withdrawals=[o.text.decode() for o in orders if o.key[0] == "server"][:5],
                     after_ms=round((self.now() - effects.heard_at) * 1000, 2),
-                )  # fmt: skip
+                )
         if effects.probes and self.news.standing.in_service:
             idle = not self._to_probe
             self._to_probe += effects.probes
@@ -378,16 +392,26 @@
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.log(
             "stats",
-            cpu_s=round(usage.ru_utime + usage.ru_stime, 2), round_cpu_s=round(self.round_cpu_s, 2),
-            rss_mb=round(rss_mb(), 1), descriptors=len(os.listdir("/proc/self/fd")),
-            rounds=self.rounds, round_most_ms=round(self.round_most_s * 1000, 1),
+            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
+            round_cpu_s=round(self.round_cpu_s, 2),
+            rss_mb=round(rss_mb(), 1),
+            descriptors=len(os.listdir("/proc/self/fd")),
+            rounds=self.rounds,
+            round_most_ms=round(self.round_most_s * 1000, 1),
             late_most_ms=round(self.late_most_s * 1000, 1),
-            proxies=len(self.runtime.proxies), slices=len(self.runtime.tokens),
-            servers=len(self.runtime.entries), hosts=len(self.hosts), probers=len(self.probers),
-            reports=dict(self.reports), peers=dict(self.listener.counts),
-            calls=self.caller.calls, unsure=self.outbox.unsure_calls, waiting=len(self.outbox),
-            call_most_ms=round(self.caller.took_most_s * 1000, 1), stray=self.news.standing.stray,
-        )  # fmt: skip
+            proxies=len(self.runtime.proxies),
+            slices=len(self.runtime.tokens),
+            servers=len(self.runtime.entries),
+            hosts=len(self.hosts),
+            probers=len(self.probers),
+            reports=dict(self.reports),
+            peers=dict(self.listener.counts),
+            calls=self.caller.calls,
+            unsure=self.outbox.unsure_calls,
+            waiting=len(self.outbox),
+            call_most_ms=round(self.caller.took_most_s * 1000, 1),
+            stray=self.news.standing.stray,
+        )
         self.round_most_s = self.late_most_s = self.caller.took_most_s = 0.0
 
 
--- a/puffintide/node/standing.py
+++ b/puffintide/node/standing.py
@@ -132,7 +132,9 @@
         self._fresh = {n: table for n, table in self._fresh.items() if n in kept}
         self.slices |= out.given.keys()
         out.late, self._late = self._late, {}
-        self._passed = set(out.given) if whole else self._passed | out.given.keys()  # a sign may come in between
+        self._passed = (
+            set(out.given) if whole else self._passed | out.given.keys()
+        )  # a sign may come in between
         return out
 
 
--- a/puffintide/policy.py
+++ b/puffintide/policy.py
@@ -584,7 +584,12 @@
         # gets a second place, as long as one such slice would do that.
         frail = {s for s in raw if self.set.fall_multiple * self.warmth(s) < SURGE}
         for number in sorted(self.slices):
-            if pieces[number] == 1 and plan[number] and plan[number][0] in frail and not self.set.single_writer:
+            if (
+                pieces[number] == 1
+                and plan[number]
+                and plan[number][0] in frail
+                and not self.set.single_writer
+            ):
                 pieces[number], part[number] = 2, part[number] / 2
                 load[plan[number][0]] -= part[number] * COLD_MISS
         # Further places of slices that are spread.
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -263,9 +263,15 @@
         until = patience(kind, mode, request.number, self.limits.retry_wait_aims, now, request.deadline)
         request.timer = self._set_timer(until, "try", key)
         return Send(
-            request.server, key, request.ref, request.request, request.slice, request.request_class, request.number,
+            request.server,
+            key,
+            request.ref,
+            request.request,
+            request.slice,
+            request.request_class,
+            request.number,
             round(request.deadline - now, 6),
-        )  # fmt: skip
+        )
 
     # Servers --------------------------------------------------------------------------------------
 
--- a/puffintide/proxy/http.py
+++ b/puffintide/proxy/http.py
@@ -29,9 +29,16 @@
 from puffintide.wire.stream import hang_up
 
 HOP = {
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"content-length", b"expect",
-}  # fmt: skip
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"content-length",
+    b"expect",
+}
 STATUS = {m.FULL: 503, m.UNREACHABLE: 503, m.TIMEOUT: 504}
 READ_MOST = 1 << 16  # bytes of a body that wait on one side before the other is paused
 Headers = list[tuple[bytes, bytes]]
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -292,7 +292,9 @@
             case m.Ask() if not 0 <= message.request_class < self.classes:
                 stream.refuse(f"class {message.request_class} is not among the {self.classes}")
             case m.Ask() if not (0 <= message.key < 2**64 and 0 < message.left_s <= LEFT_MOST_S):
-                stream.refuse(f"a key must be from 0 to 2^64 - 1, the time left above 0, up to {LEFT_MOST_S:g} s")
+                stream.refuse(
+                    f"a key must be from 0 to 2^64 - 1, the time left above 0, up to {LEFT_MOST_S:g} s"
+                )
             case m.Ask():
                 self.ask(stream, message)
             case _:
@@ -373,9 +375,17 @@
                 self._do(self.engine.server_lost(self.now(), server))
 
         dialler = Dialler(
-            self.reactor, address, lambda: hello, message, lost, again=False, connect_s=self.me.connect_s,
-            ping_s=30.0, dead_s=90.0, tls=self.tls,
-        )  # fmt: skip
+            self.reactor,
+            address,
+            lambda: hello,
+            message,
+            lost,
+            again=False,
+            connect_s=self.me.connect_s,
+            ping_s=30.0,
+            dead_s=90.0,
+            tls=self.tls,
+        )
         self.servers[server] = dialler
         dialler.start()
 
--- a/puffintide/replication/findings.py
+++ b/puffintide/replication/findings.py
@@ -88,8 +88,12 @@
             if state is not None and sid in heard.lives and state[0] == heard.lives[sid]:
                 told.add(api.SecondHand(sid, level=state[1]))
         leaving = replica.readings(now, "leaving", KEPT_S)
-        for sid in settle.leaving(leaving, replica.me, heard.lives, {s: now - t for s, t in heard.at.items()}):
+        for sid in settle.leaving(
+            leaving, replica.me, heard.lives, {s: now - t for s, t in heard.at.items()}
+        ):
             told.add(api.SecondHand(sid, leaving=True))
         back = [t for t in self.last - told if t.leaving and t.server in heard.lives]
         new, self.last = told - self.last, told
-        return sorted([*new, *(api.SecondHand(t.server, leaving=False) for t in back)], key=lambda t: t.server)
+        return sorted(
+            [*new, *(api.SecondHand(t.server, leaving=False) for t in back)], key=lambda t: t.server
+        )
--- a/puffintide/replication/joining.py
+++ b/puffintide/replication/joining.py
@@ -7,7 +7,9 @@
 from puffintide.replication.replica import PIECE_ROWS, Replica
 from puffintide.wire.messages import Copies, Version
 
-BURST_ROWS = 2 * PIECE_ROWS  # at once, so that no turn of the loop is long and an order beside it waits little
+BURST_ROWS = (
+    2 * PIECE_ROWS
+)  # at once, so that no turn of the loop is long and an order beside it waits little
 PATIENCE_S = 1.5  # more than a way that is late by as much as days make it
 UNDER_WAY_S = 2.0  # what was sent counts as there for so long; what the peer tells later counts then
 
@@ -66,8 +68,11 @@
         self.told.pop(peer, None)
 
     def _best(self, origin: int) -> tuple[int, Version] | None:
-        offers = [(peer == origin, v.life, v.seq, -peer, v) for peer, told in self.told.items()
-                  if (v := told.get(origin)) is not None]  # fmt: skip
+        offers = [
+            (peer == origin, v.life, v.seq, -peer, v)
+            for peer, told in self.told.items()
+            if (v := told.get(origin)) is not None
+        ]
         if not offers:
             return None
         most = max((v for *_, v in offers), key=lambda v: (v.life, v.seq))
@@ -122,4 +127,3 @@
     """Of two streams between a pair, whether the one that stands stays. Both ends say the same, so that one is
     left: that of a later life, else the one that the lower number keeps dialling."""
     return not dialled_by_lower and new_life <= stands_life
-
--- a/puffintide/replication/peers.py
+++ b/puffintide/replication/peers.py
@@ -184,9 +184,13 @@
 
     def counts(self) -> dict[str, int]:
         return {
-            "held": self.replica.count(), "sent": self.sent, "taken": self.taken, "refused": self.refused,
-            "contested": self.replica.contested, "peers": len(self._here()),
-        }  # fmt: skip
+            "held": self.replica.count(),
+            "sent": self.sent,
+            "taken": self.taken,
+            "refused": self.refused,
+            "contested": self.replica.contested,
+            "peers": len(self._here()),
+        }
 
     # Ticks ---------------------------------------------------------------------------------------
 
--- a/puffintide/replication/replica.py
+++ b/puffintide/replication/replica.py
@@ -58,7 +58,9 @@
     floor: int = 0  # what was taken back up to here is forgotten, and nothing of it is held
     top: int = 0  # the highest sequence of this life that was heard of
     rows: dict[Key, Row] = field(default_factory=dict)
-    kinds: dict[str, dict[int, Row]] = field(default_factory=dict)  # the same, so that one kind is found at once
+    kinds: dict[str, dict[int, Row]] = field(
+        default_factory=dict
+    )  # the same, so that one kind is found at once
     gone: dict[Key, int] = field(default_factory=dict)  # like rows and log by sequence, the latest last
     log: list[tuple[int, Key]] = field(default_factory=list)  # all of them; some have changed again since
     former: dict[Key, Row] = field(default_factory=dict)  # read until what takes its place is whole
@@ -69,7 +71,12 @@
     def follows(self, life: int, after: int, floor: int, top: int) -> bool:
         """Whether changes after that sequence, told by one who holds all up to top and has forgotten what was taken
         back up to floor, go on from what is held here. Who is less far than our floor may hold what died since."""
-        return life == self.life and after <= self.seq and max(self.seq, self.floor) >= floor and top >= self.floor
+        return (
+            life == self.life
+            and after <= self.seq
+            and max(self.seq, self.floor) >= floor
+            and top >= self.floor
+        )
 
     def clear(self) -> None:
         self.seq = 0
@@ -228,7 +235,10 @@
             held.clear()
         held.top = max(held.top, piece.top)
         changes = [((r.kind, r.number), r.seq, Row(r.seq, now - r.age_s, r.value)) for r in piece.rows]
-        told: list[tuple[Key, int, Row | None]] = [*changes, *(((k, n), seq, None) for k, n, seq in piece.gone)]
+        told: list[tuple[Key, int, Row | None]] = [
+            *changes,
+            *(((k, n), seq, None) for k, n, seq in piece.gone),
+        ]
         for key, seq, row in sorted(told, key=itemgetter(1)):
             if seq > held.seq:  # the rest is held already: all up to there is
                 held.note(key, seq, row)
@@ -250,7 +260,9 @@
         for origin, held in sorted(self.held.items()):
             rows = held.kinds.get(kind, {})
             if held.former:
-                former = {n: row for (k, n), row in held.former.items() if k == kind and (k, n) not in held.gone}
+                former = {
+                    n: row for (k, n), row in held.former.items() if k == kind and (k, n) not in held.gone
+                }
                 rows = former | rows
             for number in rows if numbers is None else numbers:
                 row = rows.get(number)
--- a/puffintide/replication/settle.py
+++ b/puffintide/replication/settle.py
@@ -44,7 +44,10 @@
 
 
 def leaving(
-    readings: Mapping[int, Collection[Reading]], me: int, lives: Mapping[int, int], told_s: Mapping[int, float]
+    readings: Mapping[int, Collection[Reading]],
+    me: int,
+    lives: Mapping[int, int],
+    told_s: Mapping[int, float],
 ) -> list[int]:
     """Servers that leave by another's list, in the life that we know, where that list is younger than what our own
     told of it (told_s: seconds ago). Who tells so of more than OUT_MOST of the servers we know is not believed."""
--- a/puffintide/replication/tables.py
+++ b/puffintide/replication/tables.py
@@ -133,7 +133,9 @@
         part = numbers[first : first + PIECE_ROWS]
         readings = replica.readings(clock(), KIND, numbers=part)
         best = [(n, r) for n in part if (r := settle.table(readings.get(n, []))) is not None]
-        rows = [CopiedRow(KIND, n, first + k + 1, round(r.age_s, 3), r.value) for k, (n, r) in enumerate(best)]
+        rows = [
+            CopiedRow(KIND, n, first + k + 1, round(r.age_s, 3), r.value) for k, (n, r) in enumerate(best)
+        ]
         yield Copies(replica.me, 0, first, first + len(part), len(numbers), 0, rows)
 
 
--- a/puffintide/standins/etcd.py
+++ b/puffintide/standins/etcd.py
@@ -164,10 +164,13 @@
             put = operation.request_put
             old = self.keys.get(put.key)
             self.keys[put.key] = pb.KeyValue(
-                key=put.key, value=put.value, lease=put.lease, mod_revision=self.revision,
+                key=put.key,
+                value=put.value,
+                lease=put.lease,
+                mod_revision=self.revision,
                 create_revision=old.create_revision if old is not None else self.revision,
                 version=old.version + 1 if old is not None else 1,
-            )  # fmt: skip
+            )
             if put.lease in self.leases:
                 self.leases[put.lease].keys.add(put.key)
             return pb.ResponseOp(response_put=pb.PutResponse(header=self._header()))
--- a/puffintide/standins/fleet.py
+++ b/puffintide/standins/fleet.py
@@ -119,8 +119,15 @@
         )
         server.listener = self.reactor.listenTCP(server.port, factory, 2000, "127.0.0.1")
         self._refresh(server, server.life)
-        self.note(what="start", server=number, zone=server.zone, warm=warm, capacity=server.make.cores
-                  * server.make.speed, cold_from=server.make.cold_from, warm_s=server.make.warm_s)  # fmt: skip
+        self.note(
+            what="start",
+            server=number,
+            zone=server.zone,
+            warm=warm,
+            capacity=server.make.cores * server.make.speed,
+            cold_from=server.make.cold_from,
+            warm_s=server.make.warm_s,
+        )
         wait = 0.0 if warm else self.fleet.add_s
         self.reactor.callLater(wait, self._list, number, READY, server.life, -1.0 if warm else now)
 
--- a/puffintide/store/book.py
+++ b/puffintide/store/book.py
@@ -166,9 +166,7 @@
                     state.assigner, state.token, state.batch, lines, pin, state.since, state.life
                 )
 
-    def write(
-        self, assigner: int, lines: Sequence[Line], batch: int = 0
-    ) -> dict[int, str]:
+    def write(self, assigner: int, lines: Sequence[Line], batch: int = 0) -> dict[int, str]:
         """Takes lines whose writer has charge; gives the reason for each slice refused."""
         refused: dict[int, str] = {}
         for line in lines:
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -198,13 +198,18 @@
     def _fence(self) -> list[pb.Compare]:
         return [
             pb.Compare(
-                result=pb.Compare.EQUAL, target=pb.Compare.CREATE, key=self._key("holder"),
+                result=pb.Compare.EQUAL,
+                target=pb.Compare.CREATE,
+                key=self._key("holder"),
                 create_revision=self.holder,
             ),
             pb.Compare(
-                result=pb.Compare.EQUAL, target=pb.Compare.MOD, key=self._key("meta"), mod_revision=self.meta_mod
+                result=pb.Compare.EQUAL,
+                target=pb.Compare.MOD,
+                key=self._key("meta"),
+                mod_revision=self.meta_mod,
             ),
-        ]  # fmt: skip
+        ]
 
     def _fenced(self, operations: list[pb.RequestOp], told: Callable[[bytes], bool]) -> pb.TxnResponse:
         """A transaction that only the present holder can do. If our lease ran out while nobody else wrote, it is
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -131,9 +131,14 @@
 
     def _stats(self) -> None:
         self.log.info(
-            "stats", revision=self.revision, commits=self.commits, rows=self.rows, failed=self.failed,
-            streams=self.streams, waiting=len(self.book.dirty),
-        )  # fmt: skip
+            "stats",
+            revision=self.revision,
+            commits=self.commits,
+            rows=self.rows,
+            failed=self.failed,
+            streams=self.streams,
+            waiting=len(self.book.dirty),
+        )
         self.reactor.callLater(STATS_S, self._stats)
 
     # Streams --------------------------------------------------------------------------------------
@@ -177,12 +182,16 @@
                 self._backup(stream, message.name)
             case m.Copies() if role == "assigner":
                 if self.refill is not None:
-                    for reason in self.refill.told(self.reactor.seconds(), stream.tag[1], message)[:REASONS_MOST]:
+                    for reason in self.refill.told(self.reactor.seconds(), stream.tag[1], message)[
+                        :REASONS_MOST
+                    ]:
                         self.log.warning("copy_refused", assigner=stream.tag[1], reason=reason)
             case m.Refill() if role == "operator":
                 if self.refill is None or not self.refill.answered:
                     waits = self.refill is not None
-                    why = "no assigner has answered yet" if waits else "it is not empty, or may not be refilled"
+                    why = (
+                        "no assigner has answered yet" if waits else "it is not empty, or may not be refilled"
+                    )
                     stream.refuse(why)
                     return
                 self._asked.append(stream)
@@ -194,8 +203,13 @@
         self.streams += 1
         stream.tag = (hello.role, hello.id)
         if hello.token > self.book.token and self.refill is None:
-            self.log.error("older_than_its_parties", token=self.book.token, seen=hello.token, role=hello.role,
-                           id=hello.id)  # fmt: skip
+            self.log.error(
+                "older_than_its_parties",
+                token=self.book.token,
+                seen=hello.token,
+                role=hello.role,
+                id=hello.id,
+            )
             self._changed(self.book.seen(hello.token))
         if hello.role == "proxy":
             self.proxies.add(stream)
--- a/puffintide/zones/plan.py
+++ b/puffintide/zones/plan.py
@@ -352,10 +352,18 @@
             spill, beyond = self._spilled(number) if phase not in (WELL, DEGRADED) else ((), 0.0)
             found.append(
                 ZoneState(
-                    number, phase, f"by hand: {zone.hand}" if zone.hand else zone.cause, self._share(number, {}),
-                    min(bounds), max(bounds), zone.until, len(zone.losses), spill, beyond,
+                    number,
+                    phase,
+                    f"by hand: {zone.hand}" if zone.hand else zone.cause,
+                    self._share(number, {}),
+                    min(bounds),
+                    max(bounds),
+                    zone.until,
+                    len(zone.losses),
+                    spill,
+                    beyond,
                 )
-            )  # fmt: skip
+            )
         return found
 
     def _spilled(self, lost: int) -> tuple[tuple[tuple[int, float], ...], float]:
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -39,19 +39,35 @@
 
 SECTIONS: dict[str, dict[str, Any]] = {
     "day": {"name": "t", "length_s": 20, "seed": 5, "settle_s": 3},
-    "deployment": {"name": "t", "zones": "a, b", "assigners": 2, "proxies": 4, "slices": 16, "warm_keys": "yes",
-                   "retry_default": 1, "shun_after": 3, "hold_s": 0.3},
+    "deployment": {
+        "name": "t",
+        "zones": "a, b",
+        "assigners": 2,
+        "proxies": 4,
+        "slices": 16,
+        "warm_keys": "yes",
+        "retry_default": 1,
+        "shun_after": 3,
+        "hold_s": 0.3,
+    },
     "channel": {"lines_per_s": 3000, "limit": 4500, "delay_s": 0.1, "delay_max_s": 0.4, "messages_most": 20},
     "reports": {"names": "rif"},
     "probes": {"allowed": "yes"},
     "rules": {"drain_grace_s": 2, "cold_from": 0.3, "warm_within_s": 8, "bare_s": 4},
     "charge": {"takeover_s": 2},
     "class status": {"share": 0.6, "aim_s": 0.75, "deadline_s": 2.5, "worth": 3, "work_s": 0.05},
-    "class start": {"share": 0.2, "effect": "by_key", "window_s": 5, "aim_s": 1.5, "deadline_s": 4, "work_s": 0.08},
+    "class start": {
+        "share": 0.2,
+        "effect": "by_key",
+        "window_s": 5,
+        "aim_s": 1.5,
+        "deadline_s": 4,
+        "work_s": 0.08,
+    },
     "class charge": {"share": 0.2, "effect": "once", "aim_s": 1.5, "deadline_s": 4, "work_s": 0.08},
     "fleet": {"servers": 8, "spare": 2, "cores": 1, "cold_from": 0.4, "warm_s": 7, "cache_gain": 0.3},
     "load": {"requests_per_s": 60, "keys": 400},
-}  # fmt: skip
+}
 
 
 def _failure(kind: Any) -> Any:
@@ -339,14 +355,22 @@
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
         zones, count = len(d.zones), f.servers + f.spare
-        place = Place(1, 2, [10 + k for k in range(d.assigners)], [100 + s for s in range(count)],
-                      [1000 + p for p in range(d.proxies)])  # fmt: skip
+        place = Place(
+            1,
+            2,
+            [10 + k for k in range(d.assigners)],
+            [100 + s for s in range(count)],
+            [1000 + p for p in range(d.proxies)],
+        )
         place.links = [Link("store", "store", 5001, at(1)), Link("list", "list", 5002, at(2))]
-        place.links += [Link(f"order:{k}", "order", 5010 + k, at(p), k % zones, k)
-                        for k, p in enumerate(place.assigners)]  # fmt: skip
+        place.links += [
+            Link(f"order:{k}", "order", 5010 + k, at(p), k % zones, k) for k, p in enumerate(place.assigners)
+        ]
         if self.config.peers is not None:
-            place.links += [Link(f"peer:{a}:{b}", "peer", 5500 + 32 * a + b, at(place.assigners[b]), b % zones, b)
-                            for a, b in permutations(range(d.assigners), 2)]  # fmt: skip
+            place.links += [
+                Link(f"peer:{a}:{b}", "peer", 5500 + 32 * a + b, at(place.assigners[b]), b % zones, b)
+                for a, b in permutations(range(d.assigners), 2)
+            ]
         place.links += [
             Link(f"try:{s}", "try", 5100 + s, at(p), s % zones, s) for s, p in enumerate(place.servers)
         ]
@@ -355,7 +379,9 @@
     def _tables(self) -> None:
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
-        rows = {n: [Held(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))] for n in range(d.slices)}
+        rows = {
+            n: [Held(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))] for n in range(d.slices)
+        }
         book = Book(d.slices, d.assigners, 1.0, d.single_writer)
         book.load(rows)
         self.engine.commit(Change(1, 0, book.take_dirty()))
@@ -487,7 +513,10 @@
             module = director.slices[number].lines
             if module != kept:
                 found.append(f"slice {number}: module {module}, store {kept}")
-            meant = {s: w for s, w in module.items() if s not in director.withdrawn}, director.levels.get(0, 1.0)
+            meant = (
+                {s: w for s, w in module.items() if s not in director.withdrawn},
+                director.levels.get(0, 1.0),
+            )
             for p, proxy in sorted(self.proxies.items()):
                 tables = proxy.engine.tables
                 held = tables.open(number), tables.level(number, 0)
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -65,7 +65,9 @@
 
 def test_an_order_that_overtakes_the_charge_it_goes_by_is_laid_on_the_tables_of_that_charge() -> None:
     held = tables()
-    held.charge(m.Charge(0, 1, 0, [m.Held(1, 1.0, "127.0.0.1:1")], 0, 1))  # all that it heard of the old tenure
+    held.charge(
+        m.Charge(0, 1, 0, [m.Held(1, 1.0, "127.0.0.1:1")], 0, 1)
+    )  # all that it heard of the old tenure
     held.order(1, order(7, line(0, 4, 1.0, 2), line(0, 3, 0.0, 2)))  # goes by a table that held 2 and 3
     held.charge(m.Charge(0, 2, 1, [m.Held(2, 1.0, "127.0.0.1:2"), m.Held(3, 1.0, "127.0.0.1:3")], 0, 2))
     assert held.open(0) == {2: 1.0, 4: 1.0}
@@ -84,11 +86,19 @@
 def test_no_answer_says_come_back_where_a_try_may_have_run(kind: int) -> None:
     """The first try is not answered in time, the second is turned away. A refusal would be taken for a proof."""
     limits = Limits(
-        slices=1, kinds=(Kind("repeatable", "all", 0, 0.5), Kind("by_key", "all", 3.0, 0.5)),
+        slices=1,
+        kinds=(Kind("repeatable", "all", 0, 0.5), Kind("by_key", "all", 3.0, 0.5)),
         own_zone=(False, False),
-        retry_default=2, retry_wait_aims=1.0, shun_after=0, shun_s=5.0, admit="silent", pick="rotate", hold_s=0.2,
-        again_s=0.5, zone=0,
-    )  # fmt: skip
+        retry_default=2,
+        retry_wait_aims=1.0,
+        shun_after=0,
+        shun_s=5.0,
+        admit="silent",
+        pick="rotate",
+        hold_s=0.2,
+        again_s=0.5,
+        zone=0,
+    )
     engine = Engine(limits, lambda: 0.5)
     engine.order(0.0, 0, order(1, line(0, 1, 1.0, 1), line(0, 2, 1.0, 1)))
     engine.asked(1.0, "r", 1, 0, kind, 4.0)
@@ -130,19 +140,37 @@
     assert set(held.open(0)) <= set(ids)
     plan, module = decider.plan, decider.director
     sizes = {
-        "module": len(module.servers), "bounds": len(module.bounds), "withdrawn": len(module.withdrawn),
-        "plan": len(plan.servers), "growth": len(plan.growth), "behind": len(plan.behind),
-        "addresses": len(runtime.addresses), "zones": len(runtime.zones), "starts": len(runtime._started),
-        "reports": len(reports._told), "proxy": len(held.addresses), "proxy's zones": len(held.zones),
-    }  # fmt: skip
+        "module": len(module.servers),
+        "bounds": len(module.bounds),
+        "withdrawn": len(module.withdrawn),
+        "plan": len(plan.servers),
+        "growth": len(plan.growth),
+        "behind": len(plan.behind),
+        "addresses": len(runtime.addresses),
+        "zones": len(runtime.zones),
+        "starts": len(runtime._started),
+        "reports": len(reports._told),
+        "proxy": len(held.addresses),
+        "proxy's zones": len(held.zones),
+    }
     assert all(size <= 150 for size in sizes.values()), sizes
 
 
 def test_a_proxy_forgets_failures_at_servers_that_are_gone() -> None:
     limits = Limits(
-        slices=1, kinds=(Kind("once", "all", 0.0, 0.5),), own_zone=(False,), retry_default=0, retry_wait_aims=1.0,
-        shun_after=1, shun_s=5.0, admit="silent", pick="rotate", hold_s=0.2, again_s=0.5, zone=0,
-    )  # fmt: skip
+        slices=1,
+        kinds=(Kind("once", "all", 0.0, 0.5),),
+        own_zone=(False,),
+        retry_default=0,
+        retry_wait_aims=1.0,
+        shun_after=1,
+        shun_s=5.0,
+        admit="silent",
+        pick="rotate",
+        hold_s=0.2,
+        again_s=0.5,
+        zone=0,
+    )
     engine = Engine(limits, lambda: 0.5)
     for sid in range(1, 2000):
         now = 100.0 * sid
@@ -230,8 +258,8 @@
         ordered.charge(charge(number, 1, {0: 1.0, 4: 1.0}), goes_on=False)
     ordered.written(3, [line(0, 1, 1.0, 1), line(1, 1, 1.0, 2)])
     ordered.written(5, [line(0, 1, 0.5, 1), line(0, 4, 0.0, 1), line(2, 1, 1.0, 3)])
-    assert ordered.missing([charge(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), charge(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]) == (
-        5, [line(0, 1, 0.5, 9), m.Line(0, 4, 0.0, 9)]
-    )  # fmt: skip
+    assert ordered.missing(
+        [charge(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), charge(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]
+    ) == (5, [line(0, 1, 0.5, 9), m.Line(0, 4, 0.0, 9)])
     ordered.charge(charge(2, 9, {0: 1.0}), goes_on=False)  # another had it since
     assert ordered.missing([charge(2, 9, {0: 1.0})]) == (0, [])
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -14,8 +14,13 @@
 
 Bend = Callable[[], Tape]
 NOBODY, TWICE, DRAIN, COLD, QUEUE, OWNER = (
-    "nobody left", "no effect twice", "drains kept", "cold not pushed over", "short queue", "one owner",
-)  # fmt: skip
+    "nobody left",
+    "no effect twice",
+    "drains kept",
+    "cold not pushed over",
+    "short queue",
+    "one owner",
+)
 
 
 def eventful() -> Tape:
@@ -183,9 +188,14 @@
 
 
 def pushed(
-    work: float, count: int = 10, after: float = 2.5, spread: float = 1.0, ordered: bool = False, server: int = 1,
+    work: float,
+    count: int = 10,
+    after: float = 2.5,
+    spread: float = 1.0,
+    ordered: bool = False,
+    server: int = 1,
     proxies: int = 1,
-) -> Tape:  # fmt: skip
+) -> Tape:
     """Server 1 starts cold at 150 and is told of at 150.2; then work comes."""
     t = eventful()
     t.world.lives[server] = Life(server, 150.0, 1e9, False, 2.0, 0.5, 8.0)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -85,7 +85,9 @@
     assert [e for e, _ in deployment.log["proxy:0"].rows] == ["assigner_lost"]
 
 
-@pytest.mark.parametrize("line", [b"{}", b"\xff\xfe", b"[" * 3000, b'{"t":"order","batch":', b"x" * (5 << 20)])
+@pytest.mark.parametrize(
+    "line", [b"{}", b"\xff\xfe", b"[" * 3000, b'{"t":"order","batch":', b"x" * (5 << 20)]
+)
 def test_a_damaged_frame_ends_its_stream_alone(line: bytes, tmp_path: Path) -> None:
     deployment = play(tmp_path, lambda d: d.assigners[0].proxies[1].send_line(line))
     assert [e for e, _ in deployment.log["proxy:1"].rows] == ["assigner_lost"]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -48,11 +48,16 @@
     "cut off": {"cut": CUT},
     "heard by nobody": {"cut": CUT | {"way": "out"}},
     "hears nobody": {"cut": CUT | {"way": "in"}},
-    "late, doubled, reordered": {"mess": {"kind": "peer_mess", "at_s": 2, "for_s": 14, "size": 3, "extra": 0.5}},
+    "late, doubled, reordered": {
+        "mess": {"kind": "peer_mess", "at_s": 2, "for_s": 14, "size": 3, "extra": 0.5}
+    },
     "killed and back": {"kill": {"kind": "balancer_crash", "at_s": 4, "for_s": 5, "assigners": "1"}},
     "two killed": {"kill": {"kind": "balancer_crash", "at_s": 4, "for_s": 5, "assigners": "0, 2"}},
     "stands still": {"stop": {"kind": "balancer_stop", "at_s": 4, "for_s": 9, "assigners": "1"}},
-    "cut, another dies": {"cut": CUT, "kill": {"kind": "balancer_crash", "at_s": 6, "for_s": 4, "assigners": "2"}},
+    "cut, another dies": {
+        "cut": CUT,
+        "kill": {"kind": "balancer_crash", "at_s": 6, "for_s": 4, "assigners": "2"},
+    },
     "store from an old backup": {"old": {"kind": "store_restored", "at_s": 9, "for_s": 2, "size": 7}},
     "store from an old backup, one killed": {
         "old": {"kind": "store_restored", "at_s": 9, "for_s": 2, "size": 7},
@@ -74,18 +79,26 @@
 MESS = {"kind": "peer_mess", "at_s": 2, "for_s": 12, "size": 10, "extra": 0.3}
 MANY: dict[str, tuple[int, float, dict[str, dict[str, Any]]]] = {  # assigners, length of the day
     "twelve, half killed at once and back": (
-        12, 16, {"kill": {"kind": "balancer_crash", "at_s": 4, "for_s": 3, "assigners": "0, 2, 4, 6, 8, 10"}},
+        12,
+        16,
+        {"kill": {"kind": "balancer_crash", "at_s": 4, "for_s": 3, "assigners": "0, 2, 4, 6, 8, 10"}},
     ),
     "three groups that see parts, healed one by one": (
-        6, 24, {
+        6,
+        24,
+        {
             "a": {"kind": "peer_cut", "at_s": 3, "for_s": 13, "assigners": "0, 1", "others": "4, 5"},
             "b": {"kind": "peer_cut", "at_s": 5, "for_s": 4, "assigners": "2, 3", "others": "4, 5"},
             "c": {"kind": "peer_cut", "at_s": 6, "for_s": 7, "assigners": "0, 1", "others": "2, 3"},
         },
     ),
     "late by up to 10 s": (3, 34, {"mess": MESS}),
-    "woken after 30 s": (3, 46, {"stop": {"kind": "balancer_stop", "at_s": 4, "for_s": 30, "assigners": "1"}}),
-}  # fmt: skip
+    "woken after 30 s": (
+        3,
+        46,
+        {"stop": {"kind": "balancer_stop", "at_s": 4, "for_s": 30, "assigners": "1"}},
+    ),
+}
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -140,8 +153,10 @@
         peers = d.assigners[1].peers
         assert peers is not None
         mine = peers.replica.held[1]
-        rows = [m.CopiedRow("server", 3, mine.seq + 1, 0.0, (1.0, float("1e300"))),
-                m.CopiedRow("server", 4, mine.seq + 2, 0.0, (1.0, 0.0))]  # fmt: skip
+        rows = [
+            m.CopiedRow("server", 3, mine.seq + 1, 0.0, (1.0, float("1e300"))),
+            m.CopiedRow("server", 4, mine.seq + 2, 0.0, (1.0, 0.0)),
+        ]
         top = mine.seq + 2
         peers.peers[0].stream.send(m.Copies(1, mine.life, mine.seq, top, top, 0, rows))
 
@@ -151,7 +166,9 @@
     refused = [what for event, what in d.log["assigner:0"].rows if event == "copy_refused"]
     assert [(what["origin"], what["by"]) for what in refused] == [(1, 1)]
     assert any(event == "later_life_remembered" for event, _ in d.log["assigner:1"].rows)
-    held = [service.peers.replica.readings(0.0, "server") for service in d.assigners.values() if service.peers]
+    held = [
+        service.peers.replica.readings(0.0, "server") for service in d.assigners.values() if service.peers
+    ]
     assert held == [{}, {}, {}]
 
 
--- a/tests/test_copies_processes.py
+++ b/tests/test_copies_processes.py
@@ -46,8 +46,13 @@
         folder = self.folder / str(k)
         folder.mkdir(exist_ok=True)
         peers = {"addresses": ", ".join(f"127.0.0.1:{port}" for port in self.ports), "catch_up_s": "1"}
-        section = {"id": str(k), "zone": "0", "listen": f"127.0.0.1:{self.ports[k]}",
-                   "store": f"127.0.0.1:{self.store}", "list": f"127.0.0.1:{self.list.port}"}  # fmt: skip
+        section = {
+            "id": str(k),
+            "zone": "0",
+            "listen": f"127.0.0.1:{self.ports[k]}",
+            "store": f"127.0.0.1:{self.store}",
+            "list": f"127.0.0.1:{self.list.port}",
+        }
         made = process(folder, "assigner", section, "--life", "1", peers=peers, **SIZE)
         self.running[f"{k}"] = self.stack.enter_context(made)
 
@@ -106,7 +111,9 @@
             reader.send(m.Read())
             got = reader.until(lambda x: isinstance(x, m.Charges | m.ReadEnd))
             found |= {x.slice: x for x in got.charges} if isinstance(got, m.Charges) else {}
-        assert {n: [h.server for h in x.lines] for n, x in found.items()} == {n: [n % 4] for n in range(SLICES)}
+        assert {n: [h.server for h in x.lines] for n, x in found.items()} == {
+            n: [n % 4] for n in range(SLICES)
+        }
         assert min(x.token for x in found.values()) > 2**32
 
 
@@ -122,7 +129,9 @@
             hello = m.Hello(m.VERSION, "assigner", 2, 0, "t", start=1)
             deaf.sendall(encode(hello) + b"\n" + (encode(m.Digest([])) + b"\n") * 2000)
         c.running["1"].send_signal(signal.SIGSTOP)
-        shown = c.until(lambda got: f" {SLICES} " in got.stdout, "copies", "show")  # the first has them all by now
+        shown = c.until(
+            lambda got: f" {SLICES} " in got.stdout, "copies", "show"
+        )  # the first has them all by now
         assert shown.returncode == 1 and "silent" in shown.stdout  # of those that do not answer it is told
         c.running["1"].send_signal(signal.SIGCONT)
         # Those two hold all of each other's: the third, which does not answer, is all there is to say.
@@ -131,7 +140,9 @@
 
 def played(folder: Path, day: str) -> tuple[str, dict[str, list[dict[str, Any]]]]:
     words = ["day", "run", str(ROOT / "days" / day), "--out", str(folder), "--quiet"]
-    run = subprocess.run([sys.executable, "-m", "puffintide", *words], capture_output=True, text=True, timeout=180)
+    run = subprocess.run(
+        [sys.executable, "-m", "puffintide", *words], capture_output=True, text=True, timeout=180
+    )
     assert run.returncode == 0, run.stdout + run.stderr
     logs = {p.stem: [json.loads(x) for x in p.read_text().splitlines()] for p in folder.glob("[as]*.log")}
     return next(line for line in run.stdout.splitlines() if "copies agree" in line), logs
@@ -152,4 +163,7 @@
     assert [(x["tables"], x["assigners"]) for x in refilled] == [(slices, list(range(assigners)))]
     for name, events in logs.items():
         caught = [x for x in events if x["event"] == "caught_up"]
-        assert all(x["tables"] > 0 for x in caught[1:]), (name, caught)  # who returns begins with what others hold
+        assert all(x["tables"] > 0 for x in caught[1:]), (
+            name,
+            caught,
+        )  # who returns begins with what others hold
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -21,14 +21,27 @@
         {"effect": "once", "objectiveS": 0.4, "deadlineS": 1.5, "worth": 9.0, "name": "cobrança"},
         {"effect": "repeatable", "objectiveS": 2.0, "deadlineS": 9.0, "worth": 1.0, "name": "mapa"},
     ],
-    "zones": ["norte", "a"], "kinds": ["m9", "m1"], "report": {"names": ["busy", "lat_ms"], "via": "piggyback"},
-    "rules": {"coldFrom": 0.4, "fallMultiple": 4.0, "overloadForS": 3.0, "stopSendingWithinS": 1.0,
-              "warmWithinS": 6.0},
-}  # fmt: skip
+    "zones": ["norte", "a"],
+    "kinds": ["m9", "m1"],
+    "report": {"names": ["busy", "lat_ms"], "via": "piggyback"},
+    "rules": {
+        "coldFrom": 0.4,
+        "fallMultiple": 4.0,
+        "overloadForS": 3.0,
+        "stopSendingWithinS": 1.0,
+        "warmWithinS": 6.0,
+    },
+}
 FAMILY: dict[str, Any] = {
-    "egressPerS": 20000, "head": 30, "mostWaiting": 4000, "reloadsMax": 3, "retryDefault": 1, "strikes": 2,
-    "cycleS": 1.0, "admit": "fraction",
-}  # fmt: skip
+    "egressPerS": 20000,
+    "head": 30,
+    "mostWaiting": 4000,
+    "reloadsMax": 3,
+    "retryDefault": 1,
+    "strikes": 2,
+    "cycleS": 1.0,
+    "admit": "fraction",
+}
 
 
 def customer(tmp: Path, there: bool) -> Platform:
@@ -52,8 +65,18 @@
             report: dict[str, float] = {"inflight": 1 + 60 * busy}
             if there:
                 report = {"util": 0.97 if busy else 0.3, "latency_ms": 40.0 + s}
-            peer.send({"msg": "heard", "az": "a", "host": f"s-{s}", "n": 80, "bad": 8, "avg": 40.0,
-                       "window": 500.0, "report": report})  # fmt: skip
+            peer.send(
+                {
+                    "msg": "heard",
+                    "az": "a",
+                    "host": f"s-{s}",
+                    "n": 80,
+                    "bad": 8,
+                    "avg": 40.0,
+                    "window": 500.0,
+                    "report": report,
+                }
+            )
         if k == 10:
             p.discovery.change(entry(1, "leaving"))
         if k == 18:
@@ -82,7 +105,9 @@
     return orders(p)
 
 
-ALONE = "import sys, pathlib, tests.test_customers as t; sys.stdout.buffer.write(t.alone(pathlib.Path({!r}), {}))"
+ALONE = (
+    "import sys, pathlib, tests.test_customers as t; sys.stdout.buffer.write(t.alone(pathlib.Path({!r}), {}))"
+)
 
 
 def in_a_process(tmp: Path, there: bool) -> bytes:
@@ -106,7 +131,9 @@
 # Sites ---------------------------------------------------------------------------------------------
 
 CLAIMS: dict[str, Callable[[dict[str, Any]], bool]] = {
-    "douro-cais": lambda s: len(s["net"]["zones"]) == 1 and len(s["class"]) == 4 and s["fam"]["admit"] == "share",
+    "douro-cais": lambda s: (
+        len(s["net"]["zones"]) == 1 and len(s["class"]) == 4 and s["fam"]["admit"] == "share"
+    ),
     "alto-minho": lambda s: s["class"][0]["effect"] == "unsafe" and s["fam"]["messages_most"] == 0,
 }
 
@@ -119,7 +146,9 @@
     for beside in ("real.json", "wire.json"):
         assert json.loads((folder / beside).read_text())
     assert (folder / "unlock.txt").read_text().startswith("unlock ")
-    others = [tomllib.loads((SITES / o / f"{o}.toml").read_text(encoding="utf-8")) for o in CLAIMS if o != name]
+    others = [
+        tomllib.loads((SITES / o / f"{o}.toml").read_text(encoding="utf-8")) for o in CLAIMS if o != name
+    ]
     for other in others:
         names = [{c["name"] for c in s["class"]} | set(s["net"]["zones"]) for s in (site, other)]
         assert not names[0] & names[1]
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -188,36 +188,91 @@
         "cv": 0.5,
     }
     return {
-        "site": "s", "family": "control", "kind": "trouble", "noise": 5, "length": 4e7, "zones": ["a", "b"],
-        "net": {"same": 300.0, "cross": 2000.0}, "drain_grace": 2e6, "fall_multiple": 3.0, "fall_for": 1.5e6,
+        "site": "s",
+        "family": "control",
+        "kind": "trouble",
+        "noise": 5,
+        "length": 4e7,
+        "zones": ["a", "b"],
+        "net": {"same": 300.0, "cross": 2000.0},
+        "drain_grace": 2e6,
+        "fall_multiple": 3.0,
+        "fall_for": 1.5e6,
         "traffic": {"load": 0.5, "shape": [[0.0, 0.9], [40.0, 1.1]], "keys": 900, "key_zipf": 0.8},
         "clients": {"retries": 1, "backoff_us": 1e5, "try_share": 0.9, "honour": 0.9},
-        "discovery": {"ask": True, "notice": 2e6, "add": 5e5}, "allow": {"probes": True},
+        "discovery": {"ask": True, "notice": 2e6, "add": 5e5},
+        "allow": {"probes": True},
         "classes": [
             dict(made, name="r", effect="safe", group="all", window=0),
             dict(made, name="w", effect="unsafe", group="all", window=0, deadline=5e6),
         ],
-        "tiers": [{
-            "kinds": [kind], "report_fields": ["inflight"], "report_period": 8e5, "report_noise": 0.1,
-            "probe_timeout": 4e5, "stated_cold_from": 0.25, "stated_cold": 1e7, "conn_cap_per_core": 300.0,
-            "handshake_work": 2000.0, "probe_work": 4000.0,
-        }],
+        "tiers": [
+            {
+                "kinds": [kind],
+                "report_fields": ["inflight"],
+                "report_period": 8e5,
+                "report_noise": 0.1,
+                "probe_timeout": 4e5,
+                "stated_cold_from": 0.25,
+                "stated_cold": 1e7,
+                "conn_cap_per_core": 300.0,
+                "handshake_work": 2000.0,
+                "probe_work": 4000.0,
+            }
+        ],
         "servers": [{"zone": k % 2, "kind": 0, "speed": 1.0, "up": k < 10} for k in range(12)],
         "balancers": [{}] * 6,
         "fam": {
-            "controllers": [0, 1], "slices": 40, "exclusive": False, "affinity_gain": 0.5, "hits": 0.4,
-            "affinity_s": 10.0, "affinity_keys_per_core": 100.0, "usual_how": 0, "try_aims": 0.8, "ejects": 0,
-            "eject": 5e6, "admit": "none", "pick": "round", "hold": 2e5, "refuse_wait": 5e5, "rate": 9000.0,
-            "head": 12.0, "backlog": 14000.0, "late": 2e5, "messages_most": 20, "period": 5e5, "intake": 300.0,
-            "bare": 6e6, "takeover": 2.5e6, "lease": 1.5e6, "heard_late": 4e5,
+            "controllers": [0, 1],
+            "slices": 40,
+            "exclusive": False,
+            "affinity_gain": 0.5,
+            "hits": 0.4,
+            "affinity_s": 10.0,
+            "affinity_keys_per_core": 100.0,
+            "usual_how": 0,
+            "try_aims": 0.8,
+            "ejects": 0,
+            "eject": 5e6,
+            "admit": "none",
+            "pick": "round",
+            "hold": 2e5,
+            "refuse_wait": 5e5,
+            "rate": 9000.0,
+            "head": 12.0,
+            "backlog": 14000.0,
+            "late": 2e5,
+            "messages_most": 20,
+            "period": 5e5,
+            "intake": 300.0,
+            "bare": 6e6,
+            "takeover": 2.5e6,
+            "lease": 1.5e6,
+            "heard_late": 4e5,
         },
         "troubles": [
-            {"kind": "hang", "at": 5e6, "len": 9e6, "size": 0.0, "extra": 0.0, "on": [1, 2], "which": 0,
-             "steps": []},
-            {"kind": "preempt", "at": 2e7, "len": 9e6, "size": 1.6, "extra": 4.0, "on": [], "which": 0,
-             "steps": [{"at": 2e7, "stop": [3], "start": [10]}]},
+            {
+                "kind": "hang",
+                "at": 5e6,
+                "len": 9e6,
+                "size": 0.0,
+                "extra": 0.0,
+                "on": [1, 2],
+                "which": 0,
+                "steps": [],
+            },
+            {
+                "kind": "preempt",
+                "at": 2e7,
+                "len": 9e6,
+                "size": 1.6,
+                "extra": 4.0,
+                "on": [],
+                "which": 0,
+                "steps": [{"at": 2e7, "stop": [3], "start": [10]}],
+            },
         ],
-    }  # fmt: skip
+    }
 
 
 def test_a_drawn_day_is_turned_into_a_script_at_any_scale(tmp_path: Path) -> None:
@@ -249,8 +304,19 @@
 
 
 def model(**changes: Any) -> ServerModel:
-    make = Make(cores=2, speed=1.0, slots=4, queue=6, cold_from=0.5, warm_s=10.0, cache_gain=0.5, cache_s=5.0,
-                cache_keys=10, fall_multiple=3.0, fall_s=1.5)  # fmt: skip
+    make = Make(
+        cores=2,
+        speed=1.0,
+        slots=4,
+        queue=6,
+        cold_from=0.5,
+        warm_s=10.0,
+        cache_gain=0.5,
+        cache_s=5.0,
+        cache_keys=10,
+        fall_multiple=3.0,
+        fall_s=1.5,
+    )
     return ServerModel(make, **{"started": None, "at": 0.0, **changes})
 
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -231,7 +231,9 @@
             line.until(lambda x: isinstance(x, m.Written), 1.0)  # not kept, so not told
         etcd.faults.no_leader = False
         line.until(lambda x: isinstance(x, m.Written))
-        first.send_signal(signal.SIGSTOP)  # else its next beat may take the lease anew before the second is up
+        first.send_signal(
+            signal.SIGSTOP
+        )  # else its next beat may take the lease anew before the second is up
         advance(etcd, 30)
         second = dict(section, listen=f"127.0.0.1:{PORTS.take()}")
         folder = tmp_path / "second"
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -73,8 +73,9 @@
 CASES = {
     "calm": Case(least=0.95),
     "crash": one("crash", COLD, servers=2),
-    "crash, told before": Case({"f": fault("crash", servers="2, 3")}, needs=(COLD,),
-                               changes={"fleet": {"notice_s": 0.05}}),
+    "crash, told before": Case(
+        {"f": fault("crash", servers="2, 3")}, needs=(COLD,), changes={"fleet": {"notice_s": 0.05}}
+    ),
     "hang": one("hang", servers="0, 3", last=8),
     "slow": one("slow", servers="0, 3", size=6, last=8),
     "all slow": one("shared_slow", size=2, least=0.5),
@@ -82,12 +83,17 @@
     "drain": one("deploy", COLD, servers="1, 2", size=1, extra=3),
     "drains in a wave": one("preempt", DRAIN, servers="1, 2, 4, 7", extra=4, least=0.7),
     "cold restarts": one("mass_restart", COLD, servers="1, 2, 4", extra=1, least=0.7),
-    "server flaps": Case({f"f{k}": fault("crash", 3 + 3 * k, 1.5, servers=2) for k in range(4)}, needs=(COLD,)),
+    "server flaps": Case(
+        {f"f{k}": fault("crash", 3 + 3 * k, 1.5, servers=2) for k in range(4)}, needs=(COLD,)
+    ),
     "zone lost": one("zone_loss", COLD, zone=1, least=0.5),
     "zone lost with its assigner": one("zone_loss", COLD, zone=1, way="all", least=0.5),
     "zone flaps": one("zone_flap", zone=1, size=4, last=12, least=0.4),
-    "list late": Case({"f": fault("deploy", servers="1, 2", size=1, extra=3)}, needs=(COLD,),
-                      changes={"net": {"list_late_s": 1.2}}),
+    "list late": Case(
+        {"f": fault("deploy", servers="1, 2", size=1, extra=3)},
+        needs=(COLD,),
+        changes={"net": {"list_late_s": 1.2}},
+    ),
     "list silent": pair(fault("list_down", 3, 9), fault("crash", 5, 5, servers=3)),
     "list empty": Case(steps=[(5, empty(True)), (8, empty(False))], least=0.4),
     "reports late": one("report_late", size=4, last=9),
@@ -96,56 +102,103 @@
     "assigner killed": one("balancer_crash", assigners="0"),
     "both assigners killed": one("balancer_crash", assigners="0, 1"),
     "assigner paused": one("balancer_stop", assigners="0", last=7),
-    "assigner killed in a drain": pair(fault("deploy", 4, 4, servers="1, 2", size=2, extra=5),
-                                       fault("balancer_crash", 4.3, 5, assigners="0")),
+    "assigner killed in a drain": pair(
+        fault("deploy", 4, 4, servers="1, 2", size=2, extra=5), fault("balancer_crash", 4.3, 5, assigners="0")
+    ),
     "store away": pair(fault("store_down", 3, 8), fault("crash", 5, 9, servers=2)),
     "store killed": pair(fault("store_crash", 3, 4), fault("crash", 4, 9, servers=2)),
     "store refuses": Case({"f": fault("crash", 5, 8, servers=2)}, [(3, full(True)), (10, full(False))]),
-    "proxy restarted": Case({"f": fault("crash", 5, 6, servers=2)},
-                            hand("kill", 5.5, "start", 7, "proxy:0", "proxy:1"), least=0.6),
-    "proxy paused": Case({"f": fault("deploy", servers="1, 2", size=1, extra=3)},
-                         hand("stop", 5.5, "wake", 9, "proxy:0"), least=0.6),
+    "proxy restarted": Case(
+        {"f": fault("crash", 5, 6, servers=2)}, hand("kill", 5.5, "start", 7, "proxy:0", "proxy:1"), least=0.6
+    ),
+    "proxy paused": Case(
+        {"f": fault("deploy", servers="1, 2", size=1, extra=3)},
+        hand("stop", 5.5, "wake", 9, "proxy:0"),
+        least=0.6,
+    ),
     "proxy cut off": pair(fault("counter_down", 4, 5, part=0.5), fault("crash", 5, 6, servers=2)),
-    "proxy gets no orders": pair(fault("counter_down", 4, 5, part=0.5, way="empty"),
-                                 fault("crash", 5, 6, servers=2)),
-    "proxy does not read": pair(fault("slow_reader", 4, 8, part=0.5),
-                                fault("deploy", 5, 6, servers="1, 2", size=1)),
-    "slow channel": Case({"f": fault("preempt", servers="1, 2, 4", extra=4)}, needs=(DRAIN,), least=0.7,
-                         changes={"channel": {"lines_per_s": 800, "limit": 1600}, "net": {"order_late_s": 0.4}}),
+    "proxy gets no orders": pair(
+        fault("counter_down", 4, 5, part=0.5, way="empty"), fault("crash", 5, 6, servers=2)
+    ),
+    "proxy does not read": pair(
+        fault("slow_reader", 4, 8, part=0.5), fault("deploy", 5, 6, servers="1, 2", size=1)
+    ),
+    "slow channel": Case(
+        {"f": fault("preempt", servers="1, 2, 4", extra=4)},
+        needs=(DRAIN,),
+        least=0.7,
+        changes={"channel": {"lines_per_s": 800, "limit": 1600}, "net": {"order_late_s": 0.4}},
+    ),
     "slow link": one("slow_link", size=0.3, extra=0.2, least=0.5),
     "one-sided": one("one_sided", size=0.6, least=0.5),
     "hot slice": one("hot_key", size=0.4),
-    "client storm": Case({"f": fault("give_up", size=0.15, last=10)}, changes={"load": {"retries": 3, "honour": 0.2,
-                         "requests_per_s": 110}}, least=0.3),
-    "storm with levels": Case({"f": fault("shared_slow", size=2, last=8)}, least=0.2, changes=SHED | {
-                              "load": {"requests_per_s": 110, "retries": 3, "honour": 0.2}}),
+    "client storm": Case(
+        {"f": fault("give_up", size=0.15, last=10)},
+        changes={"load": {"retries": 3, "honour": 0.2, "requests_per_s": 110}},
+        least=0.3,
+    ),
+    "storm with levels": Case(
+        {"f": fault("shared_slow", size=2, last=8)},
+        least=0.2,
+        changes=SHED | {"load": {"requests_per_s": 110, "retries": 3, "honour": 0.2}},
+    ),
     "crash with further tries": Case({"f": fault("crash", servers="2, 5")}, changes=TWICE, needs=(COLD,)),
     "hang with further tries": Case({"f": fault("hang", servers="2, 5")}, changes=TWICE),
-    "hang, repeats dropped by zone": Case({"f": fault("hang", 1, 8, servers="2, 5")}, changes=TWICE | {
-                                          "class start": SECTIONS["class start"] | {"group": "zone"}}),
+    "hang, repeats dropped by zone": Case(
+        {"f": fault("hang", 1, 8, servers="2, 5")},
+        changes=TWICE | {"class start": SECTIONS["class start"] | {"group": "zone"}},
+    ),
     "crash with writers": Case({"f": fault("crash", servers=2)}, changes=WRITERS, needs=(OWNER,)),
-    "assigner killed with writers": Case({"f": fault("balancer_crash", assigners="0"),
-                                          "g": fault("deploy", 5, 5, servers="1, 2", size=1, extra=3)},
-                                         changes=WRITERS, needs=(OWNER,), least=0.6),
-    "assigner paused with writers": Case({"f": fault("balancer_stop", 5, 7, assigners="0"),
-                                          "g": fault("crash", 5.2, 6, servers="1, 2")},
-                                         changes=WRITERS, needs=(OWNER,), least=0.6),
-    "assigner paused, crash": pair(fault("balancer_stop", 5, 7, assigners="0"),
-                                   fault("crash", 5.2, 9, servers="1, 2")),
+    "assigner killed with writers": Case(
+        {
+            "f": fault("balancer_crash", assigners="0"),
+            "g": fault("deploy", 5, 5, servers="1, 2", size=1, extra=3),
+        },
+        changes=WRITERS,
+        needs=(OWNER,),
+        least=0.6,
+    ),
+    "assigner paused with writers": Case(
+        {"f": fault("balancer_stop", 5, 7, assigners="0"), "g": fault("crash", 5.2, 6, servers="1, 2")},
+        changes=WRITERS,
+        needs=(OWNER,),
+        least=0.6,
+    ),
+    "assigner paused, crash": pair(
+        fault("balancer_stop", 5, 7, assigners="0"), fault("crash", 5.2, 9, servers="1, 2")
+    ),
     "crash, crash": pair(fault("crash", 4, 5, servers=2), fault("crash", 7, 5, servers="3, 4"), COLD),
-    "zone back, hang": pair(fault("zone_loss", 3, 6, zone=1), fault("hang", 8.5, 6, servers=2), COLD, least=0.4),
-    "zone back, assigner killed": pair(fault("zone_loss", 3, 6, zone=1),
-                                       fault("balancer_crash", 9.5, 4, assigners="0"), least=0.4),
-    "hot slice, drain": pair(fault("hot_key", 3, 10, size=0.3), fault("deploy", 5, 6, servers="0, 1, 2", size=1),
-                             COLD),
-    "store away, assigner killed": pair(fault("store_down", 4, 5), fault("balancer_crash", 5, 6, assigners="1")),
+    "zone back, hang": pair(
+        fault("zone_loss", 3, 6, zone=1), fault("hang", 8.5, 6, servers=2), COLD, least=0.4
+    ),
+    "zone back, assigner killed": pair(
+        fault("zone_loss", 3, 6, zone=1), fault("balancer_crash", 9.5, 4, assigners="0"), least=0.4
+    ),
+    "hot slice, drain": pair(
+        fault("hot_key", 3, 10, size=0.3), fault("deploy", 5, 6, servers="0, 1, 2", size=1), COLD
+    ),
+    "store away, assigner killed": pair(
+        fault("store_down", 4, 5), fault("balancer_crash", 5, 6, assigners="1")
+    ),
     "list silent, zone lost": pair(fault("list_down", 3, 9), fault("zone_loss", 4, 6, zone=1), least=0.3),
-    "withdrawn, then back while cut off": Case({"f": fault("crash", 3, 6, servers="1, 2, 4, 7")},
-        ways(6, 16, kinds=["order"], cut="refuse", proxies=[0, 1]), NARROW, (COLD,), 0.5),
-    "withdrawn, then its assigner anew": Case({"f": fault("crash", 3, 7, servers="1, 2, 4, 7"),
-        "g": fault("balancer_crash", 6, 3, assigners="0, 1")}, changes=NARROW, needs=(COLD,), least=0.5),
+    "withdrawn, then back while cut off": Case(
+        {"f": fault("crash", 3, 6, servers="1, 2, 4, 7")},
+        ways(6, 16, kinds=["order"], cut="refuse", proxies=[0, 1]),
+        NARROW,
+        (COLD,),
+        0.5,
+    ),
+    "withdrawn, then its assigner anew": Case(
+        {
+            "f": fault("crash", 3, 7, servers="1, 2, 4, 7"),
+            "g": fault("balancer_crash", 6, 3, assigners="0, 1"),
+        },
+        changes=NARROW,
+        needs=(COLD,),
+        least=0.5,
+    ),
     "p2c": Case({"f": fault("crash", servers=2)}, changes={"deployment": {"pick": "p2c"}}, needs=(COLD,)),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", CASES)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -86,10 +86,15 @@
     @contextlib.contextmanager
     def running(self, **section: str) -> Iterator[Any]:
         made = {
-            "id": "0", "listen": f"127.0.0.1:{PORTS.take()}", "http": f"127.0.0.1:{self.port}",
-            "assigners": f"127.0.0.1:{self.nobody}", "store": f"127.0.0.1:{self.nobody}",
-            "state": str(self.tmp / "tables.json"), "head_s": "1", **section,
-        }  # fmt: skip
+            "id": "0",
+            "listen": f"127.0.0.1:{PORTS.take()}",
+            "http": f"127.0.0.1:{self.port}",
+            "assigners": f"127.0.0.1:{self.nobody}",
+            "store": f"127.0.0.1:{self.nobody}",
+            "state": str(self.tmp / "tables.json"),
+            "head_s": "1",
+            **section,
+        }
         classes = {"class pay": {"effect": "once", "aim_s": "1", "deadline_s": "2"}}
         with process(
             self.tmp, "proxy", made, deployment={"slices": "1", "hold_s": "0.2"}, **classes
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -27,14 +27,22 @@
         (RED, 1, "*FAILED test_it.py::test_some[[]2]*"),  # the others count as ever
         (RED + "\n" + SOME, 0, "*KNOWN RED: test_it.py::test_red | in KNOWN-RED.txt: the cause | #1*"),
         (RED + SOME + "test_it.py::test_green | it passes | #3\n", 1, "*FAILED test_it.py::test_green*"),
-        (RED + SOME + "test_it.py::test_gone | no such test | #3\n", 4, "*test_it.py::test_gone names no test*"),
-        (RED + SOME + "test_gone.py::test_red | no such file | #3\n", 4, "*test_gone.py::test_red names no test*"),
+        (
+            RED + SOME + "test_it.py::test_gone | no such test | #3\n",
+            4,
+            "*test_it.py::test_gone names no test*",
+        ),
+        (
+            RED + SOME + "test_gone.py::test_red | no such file | #3\n",
+            4,
+            "*test_gone.py::test_red names no test*",
+        ),
         ("test_it.py::test_red | no issue\n" + SOME, 4, "*KNOWN-RED.txt:1: not 'test id | cause | issue'*"),
         ("test_it.py | a whole file | #1\n" + SOME, 4, "*KNOWN-RED.txt:1: not*"),
         (RED + RED + SOME, 4, "*KNOWN-RED.txt:2: test_it.py::test_red is named twice*"),
         (RED + SOME + MORE, 4, "*4 lines, 3 at most*"),
     ],
-)  # fmt: skip
+)
 def test_what_is_known_to_be_red(pytester: pytest.Pytester, lines: str, result: int, out: str) -> None:
     pytester.makepyfile(test_it=TESTS)
     pytester.makeconftest(Path(__file__).with_name("conftest.py").read_text())
@@ -43,5 +51,7 @@
     assert ran.ret == result
     both = ran.outlines + ran.errlines
     pytest.LineMatcher(both).fnmatch_lines([out])
-    for workers in ([] if result == 1 else ["2"]):  # and where the run is handed out
-        assert (pytester.runpytest_subprocess("-p", "no:cacheprovider", "-n", workers).ret == 0) is (result == 0)
+    for workers in [] if result == 1 else ["2"]:  # and where the run is handed out
+        assert (pytester.runpytest_subprocess("-p", "no:cacheprovider", "-n", workers).ret == 0) is (
+            result == 0
+        )
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -26,10 +26,15 @@
 NAMES = Names(["a", "b"], ["status", "start"], ["m1", "m2"], ["rif", "busy"])
 SETTINGS = {**CONF, "kinds": ["m1"]}
 CONFIG: dict[str, Any] = {
-    "name": "n0", "listen": "127.0.0.1:3000", "discovery": "127.0.0.2:8500", "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "store": {"address": "127.0.0.3:6400"},
-    "known": {"seq": 4, "whole": True, "hosts": []}, "settings": SETTINGS,
-}  # fmt: skip
+    "name": "n0",
+    "listen": "127.0.0.1:3000",
+    "discovery": "127.0.0.2:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+    "store": {"address": "127.0.0.3:6400"},
+    "known": {"seq": 4, "whole": True, "hosts": []},
+    "settings": SETTINGS,
+}
 
 
 def cuts(data: bytes) -> Iterator[list[bytes]]:
@@ -47,7 +52,9 @@
         assert lines.feed(b"!\n") == [b"rest!"]
 
 
-@pytest.mark.parametrize("pieces", [[b"x" * 11], [b"x" * 6, b"x" * 5], [b"x" * 11 + b"\n"], [b"ok\n" + b"x" * 11]])
+@pytest.mark.parametrize(
+    "pieces", [[b"x" * 11], [b"x" * 6, b"x" * 5], [b"x" * 11 + b"\n"], [b"ok\n" + b"x" * 11]]
+)
 def test_a_line_over_the_limit_is_refused_before_it_is_kept(pieces: list[bytes]) -> None:
     lines = Lines(10)
     with pytest.raises(TooLong):
@@ -62,7 +69,12 @@
         exchange = Exchange("h:1", 100)
         exchange.ask("POST", "/x", b"{}")
         body = b"".join(p for piece in pieces for p in exchange.receive(piece))
-        assert (exchange.status, body, exchange.done, exchange.reusable) == (200, b'{"accepted":2}', True, True)
+        assert (exchange.status, body, exchange.done, exchange.reusable) == (
+            200,
+            b'{"accepted":2}',
+            True,
+            True,
+        )
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n5\r\n{}\n{}\r\n1\r\n\n\r\n"
     for pieces in cuts(chunked):
         exchange = Exchange("h:1", 0)
@@ -123,14 +135,26 @@
 
 
 def test_a_tasks_own_report() -> None:
-    assert parse_text_report("TEXT inflight=7, queue=2, util=0.61\n") == {"inflight": 7, "queue": 2, "util": 0.61}
+    assert parse_text_report("TEXT inflight=7, queue=2, util=0.61\n") == {
+        "inflight": 7,
+        "queue": 2,
+        "util": 0.61,
+    }
     assert parse_text_report("TEXT inflight=7, queue=x, =, util") == {"inflight": 7}
     assert parse_text_report("TEXT inflight=7, inflight=8, util=1") == {"util": 1}
     assert parse_text_report("<html>") == {} and parse_text_report("") == {}
 
 
-GOOD = {"msg": "heard", "az": "a", "host": "s-1", "n": 4, "bad": 1, "avg": 50.0, "window": 500.0,
-        "report": {"inflight": 3, "util": 0.5}}  # fmt: skip
+GOOD = {
+    "msg": "heard",
+    "az": "a",
+    "host": "s-1",
+    "n": 4,
+    "bad": 1,
+    "avg": 50.0,
+    "window": 500.0,
+    "report": {"inflight": 3, "util": 0.5},
+}
 
 
 def heard(**changes: Any) -> api.LoadReport:
@@ -155,12 +179,31 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"n": ...}, {"host": ...}, {"az": "z"}, {"az": 5}, {"host": "s-unheard"}, {"host": None}, {"n": -1},
-        {"bad": 5}, {"bad": -1}, {"n": "4"}, {"n": 1e300}, {"n": 10**30}, {"window": 0}, {"window": -5},
-        {"window": 1e300}, {"avg": -1}, {"avg": 1e300}, {"avg": math.nan}, {"window": math.inf}, {"report": 5},
-        {"msg": "unheard of"}, {"msg": 5}, {"msg": ...},
+        {"n": ...},
+        {"host": ...},
+        {"az": "z"},
+        {"az": 5},
+        {"host": "s-unheard"},
+        {"host": None},
+        {"n": -1},
+        {"bad": 5},
+        {"bad": -1},
+        {"n": "4"},
+        {"n": 1e300},
+        {"n": 10**30},
+        {"window": 0},
+        {"window": -5},
+        {"window": 1e300},
+        {"avg": -1},
+        {"avg": 1e300},
+        {"avg": math.nan},
+        {"window": math.inf},
+        {"report": 5},
+        {"msg": "unheard of"},
+        {"msg": 5},
+        {"msg": ...},
     ],
-)  # fmt: skip
+)
 def test_spoilt_reports_are_passed_over(changes: dict[str, Any]) -> None:
     with pytest.raises(m.Invalid):
         heard(**changes)
@@ -173,17 +216,33 @@
 
 
 def member(**changes: Any) -> dict[str, Any]:
-    row = {"host": "s-1", "dial": "127.0.0.1:1", "site": "a", "class": "m2", "block": 3, "health": "active",
-           "share": 1.5, "born_ms": 0}  # fmt: skip
+    row = {
+        "host": "s-1",
+        "dial": "127.0.0.1:1",
+        "site": "a",
+        "class": "m2",
+        "block": 3,
+        "health": "active",
+        "share": 1.5,
+        "born_ms": 0,
+    }
     return row | changes
 
 
 def test_one_bad_entry_does_not_spoil_the_list() -> None:
-    rows = [member(), member(host="s-2", site="z"), member(host="s-3", health="odd"), {"host": 5}, 7,
-            member(host="s-4", health="left", site="?"),
-            member(host="s-5", born_ms=60_000, health="leaving")]  # fmt: skip
+    rows = [
+        member(),
+        member(host="s-2", site="z"),
+        member(host="s-3", health="odd"),
+        {"host": 5},
+        7,
+        member(host="s-4", health="left", site="?"),
+        member(host="s-5", born_ms=60_000, health="leaving"),
+    ]
     hosts = Hosts()
-    told = m.read_members(json.dumps({"seq": 9, "whole": True, "hosts": rows}).encode(), NAMES, hosts, 62_500.0)
+    told = m.read_members(
+        json.dumps({"seq": 9, "whole": True, "hosts": rows}).encode(), NAMES, hosts, 62_500.0
+    )
     assert (told.seq, told.whole, len(told.bad)) == (9, True, 4)
     first, gone, young = told.entries
     assert (first.zone, first.kind, first.state, first.weight, first.age_s) == (0, 1, api.READY, 1.5, -1.0)
@@ -194,10 +253,18 @@
     hosts = Hosts()
     s = hosts.number("s-1")
     actions: list[api.Action] = [
-        api.Withdraw(s, True), api.Withdraw(s, False), api.SetLine(2, s, 1.5), api.SetLine(2, s, 0.0),
-        api.SetLine(3, s, 1.0), api.SetLine(2, 99, 1.0), api.Admit(api.ALL_TABLES, 0, 1.0, 1),
-        api.Admit(2, 2, 0.25, 0), api.Mark(77), api.Probe(s), api.Log("x"),
-    ]  # fmt: skip
+        api.Withdraw(s, True),
+        api.Withdraw(s, False),
+        api.SetLine(2, s, 1.5),
+        api.SetLine(2, s, 0.0),
+        api.SetLine(3, s, 1.0),
+        api.SetLine(2, 99, 1.0),
+        api.Admit(api.ALL_TABLES, 0, 1.0, 1),
+        api.Admit(2, 2, 0.25, 0),
+        api.Mark(77),
+        api.Probe(s),
+        api.Log("x"),
+    ]
     made, wrong = orders(actions, NAMES, hosts.name, [2])
     assert [json.loads(o.text) for o in made] == [
         {"do": "OUT", "host": "s-1"},
@@ -212,7 +279,9 @@
 
 
 def line(server: int, weight: float, table: int = 0, size: int = 0) -> Order:
-    text = json.dumps({"do": "SET", "group": table, "host": f"s-{server}{'x' * size}", "share": weight}).encode()
+    text = json.dumps(
+        {"do": "SET", "group": table, "host": f"s-{server}{'x' * size}", "share": weight}
+    ).encode()
     return Order(("line", table, server), text, 1 if weight > 0 else 2)
 
 
@@ -261,8 +330,11 @@
 
 def test_the_stores_tables_settle_what_became_of_a_call() -> None:
     cases: list[tuple[dict[int, dict[str, float]], bool]] = [
-        ({0: {"s-1": 1.0}}, False), ({0: {"s-2": 1.0}}, True), ({}, False), ({7: {"s-9": 1.0}}, False),
-    ]  # fmt: skip
+        ({0: {"s-1": 1.0}}, False),
+        ({0: {"s-2": 1.0}}, True),
+        ({}, False),
+        ({7: {"s-9": 1.0}}, False),
+    ]
     for stored, carried in cases:
         box = Outbox()
         added = Order(("line", 0, 2), b"{}", 1, (0, "s-2", 1.0))
@@ -277,7 +349,9 @@
 
 
 @pytest.mark.parametrize(("whole", "carried"), [(False, False), (True, True)])
-def test_a_line_that_is_missing_tells_of_its_removal_only_where_all_was_told(whole: bool, carried: bool) -> None:
+def test_a_line_that_is_missing_tells_of_its_removal_only_where_all_was_told(
+    whole: bool, carried: bool
+) -> None:
     box = Outbox(messages_most=1, span_s=10.0)
     box.put([Order(("line", 0, 1), b"{}", 2, (0, "s-1", 0.0))])
     box.next()
@@ -288,9 +362,12 @@
 def test_lines_of_a_call_in_doubt_are_void_once_their_slice_was_taken() -> None:
     """It may be given again with another table, which they must not be laid over."""
     ends: list[Callable[[Outbox], Any]] = [
-        lambda box: box.unsure(0.0, carried=True), lambda box: box.restore(), lambda box: box.invalid(),
-        lambda box: box.taken(0.0, 0), lambda box: box.seen(0.0, {5: {"s-9": 1.0}, 6: {}}, whole=True),
-    ]  # fmt: skip
+        lambda box: box.unsure(0.0, carried=True),
+        lambda box: box.restore(),
+        lambda box: box.invalid(),
+        lambda box: box.taken(0.0, 0),
+        lambda box: box.seen(0.0, {5: {"s-9": 1.0}, 6: {}}, whole=True),
+    ]
     for end in ends:
         box = Outbox()
         box.put(Order(("line", s, 1), b"{}", 1, (s, "s-1", 1.0)) for s in (5, 6))
@@ -310,9 +387,19 @@
         return verdict.snapshot, verdict.pause_s > 0, len(box)
 
     assert after("answer", b'{"accepted":1}') == (False, False, 0)
-    assert after("answer", b'{"error":"throttled"}') == after("answer", b'{"error":"invalid"}') == (False, True, 1)
+    assert (
+        after("answer", b'{"error":"throttled"}')
+        == after("answer", b'{"error":"invalid"}')
+        == (False, True, 1)
+    )
     assert after("unreachable") == (False, True, 1)  # surely not carried out
-    for how, body in (("broken", b""), ("silent", b""), ("unreadable", b""), ("answer", b"{"), ("answer", b"[]")):
+    for how, body in (
+        ("broken", b""),
+        ("silent", b""),
+        ("unreadable", b""),
+        ("answer", b"{"),
+        ("answer", b"[]"),
+    ):
         assert after(how, body) == (True, True, 1)
         assert after(how, body, with_line=False) == (False, True, 1)
 
@@ -374,14 +461,20 @@
 @pytest.mark.parametrize(
     ("status", "body", "accepted", "error"),
     [
-        (200, b'{"accepted":2}', 2, ""), (200, b'{"accepted":0}', 0, ""), (200, b'{"accepted":4}', None, ""),
-        (200, b'{"accepted":-1}', None, ""), (200, b'{"accepted":true}', None, ""),
+        (200, b'{"accepted":2}', 2, ""),
+        (200, b'{"accepted":0}', 0, ""),
+        (200, b'{"accepted":4}', None, ""),
+        (200, b'{"accepted":-1}', None, ""),
+        (200, b'{"accepted":true}', None, ""),
         (200, b'{"accepted":"2"}', None, ""),
-        (200, b"{", None, ""), (200, b"[]", None, ""), (200, b"", None, ""), (500, b'{"accepted":2}', None, ""),
+        (200, b"{", None, ""),
+        (200, b"[]", None, ""),
+        (200, b"", None, ""),
+        (500, b'{"accepted":2}', None, ""),
         (429, b'{"error":"throttled"}', None, "throttled"),
         (503, b'{"error":{"code":"throttled"}}', None, "throttled"),
     ],
-)  # fmt: skip
+)
 def test_answers_of_the_relay(status: int, body: bytes, accepted: int | None, error: str) -> None:
     answer = read_answer(status, body, 3)
     assert (answer.accepted, answer.error) == (accepted, error)
@@ -466,7 +559,11 @@
 
 def test_whose_table_holds_after_a_watch_was_away() -> None:
     assert not read_anew({1: 1.0}, {1: 1.0}, [])
-    assert read_anew({1: 1.0}, {2: 1.0}, []) and read_anew({}, {1: 1.0}, []) and read_anew({1: 0.5}, {1: 1.0}, [])
+    assert (
+        read_anew({1: 1.0}, {2: 1.0}, [])
+        and read_anew({}, {1: 1.0}, [])
+        and read_anew({1: 0.5}, {1: 1.0}, [])
+    )
     assert not read_anew({1: 1.0}, {2: 1.0}, [1, 2])  # ours, on their way
     assert read_anew({1: 1.0, 3: 1.0}, {2: 1.0}, [1, 2])
     # Of our own on their way: 2 is being set, 1 taken out; the rest is the store's.
@@ -495,7 +592,9 @@
     assert listing.take(2.0, members(5, False, 1)) is None  # it catches up
     assert listing.take(3.0, members(6, False, 1)) == "delta" and listing.behind_since is None
     assert listing.take(10.0, members(2, True, 2)) is None
-    assert listing.take(10.0 + BEHIND_S, members(2, True, 2)) == "full" and listing.version == 2  # it counts anew
+    assert (
+        listing.take(10.0 + BEHIND_S, members(2, True, 2)) == "full" and listing.version == 2
+    )  # it counts anew
     assert listing.take(17.0, members(3, False, 1)) == "delta"
 
 
@@ -517,8 +616,10 @@
 def test_a_configuration_is_read_with_its_settings() -> None:
     config = parse(json.dumps(CONFIG).encode())
     assert (config.listen, config.discovery, config.relay) == (
-        ("127.0.0.1", 3000), ("127.0.0.2", 8500), ("127.0.0.3", 6400),
-    )  # fmt: skip
+        ("127.0.0.1", 3000),
+        ("127.0.0.2", 8500),
+        ("127.0.0.3", 6400),
+    )
     assert config.sockets == 256 and config.settings.seed == 0x8C1F30D27A5BE964
     assert config.names.zones == {"a": 0} and config.settings.drain_grace_s == 3.0
 
@@ -526,12 +627,18 @@
 @pytest.mark.parametrize(
     ("changes", "key"),
     [
-        ({"listen": "127.0.0.1"}, "listen"), ({"listen": ...}, "listen"), ({"discovery": "h:0"}, "discovery"),
-        ({"store": {}}, "store.address"), ({"store": 5}, "store"), ({"settings": []}, "settings"),
-        ({"settings": {}}, "settings: setting classes"), ({"seed": "xyz"}, "seed"),
-        ({"limits": {"sockets": 0}}, "limits.sockets"), ({"settings": {**SETTINGS, "zones": [1]}}, "settings"),
+        ({"listen": "127.0.0.1"}, "listen"),
+        ({"listen": ...}, "listen"),
+        ({"discovery": "h:0"}, "discovery"),
+        ({"store": {}}, "store.address"),
+        ({"store": 5}, "store"),
+        ({"settings": []}, "settings"),
+        ({"settings": {}}, "settings: setting classes"),
+        ({"seed": "xyz"}, "seed"),
+        ({"limits": {"sockets": 0}}, "limits.sockets"),
+        ({"settings": {**SETTINGS, "zones": [1]}}, "settings"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_configuration_is_refused_by_its_key(changes: dict[str, Any], key: str) -> None:
     tree = {k: v for k, v in (CONFIG | changes).items() if v is not ...}
     with pytest.raises(ConfigError, match=key):
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -37,15 +37,28 @@
 
 
 def entry(k: int, health: str = "active", **changes: Any) -> dict[str, Any]:
-    row = {"host": f"s-{k}", "dial": f"127.0.0.1:{TASKS + k}", "site": "a", "class": "m1", "block": 0,
-           "health": health, "share": 2.0, "born_ms": 0}  # fmt: skip
+    row = {
+        "host": f"s-{k}",
+        "dial": f"127.0.0.1:{TASKS + k}",
+        "site": "a",
+        "class": "m1",
+        "block": 0,
+        "health": health,
+        "share": 2.0,
+        "born_ms": 0,
+    }
     return row | changes
 
 
 def settings(**family: Any) -> dict[str, Any]:
     more = {"slices": SLICES, "agents": 3, "reloadsMax": 20, **family}
-    return {**CONF, "familyInfo": {**CONF["familyInfo"], **more}, "limits": {"probes": True},  # type: ignore[dict-item]
-            "report": {"names": ["rif"], "via": "piggyback"}, "kinds": ["m1"]}  # fmt: skip
+    return {
+        **CONF,
+        "familyInfo": {**CONF["familyInfo"], **more},  # type: ignore[dict-item]
+        "limits": {"probes": True},
+        "report": {"names": ["rif"], "via": "piggyback"},
+        "kinds": ["m1"],
+    }
 
 
 class Http(Protocol):
@@ -186,7 +199,9 @@
                 self.out.discard(row["host"])
             case "SYNC":
                 for p in self.proxies:
-                    self.tell({"type": "applied", "object": {"sidecar": p, "version": row["stamp"], "lag_ms": 9.0}})
+                    self.tell(
+                        {"type": "applied", "object": {"sidecar": p, "version": row["stamp"], "lag_ms": 9.0}}
+                    )
 
     def named(self) -> set[str]:
         """Hosts that a proxy may still send to."""
@@ -266,9 +281,12 @@
         self.tasks = [Task(self.net, TASKS + k) for k in range(SERVERS)]
         self.outside = Party(self.net)
         self.path = tmp / "config.json"
-        self.config = CONFIG | {"listen": f"127.0.0.1:{LISTEN}", "discovery": f"127.0.0.1:{DISCOVERY}",
-                                "store": {"address": f"127.0.0.1:{RELAY}"},
-                                "settings": settings(**family) | (more or {})}  # fmt: skip
+        self.config = CONFIG | {
+            "listen": f"127.0.0.1:{LISTEN}",
+            "discovery": f"127.0.0.1:{DISCOVERY}",
+            "store": {"address": f"127.0.0.1:{RELAY}"},
+            "settings": settings(**family) | (more or {}),
+        }
         rows = [entry(k) for k in range(SERVERS)] if known else []
         self.config["known"] = {"seq": 3, "whole": True, "hosts": rows} if known else None
         self.write()
@@ -304,8 +322,18 @@
             for s in range(SLICES):
                 peer.send({"msg": "heat", "partition": s, "kind": "0", "n": 5, "bad": 0, "window": 500.0})
             for k in range(SERVERS):
-                peer.send({"msg": "heard", "az": "a", "host": f"s-{k}", "n": 8, "bad": 0, "avg": 40.0,
-                           "window": 500.0, "report": {"inflight": 1}})  # fmt: skip
+                peer.send(
+                    {
+                        "msg": "heard",
+                        "az": "a",
+                        "host": f"s-{k}",
+                        "n": 8,
+                        "bad": 0,
+                        "avg": 40.0,
+                        "window": 500.0,
+                        "report": {"inflight": 1},
+                    }
+                )
             self.go(0.5)
 
     def hears(self) -> list[Any]:
@@ -379,7 +407,9 @@
     assert len([1 for _, rows in platform.relay.calls if rows]) == 1
 
 
-@pytest.mark.parametrize("fate", ["lost", "reset", "carried", "carried, reset", "spoilt", "throttled", "bad 0"])
+@pytest.mark.parametrize(
+    "fate", ["lost", "reset", "carried", "carried, reset", "spoilt", "throttled", "bad 0"]
+)
 def test_no_order_is_lost_or_undone_whatever_becomes_of_a_call(platform: Platform, fate: str) -> None:
     platform.relay.fates = [fate, "" if fate == "bad 0" else fate, ""]
     platform.discovery.change(entry(1, "leaving"))
@@ -448,7 +478,10 @@
     before = {s: dict(table) for s, table in platform.relay.tables.items()}
     platform.discovery.change(entry(1, "leaving"))
     platform.go(0.05)
-    now, platform.relay.tables = platform.relay.tables, before  # the watch began before the call was carried out
+    now, platform.relay.tables = (
+        platform.relay.tables,
+        before,
+    )  # the watch began before the call was carried out
     platform.break_watches()
     platform.go(0.5)
     assert platform.believed() == now and not platform.logged("table_differs")
@@ -486,7 +519,9 @@
     assert {e.state for e in platform.node.runtime.entries.values()} == states
     platform.discovery.tell({"seq": 8, "whole": True, "hosts": [entry(0), entry(1), {"host": 5}]})
     platform.go(0.1)
-    assert len(platform.node.runtime.entries) == SERVERS  # an entry that can't be read is not one that is missing
+    assert (
+        len(platform.node.runtime.entries) == SERVERS
+    )  # an entry that can't be read is not one that is missing
     platform.discovery.tell({"seq": 8, "whole": True, "hosts": [entry(0), entry(1)]})
     platform.go(0.1)
     assert len(platform.node.runtime.entries) == 2
@@ -540,7 +575,9 @@
     platform.node._act(Effects(actions=(), probes=[platform.node.hosts.number(f"s-{SERVERS - 1}")]))
     platform.node._probe_next()
     platform.go(0.2)
-    assert len(at) >= SERVERS and min(b - a for a, b in pairwise(at[:SERVERS])) > 0.03 and at[-1] - at[0] < 0.25
+    assert (
+        len(at) >= SERVERS and min(b - a for a, b in pairwise(at[:SERVERS])) > 0.03 and at[-1] - at[0] < 0.25
+    )
 
 
 @pytest.mark.parametrize(
@@ -595,8 +632,11 @@
 def test_collectors_report_and_are_never_written_to(platform: Platform) -> None:
     peer = platform.collector()
     platform.report(peer, 2)
-    peer.send({"msg": "heard", "az": "a", "host": "s-1", "n": 1, "bad": 2, "window": 5}, {"msg": "new kind"},
-              {"msg": "heat", "partition": 99, "kind": "0", "n": 1, "bad": 0, "window": 5})  # fmt: skip
+    peer.send(
+        {"msg": "heard", "az": "a", "host": "s-1", "n": 1, "bad": 2, "window": 5},
+        {"msg": "new kind"},
+        {"msg": "heat", "partition": 99, "kind": "0", "n": 1, "bad": 0, "window": 5},
+    )
     platform.report(peer, 2)
     assert peer.open and peer.got == b"" and platform.node.listener.counts["spoilt"] == 3
     assert platform.node.reports["heard"] == 4 * SERVERS
@@ -846,7 +886,16 @@
     got = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True)
     allowed = {"__main__", "puffintide", "twisted", "h11", "msgspec"}
     # What Twisted itself needs.
-    allowed |= {"attr", "attrs", "constantly", "incremental", "typing_extensions", "zope", "automat", "hyperlink"}
+    allowed |= {
+        "attr",
+        "attrs",
+        "constantly",
+        "incremental",
+        "typing_extensions",
+        "zope",
+        "automat",
+        "hyperlink",
+    }
     loaded = set(got.stdout.split())
     assert {"twisted", "msgspec"} <= loaded and {n for n in loaded if not n.startswith("_")} <= allowed
 
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -81,7 +81,8 @@
     def reports(self) -> list[api.Event]:
         events = super().reports()
         return [
-            replace(e, tries=e.tries - e.failed, failed=0) if isinstance(e, api.LoadReport) else e for e in events
+            replace(e, tries=e.tries - e.failed, failed=0) if isinstance(e, api.LoadReport) else e
+            for e in events
         ]
 
 
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -34,7 +34,9 @@
 
 
 def repeat_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(engine, "further", lambda kind, mode, past, now, deadline: Next(-1) if past.number < 1 else None)
+    patch.setattr(
+        engine, "further", lambda kind, mode, past, now, deadline: Next(-1) if past.number < 1 else None
+    )
 
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
@@ -53,7 +55,9 @@
 
     def newest(self: Director, plan: dict[int, list[int]]) -> dict[int, list[int]]:
         ready = self.ready_views()
-        return {n: [max(ready, key=lambda v: v.entry.started).entry.id] if ready else p for n, p in plan.items()}
+        return {
+            n: [max(ready, key=lambda v: v.entry.started).entry.id] if ready else p for n, p in plan.items()
+        }
 
     patch.setattr(ServerModel, "_push", lambda self, now, work: None)  # it stands what would end it
     patch.setattr(Director, "warmth", lambda self, sid: 1.0)
@@ -84,7 +88,11 @@
 def test_a_planted_breach_is_found(rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     plant, faults = PLANTED[rule]
     plant(monkeypatch)
-    changes: dict[str, Any] = {"day": {"length_s": 12}, "load": {"requests_per_s": 60}, "rules": {"cold_from": 0.1}}
+    changes: dict[str, Any] = {
+        "day": {"length_s": 12},
+        "load": {"requests_per_s": 60},
+        "rules": {"cold_from": 0.1},
+    }
     if rule == "cold not pushed over":
         changes |= {"fleet": {"cold_from": 0.1, "warm_s": 8, "add_s": 0.05}, "load": {"requests_per_s": 120}}
     verdict = Deployment(tmp_path, faults, **changes).play(2.0)
@@ -118,9 +126,13 @@
         "crash": {"f": fault("crash", 2, 6, servers="1, 2, 4")},
     }[trouble]
     deployment = Deployment(
-        tmp_path, faults, day={"length_s": 11}, deployment={"retry_default": mode}, fleet={"queue_per_core": 3},
+        tmp_path,
+        faults,
+        day={"length_s": 11},
+        deployment={"retry_default": mode},
+        fleet={"queue_per_core": 3},
         load={"retries": 1, "requests_per_s": 50},
-    )  # fmt: skip
+    )
     verdict = deployment.play()
     assert not verdict.judgement.findings
     tries: Counter[tuple[int, int]] = Counter()
@@ -133,6 +145,8 @@
     asked = verdict.service.asked
     assert sum(tries.values()) <= 2 * (1 + FURTHER[mode]) * asked
     assert deployment.clients.next_ask <= 2 * asked
-    connects = sum(1 for line in (tmp_path / "tap.jsonl").open() if '"l":"try' in line and '"role":"proxy"' in line)
+    connects = sum(
+        1 for line in (tmp_path / "tap.jsonl").open() if '"l":"try' in line and '"role":"proxy"' in line
+    )
     servers, proxies = len(SECTIONS["fleet"]) and 10, len(deployment.proxies)
     assert connects <= sum(tries.values()) + servers * proxies  # a dead server is dialled once a try at most
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -138,9 +138,19 @@
 
 
 LIMITS = Limits(
-    slices=4, kinds=KINDS, own_zone=(False, False, False), retry_default=0, retry_wait_aims=0.5, shun_after=0,
-    shun_s=2.0, admit="fraction", pick="rotate", hold_s=0.2, again_s=0.5, zone=0,
-)  # fmt: skip
+    slices=4,
+    kinds=KINDS,
+    own_zone=(False, False, False),
+    retry_default=0,
+    retry_wait_aims=0.5,
+    shun_after=0,
+    shun_s=2.0,
+    admit="fraction",
+    pick="rotate",
+    hold_s=0.2,
+    again_s=0.5,
+    zone=0,
+)
 
 
 def engine(servers: int = 3, **changes: Any) -> Engine:
@@ -318,8 +328,13 @@
 def test_whatever_happens_each_request_ends_once_in_time_and_sums_add_up(seed: int) -> None:
     """A seeded world: servers that answer, fail, refuse, go silent, break; tables and levels that change."""
     rng = random.Random(seed)
-    e = engine(servers=4, retry_default=rng.choice((0, 1)), shun_after=rng.choice((0, 2)),
-               single_writer=rng.random() < 0.2, held_most=5)  # fmt: skip
+    e = engine(
+        servers=4,
+        retry_default=rng.choice((0, 1)),
+        shun_after=rng.choice((0, 2)),
+        single_writer=rng.random() < 0.2,
+        held_most=5,
+    )
     now, asked, ended = 1.0, {}, {}  # type: ignore[var-annotated]
     sends: dict[int, list[Send]] = {}
     proved: dict[int, bool] = {}
--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -32,10 +32,14 @@
     @contextlib.contextmanager
     def running(self, deployment: dict[str, str] | None = None, **section: str) -> Iterator[Any]:
         made = {
-            "id": "3", "listen": f"127.0.0.1:{self.port}", "store": f"127.0.0.1:{self.store.port}",
-            "assigners": f"127.0.0.1:{self.order.port}", "state": str(self.tmp / "tables.json"),
-            "connect_s": "2", **section,
-        }  # fmt: skip
+            "id": "3",
+            "listen": f"127.0.0.1:{self.port}",
+            "store": f"127.0.0.1:{self.store.port}",
+            "assigners": f"127.0.0.1:{self.order.port}",
+            "state": str(self.tmp / "tables.json"),
+            "connect_s": "2",
+            **section,
+        }
         one = {"assigners": "1", "slices": "1", **ADMIT, **(deployment or {})}
         pay = {"class pay": {"effect": "once", "aim_s": "1", "deadline_s": "4"}}
         with process(self.tmp, "proxy", made, deployment=one, **pay) as running:
@@ -237,8 +241,15 @@
         assigner, store = setting.steer()
         held = [m.Held(0, 1.0, f"127.0.0.1:{setting.servers[0].port}")]
         store.send(m.Charges([m.Charge(0, 1, 0, held, 4)]))
-        assigner.send(m.Order(5, 0.0, 5.0, [m.Line(0, 1, 1.0, 1, f"127.0.0.1:{setting.servers[1].port}"),
-                                            m.Line(0, 0, 0.0, 1)], mark=1))  # fmt: skip
+        assigner.send(
+            m.Order(
+                5,
+                0.0,
+                5.0,
+                [m.Line(0, 1, 1.0, 1, f"127.0.0.1:{setting.servers[1].port}"), m.Line(0, 0, 0.0, 1)],
+                mark=1,
+            )
+        )
         assigner.until(lambda x: isinstance(x, m.Applied))
         store.send(m.Charges([m.Charge(0, 1, 0, held, 4)]))  # read before the order had been written
         time.sleep(0.3)  # it has come by now
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -45,10 +45,14 @@
         self.seq = 7
         made = settings(**({"reloadsMax": 0} | family)) | {"limits": {"probes": probes}}
         config = {
-            "name": "n0", "listen": listen, "discovery": self.discovery.name, "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "store": {"address": self.relay.name},
+            "name": "n0",
+            "listen": listen,
+            "discovery": self.discovery.name,
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+            "store": {"address": self.relay.name},
             "settings": made,
-        }  # fmt: skip
+        }
         self.store = Store({s: {f"s-{s % servers}": 1.0} for s in range(made["familyInfo"]["slices"])})
         self.node = NodeProcess(tmp / "config.json", config, hook)
         self.news: Any = None
@@ -180,7 +184,9 @@
 
 
 @pytest.mark.parametrize("state", [nothing_known, while_moving, while_in_doubt, twice])
-def test_sigterm_ends_it_at_any_time(make: Callable[..., Platform], state: Callable[[Platform], None]) -> None:
+def test_sigterm_ends_it_at_any_time(
+    make: Callable[..., Platform], state: Callable[[Platform], None]
+) -> None:
     p = make()
     state(p)
     calls = len(p.store.received)
@@ -265,7 +271,9 @@
     assert all(p.store.tables.values())
 
 
-def test_lines_in_doubt_are_void_when_their_slice_was_taken_and_given_anew(make: Callable[..., Platform]) -> None:
+def test_lines_in_doubt_are_void_when_their_slice_was_taken_and_given_anew(
+    make: Callable[..., Platform],
+) -> None:
     """Between the call and the look at what became of it, an heir had the slice and moved it elsewhere."""
     p = make().start()
     p.drain(1)
@@ -342,7 +350,9 @@
     assert Counter(made) == Counter(set(made)) + Counter(undone) and all(p.store.tables.values())
 
 
-def test_a_look_in_two_pieces_brings_no_order_that_was_carried_out_again(make: Callable[..., Platform]) -> None:
+def test_a_look_in_two_pieces_brings_no_order_that_was_carried_out_again(
+    make: Callable[..., Platform],
+) -> None:
     p = make().start()
     p.drain(1)
     wire, body = p.call()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -45,7 +45,9 @@
                     number = self.draw.randrange(12)
                     node.put(self.now, self.draw.choice("ab"), number, (float(self.draw.randrange(100)),))
             case "drop":
-                for kind, number in self.draw.sample(sorted(node.held[k].rows), min(2, len(node.held[k].rows))):
+                for kind, number in self.draw.sample(
+                    sorted(node.held[k].rows), min(2, len(node.held[k].rows))
+                ):
                     node.drop(kind, number)
             case "ask":
                 self.ask(k, other)
@@ -62,7 +64,9 @@
     def ask(self, k: int, other: int) -> None:
         digest = self.nodes[k].digest()
         self.nodes[other].behind(digest)
-        self.bag += [(k, p) for p in self.nodes[other].differences(self.now, digest, self.draw.choice([1, 5, 50]))]
+        self.bag += [
+            (k, p) for p in self.nodes[other].differences(self.now, digest, self.draw.choice([1, 5, 50]))
+        ]
 
     def heal(self) -> None:
         for _ in range(60):
@@ -88,7 +92,9 @@
 
 @pytest.mark.parametrize("gone_most", [0, 2, 100])
 @pytest.mark.parametrize("first", range(0, 60, 20))
-def test_whatever_is_lost_doubled_or_reordered_all_hold_the_same_in_the_end(gone_most: int, first: int) -> None:
+def test_whatever_is_lost_doubled_or_reordered_all_hold_the_same_in_the_end(
+    gone_most: int, first: int
+) -> None:
     for seed in range(first, first + 20):
         one_history(seed, gone_most)
 
@@ -116,11 +122,14 @@
 READINGS = st.lists(
     st.builds(
         lambda o, a, life, level, seq: read(o, a, life, level, version=(1, seq)),
-        st.integers(0, 3), st.sampled_from([0.0, 1.0, 20.0]),
-        st.integers(0, 2), st.integers(0, 3), st.integers(1, 3),
+        st.integers(0, 3),
+        st.sampled_from([0.0, 1.0, 20.0]),
+        st.integers(0, 2),
+        st.integers(0, 3),
+        st.integers(1, 3),
     ),
     max_size=5,
-)  # fmt: skip
+)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -128,7 +137,12 @@
 def test_the_rule_for_copies_that_differ_looks_at_what_they_are_alone(rows: list[Reading], draw: Any) -> None:
     mixed = [*rows, *draw.sample(rows, len(rows) // 2)]
     draw.shuffle(mixed)
-    rules = [lambda r: settle.figure(r, 0), lambda r: settle.server(r, {0, 1, 2}), settle.table, settle.differing]
+    rules = [
+        lambda r: settle.figure(r, 0),
+        lambda r: settle.server(r, {0, 1, 2}),
+        settle.table,
+        settle.differing,
+    ]
     for rule in rules:
         assert rule(mixed) == rule(rows)
 
@@ -242,7 +256,10 @@
     def __init__(self, count: int, rows: int, rate: float) -> None:
         self.nodes = [Replica(k, 1, count, k) for k in range(count)]
         for k, node in enumerate(self.nodes[1:], 1):
-            for number in [*range(rows), *range(rows)]:  # each changed once: its first state is nobody's any more
+            for number in [
+                *range(rows),
+                *range(rows),
+            ]:  # each changed once: its first state is nobody's any more
                 node.put(0.0, "a", number, (float(k),))
         for node in self.nodes[1:]:
             for other in self.nodes[1:]:
@@ -292,7 +309,9 @@
             self.due[a, b] = self.now + max(0.01, wait)
 
 
-@pytest.mark.parametrize("mute", [set(), {(2, 0)}, {(1, 0), (2, 0)}], ids=["all speak", "one mute", "two mute"])
+@pytest.mark.parametrize(
+    "mute", [set(), {(2, 0)}, {(1, 0), (2, 0)}], ids=["all speak", "one mute", "two mute"]
+)
 def test_a_joiner_is_sent_each_row_about_once_and_at_the_pace(mute: set[tuple[int, int]]) -> None:
     net = Net(4, 3000, 4000.0)
     net.asking[0].heard(1, net.nodes[1].digest())  # it has met one of them; the rest comes with their beats
@@ -301,7 +320,9 @@
     assert 0 < sum(net.sent.values()) <= 3 * (4000 * 0.5 + BURST_ROWS)
     net.run(9.0)
     assert net.nodes[0].count() == 9000
-    twice = 2 if mute else 1.35  # what comes until the others have told, and where somebody was relied on in vain
+    twice = (
+        2 if mute else 1.35
+    )  # what comes until the others have told, and where somebody was relied on in vain
     assert sum(net.sent.values()) <= twice * 9000 + len(mute) * 9000 and net.most <= core.PIECE_ROWS
 
 
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -159,7 +159,9 @@
             world.heat = {n: 10.0 if world.main(n) == {1} else 0.5 for n in world.heat}
         world.tell(api.ServerList("delta", sid, (server(sid, api.DRAINING),)))
         world.run(0.5)
-    assert sum(world.main(n) == {1} for n in world.tables if world.heat[n] > 1) <= 1  # of four, too hot for it
+    assert (
+        sum(world.main(n) == {1} for n in world.tables if world.heat[n] > 1) <= 1
+    )  # of four, too hot for it
 
 
 @pytest.mark.parametrize("left", [0, 4])
@@ -185,7 +187,9 @@
     fresh.handle(START, [api.SecondHand(-1, capacity=7.0), api.SecondHand(1, level=0)])
     assert fresh.findings() == (7.0, {1: 0})
     fresh.handle(START, [api.SecondHand(-1, capacity=9.0)])
-    assert fresh.findings()[0] == 7.0  # one copy is as good as the other, and none takes the place of what stands
+    assert (
+        fresh.findings()[0] == 7.0
+    )  # one copy is as good as the other, and none takes the place of what stands
     world = World(instances=3)
     world.run(20)
     own = world.director.findings()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -204,9 +204,12 @@
     @contextlib.contextmanager
     def running(self, **more: str) -> Iterator[Any]:
         section = {
-            "listen": f"127.0.0.1:{self.port}", "file": str(self.file), "backups": str(self.tmp),
-            "log": str(self.tmp / "store.log"), **more,
-        }  # fmt: skip
+            "listen": f"127.0.0.1:{self.port}",
+            "file": str(self.file),
+            "backups": str(self.tmp),
+            "log": str(self.tmp / "store.log"),
+            **more,
+        }
         with process(self.tmp, "store", section) as found:
             yield found
 
@@ -233,7 +236,8 @@
 
 def write(line: Line, given: dict[int, m.Charge], batch: int) -> None:
     lines = [
-        m.Line(n, batch % 50, 1.0, c.token, f"127.0.0.1:{9000 + batch % 1000}") for n, c in sorted(given.items())
+        m.Line(n, batch % 50, 1.0, c.token, f"127.0.0.1:{9000 + batch % 1000}")
+        for n, c in sorted(given.items())
     ]
     line.send(m.Write(batch, lines))
 
@@ -261,7 +265,9 @@
             found, _ = setting.read()
         for number in given:
             assert kept <= found[number].batch <= batch
-            wanted = {b % 50: f"127.0.0.1:{9000 + b % 1000}" for b in range(first + 1, found[number].batch + 1)}
+            wanted = {
+                b % 50: f"127.0.0.1:{9000 + b % 1000}" for b in range(first + 1, found[number].batch + 1)
+            }
             held = {h.server: h.address for h in found[number].lines}
             assert wanted.items() <= held.items()
 
@@ -377,8 +383,15 @@
     for n in (0, 1):
         book.write(0, [m.Line(n, 4, 1.0, book.slices[n].token, "127.0.0.1:1")], 3)
         tables.charge(told(n))
-    tables.order(0, m.Order(5, 0.0, 1.0, [m.Line(0, 5, 1.0, book.slices[0].token, "a:2"),
-                                          m.Line(0, 4, 0.0, book.slices[0].token)]))  # fmt: skip
+    tables.order(
+        0,
+        m.Order(
+            5,
+            0.0,
+            1.0,
+            [m.Line(0, 5, 1.0, book.slices[0].token, "a:2"), m.Line(0, 4, 0.0, book.slices[0].token)],
+        ),
+    )
     book.left(1.0, 0)
     book.joined(1.5, 0, life=7)  # the same life: its tenure goes on
     tables.charge(told(0))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -153,9 +153,11 @@
     me = party("assigner", 0, "t")
     tls = {"ca": str(keys / "ca.pem"), "cert": str(keys / f"{me}.pem"), "key": str(keys / f"{me}.key")}
     section = {
-        "id": "0", "listen": f"127.0.0.1:{PORTS.take()}", "store": f"127.0.0.1:{listener.getsockname()[1]}",
+        "id": "0",
+        "listen": f"127.0.0.1:{PORTS.take()}",
+        "store": f"127.0.0.1:{listener.getsockname()[1]}",
         "list": f"127.0.0.1:{PORTS.take()}",
-    }  # fmt: skip
+    }
     with process(tmp_path, "assigner", section, tls=tls):
         sock = context.wrap_socket(listener.accept()[0], server_side=True)
         sock.settimeout(5)
@@ -213,9 +215,14 @@
     key = {slice_of(text, 2): text for text in (b"a", b"b", b"c", b"d", b"e")}
     port, nobody = PORTS.take(), PORTS.take()
     section = {
-        "id": "3", "listen": f"127.0.0.1:{PORTS.take()}", "http": f"127.0.0.1:{port}", "connect_s": "2",
-        "assigners": f"127.0.0.1:{nobody}", "store": f"127.0.0.1:{nobody}", "state": str(tmp_path / "tables.json"),
-    }  # fmt: skip
+        "id": "3",
+        "listen": f"127.0.0.1:{PORTS.take()}",
+        "http": f"127.0.0.1:{port}",
+        "connect_s": "2",
+        "assigners": f"127.0.0.1:{nobody}",
+        "store": f"127.0.0.1:{nobody}",
+        "state": str(tmp_path / "tables.json"),
+    }
     name = str(keys / party("proxy", 3, "t"))
     tls = {"ca": str(keys / "ca.pem"), "cert": f"{name}.pem", "key": f"{name}.key"}
 
