--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -21,8 +21,8 @@
 from puffintide.assigner.channel import Channel
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
-from puffintide.wire import messages as m
-from puffintide.wire.codec import decode, encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
 
 SIZES = ((100, 50), (500, 155), (1000, 300), (2000, 600), (4000, 600), (2000, 1500), (8000, 1500))
 SLICES_A_SERVER = 6
--- a/benchmarks/day_figures.py
+++ b/benchmarks/day_figures.py
@@ -13,8 +13,8 @@
 
 from puffintide.audit.records import Record, peers, read
 from puffintide.config.loader import load
-from puffintide.days.verdict import judge, quantile
-from puffintide.wire import messages as m
+from puffintide.protocol import messages as m
+from puffintide.scenarios.verdict import judge, quantile
 
 
 def applied(records: list[Record], pace: float, delay_s: float) -> tuple[list[float], list[float]]:
--- a/benchmarks/fuzz_fronts.py
+++ b/benchmarks/fuzz_fronts.py
@@ -25,9 +25,9 @@
 import click
 
 from benchmarks.proxy_cost import http_server, proxy_file
-from puffintide.days.place import Ports
-from puffintide.wire import messages as m
-from puffintide.wire.codec import encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import encode
+from puffintide.scenarios.place import Ports
 
 HELLO = encode(m.Hello(m.VERSION, "client", 1)) + b"\n"
 SEEDS_HTTP = (
--- a/benchmarks/proxy_churn.py
+++ b/benchmarks/proxy_churn.py
@@ -25,9 +25,9 @@
 import click
 
 from benchmarks.proxy_cost import WEIGHTS, WINDOW, _counts, _drive, _spawn
-from puffintide.days.place import Ports
-from puffintide.wire import messages as m
-from puffintide.wire.codec import decode, encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
+from puffintide.scenarios.place import Ports
 
 
 class Steering:
--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -28,11 +28,11 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from puffintide.days.place import Ports
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import encode
 from puffintide.proxy.state import save_state
 from puffintide.proxy.tables import Saved
-from puffintide.wire import messages as m
-from puffintide.wire.codec import encode
+from puffintide.scenarios.place import Ports
 
 WEIGHTS = (1.0, 2.0, 3.0, 4.0)
 SLICES = 16
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from puffintide.audit.records import read
-from puffintide.days.verdict import served
+from puffintide.protocol import messages as m
 from puffintide.replication.replica import Replica
-from puffintide.wire import messages as m
+from puffintide.scenarios.verdict import served
 from tests.deployment import START, Deployment
 
 LOAD = 95  # a second; the stand-ins can do some 125
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -24,8 +24,8 @@
 
 import click
 
-from puffintide.days.place import Ports, at
-from puffintide.wire import messages as m
+from puffintide.protocol import messages as m
+from puffintide.scenarios.place import Ports, at
 
 GROUPS, SLICES = (3, 6, 12), (500, 10_000, 100_000)
 TIMER_S = 0.005
@@ -38,11 +38,11 @@
     """One assigner's streams. It holds each slice from `first` on whose turn is its own; -1 none."""
     from puffintide.assigner.ordered import Ordered
     from puffintide.config.schema import PeersSection
+    from puffintide.protocol.clock import monotonic_reactor
+    from puffintide.protocol.stream import Acceptor, Dialler, Stream
     from puffintide.replication.findings import Findings, Heard
     from puffintide.replication.peers import Peers
     from puffintide.replication.tables import newest
-    from puffintide.wire.clock import monotonic_reactor
-    from puffintide.wire.stream import Acceptor, Dialler, Stream
 
     reactor: Any = monotonic_reactor()
     size, late = 0, 0.0
@@ -54,7 +54,7 @@
             size += len(data)
             super().dataReceived(data)  # type: ignore[no-untyped-call]
 
-    sys.modules["puffintide.wire.stream"].Stream = Counted  # type: ignore[attr-defined]
+    sys.modules["puffintide.protocol.stream"].Stream = Counted  # type: ignore[attr-defined]
 
     def say(what: str, **more: Any) -> None:
         used = os.times()
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -16,10 +16,10 @@
 
 import click
 
+from puffintide.emulators.model import Make, ServerModel
+from puffintide.protocol import messages as m
 from puffintide.proxy.engine import Cancel, Close, Connect, Effect, Engine, Finish, Limits, Send
 from puffintide.proxy.tries import Kind
-from puffintide.standins.model import Make, ServerModel
-from puffintide.wire import messages as m
 
 SERVERS, SLICES, WORK_S, LENGTH_S = 10, 40, 0.1, 30.0
 KINDS = (Kind("repeatable", "all", 0, 0.5), Kind("once", "all", 0, 0.5))
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -21,10 +21,10 @@
 import lmdb
 import msgspec
 
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import encode
 from puffintide.store.engine import Change, SliceState
 from puffintide.store.sqlite import SqliteEngine
-from puffintide.wire import messages as m
-from puffintide.wire.codec import encode
 
 SIZES = ((500, 77), (10_000, 300), (100_000, 1000))
 
--- a/benchmarks/store_readers.py
+++ b/benchmarks/store_readers.py
@@ -20,11 +20,11 @@
 
 from benchmarks.store_cost import state
 from benchmarks.takeover import start
-from puffintide.days.place import Ports
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import LINE_MOST, decode, encode
+from puffintide.scenarios.place import Ports
 from puffintide.store.engine import Change
 from puffintide.store.sqlite import SqliteEngine
-from puffintide.wire import messages as m
-from puffintide.wire.codec import LINE_MOST, decode, encode
 
 
 async def reader(
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -23,9 +23,9 @@
 
 import click
 
-from puffintide.days.place import Ports
-from puffintide.wire import messages as m
-from puffintide.wire.codec import decode, encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
+from puffintide.scenarios.place import Ports
 
 LONGEST_S = 30.0
 
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -3,11 +3,12 @@
     python -m benchmarks.zone_days [SCENE ...] [--base days/bad-day.ini] [--seeds 3] [--jobs 3] [--out DIR]
         [--table FILE] [--plot FILE]
 
-Scenes are those of puffintide/days/scenes.py, all of them by default. Each is played with the same seeds in three
-ways. "alike" is the plainest of directors: every slice on the ready servers in turn by its number, at once whenever
-the list changes. A row tells medians over the seeds: worth served, the worst 10 s, how long after the first loss
-the service was back to 95% of what it was before, and after the last return; slices moved (orders that put one on a
-server), servers that fell, and whether the rules were kept. All figures are of stand-ins.
+Scenes are those of puffintide/scenarios/scenes.py, all of them by default. Each is played with the same seeds
+in three ways. "alike" is the plainest of directors: every slice on the ready servers in turn by its number,
+at once whenever the list changes. A row tells medians over the seeds: worth served, the worst 10 s, how long
+after the first loss the service was back to 95% of what it was before, and after the last return; slices
+moved (orders that put one on a server), servers that fell, and whether the rules were kept. All figures are
+of stand-ins.
 """
 
 from __future__ import annotations
@@ -28,10 +29,10 @@
 from puffintide import interface as api
 from puffintide.audit.records import rows
 from puffintide.config.loader import load
-from puffintide.days.faults import plan
-from puffintide.days.runner import DayError, Player
-from puffintide.days.scenes import SCENES, script
-from puffintide.days.verdict import judge
+from puffintide.scenarios.faults import plan
+from puffintide.scenarios.runner import DayError, Player
+from puffintide.scenarios.scenes import SCENES, script
+from puffintide.scenarios.verdict import judge
 
 WAYS = ("plan", "module", "alike")
 STEP_S = 2.0
--- a/benchmarks/zone_loads.py
+++ b/benchmarks/zone_loads.py
@@ -16,7 +16,7 @@
 
 from puffintide.audit.records import read, rows
 from puffintide.config.loader import load
-from puffintide.wire.messages import Try
+from puffintide.protocol.messages import Try
 
 SPAN_S = 3
 
--- a/puffintide/assigner/cache.py
+++ b/puffintide/assigner/cache.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from puffintide.files import swap
-from puffintide.wire.messages import News
+from puffintide.protocol.messages import News
 
 
 class CacheError(Exception):
--- a/puffintide/assigner/channel.py
+++ b/puffintide/assigner/channel.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from puffintide.wire.messages import Order
+from puffintide.protocol.messages import Order
 
 
 @dataclass(slots=True)
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from puffintide import interface as api
-from puffintide.wire.messages import Line, Order
+from puffintide.protocol.messages import Line, Order
 
 FIRST_MARK = 1 << 20  # the module's own are below 2^16
 PATIENCE = 0.8  # of the time that a slice may be without a server, for writes in hand to end
--- a/puffintide/assigner/listed.py
+++ b/puffintide/assigner/listed.py
@@ -9,7 +9,7 @@
 
 from puffintide import interface as api
 from puffintide.assigner.cache import CacheError, load_list, save_list
-from puffintide.wire import messages as m
+from puffintide.protocol import messages as m
 
 SAVE_S = 0.2  # news of so long is written at once
 
--- a/puffintide/assigner/ordered.py
+++ b/puffintide/assigner/ordered.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from puffintide.wire.messages import Charge, Held, Line
+from puffintide.protocol.messages import Charge, Held, Line
 
 
 class Ordered:
--- a/puffintide/assigner/orders.py
+++ b/puffintide/assigner/orders.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from puffintide.assigner.channel import Channel
-from puffintide.wire import messages as m
-from puffintide.wire.stream import Stream
+from puffintide.protocol import messages as m
+from puffintide.protocol.stream import Stream
 
 MARK_S = 120.0  # for so long a mark that has not come back is remembered
 
--- a/puffintide/assigner/prober.py
+++ b/puffintide/assigner/prober.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
+from puffintide.protocol import messages as m
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.stream import Dialler, Stream
 from puffintide.tls.context import Contexts
-from puffintide.wire import messages as m
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.stream import Dialler, Stream
 
 
 class Prober:
--- a/puffintide/assigner/reports.py
+++ b/puffintide/assigner/reports.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from puffintide import interface as api
-from puffintide.wire.messages import Sums
+from puffintide.protocol.messages import Sums
 
 
 @dataclass(slots=True)
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -12,9 +12,9 @@
 from typing import Protocol
 
 from puffintide import interface as api
-from puffintide.policy import Director
-from puffintide.wire.checks import sound_entries
-from puffintide.wire.messages import Charge, Entry, Level, Line, News, Order
+from puffintide.decisions.director import Director
+from puffintide.protocol.checks import sound_entries
+from puffintide.protocol.messages import Charge, Entry, Level, Line, News, Order
 
 FEW = 64  # servers no longer listed that may be remembered, beside as many as are
 EARLY_MOST = 1_000_000  # events kept before the first list
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -20,16 +20,16 @@
 from puffintide.assigner.runtime import Effects, Runtime
 from puffintide.assigner.stored import Stored
 from puffintide.config.loader import Config, settings
-from puffintide.policy import Director
+from puffintide.decisions.director import Director
+from puffintide.protocol import messages as m
+from puffintide.protocol.checks import NEWS_KINDS, wrong_sums
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.session import Greeting
+from puffintide.protocol.stream import Acceptor, Dialler, Handler, Stream
 from puffintide.replication.findings import Findings, Heard
 from puffintide.replication.peers import Peers
 from puffintide.replication.tables import newest
 from puffintide.tls.context import Contexts
-from puffintide.wire import messages as m
-from puffintide.wire.checks import NEWS_KINDS, wrong_sums
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.session import Greeting
-from puffintide.wire.stream import Acceptor, Dialler, Handler, Stream
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import ZoneLimits
 
--- a/puffintide/assigner/stored.py
+++ b/puffintide/assigner/stored.py
@@ -11,10 +11,10 @@
 from puffintide.assigner.ordered import Ordered
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
-from puffintide.wire import messages as m
-from puffintide.wire.checks import wrong_lines
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.stream import Stream
+from puffintide.protocol import messages as m
+from puffintide.protocol.checks import wrong_lines
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.stream import Stream
 
 ANSWER_S = 0.01  # between pieces to a store that lost all
 Pieces = Callable[[set[int] | None], Iterator[m.Copies]]
--- a/puffintide/audit/copies.py
+++ b/puffintide/audit/copies.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable, Mapping
 
 from puffintide.audit.records import Peer, Record
+from puffintide.protocol import messages as m
 from puffintide.replication import settle
 from puffintide.replication.replica import Replica
 from puffintide.replication.tables import KIND
-from puffintide.wire import messages as m
 
 AGREE_S = 5.0  # what was first told later than this before the end may still be on its way
 
--- a/puffintide/audit/records.py
+++ b/puffintide/audit/records.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from puffintide.wire.codec import WireError, decode
-from puffintide.wire.messages import AnyMessage, Hello
+from puffintide.protocol.codec import WireError, decode
+from puffintide.protocol.messages import AnyMessage, Hello
 
 
 class RecordError(Exception):
--- a/puffintide/audit/rules.py
+++ b/puffintide/audit/rules.py
@@ -14,9 +14,9 @@
 from puffintide.audit.copies import disagreements
 from puffintide.audit.records import Peer, Record, peers
 from puffintide.config.loader import Config
+from puffintide.protocol import messages as m
+from puffintide.protocol.checks import NEWS_KINDS, sound_entries
 from puffintide.proxy.tables import Tables
-from puffintide.wire import messages as m
-from puffintide.wire.checks import NEWS_KINDS, sound_entries
 
 RULES = (
     "nobody left",
--- a/puffintide/drill/__main__.py
+++ b/puffintide/bench_adapter/__main__.py
@@ -7,10 +7,10 @@
 import traceback
 from typing import BinaryIO
 
-from puffintide.drill.codec import Decoder, Exit, Hello, WireError, encode_action, encode_fault, frame
+from puffintide.bench_adapter.codec import Decoder, Exit, Hello, WireError, encode_action, encode_fault, frame
+from puffintide.decisions.director import Director
+from puffintide.decisions.settings import SettingsError, parse_settings
 from puffintide.interface import Event
-from puffintide.policy import Director
-from puffintide.settings import SettingsError, parse_settings
 
 CLOCK = 8  # bytes of the clock that opens every batch
 
--- a/puffintide/cli/hand.py
+++ b/puffintide/cli/hand.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from puffintide.config.loader import Config
+from puffintide.protocol import messages as m
+from puffintide.protocol.clock import monotonic_reactor
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.stream import Dialler, Stream
 from puffintide.replication.replica import Replica
 from puffintide.tls.context import Contexts
-from puffintide.wire import messages as m
-from puffintide.wire.clock import monotonic_reactor
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.stream import Dialler, Stream
 
 LONGEST_S = 5.0
 
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -81,7 +81,7 @@
 @OPERATOR
 def store_backup(name: str, path: str) -> None:
     """Has a running store write a backup NAME into its folder for them."""
-    from puffintide.wire.messages import Backup
+    from puffintide.protocol.messages import Backup
 
     click.echo(_order(path, Backup(name)))
 
@@ -168,7 +168,7 @@
 @OPERATOR
 def store_refill(path: str) -> None:
     """Has an empty store with `refill = yes` go on with the tables of the assigners that have answered."""
-    from puffintide.wire.messages import Refill
+    from puffintide.protocol.messages import Refill
 
     _order(path, Refill("operator"))
     click.echo("refilled; see its log for how many tables, from whom")
@@ -252,7 +252,7 @@
 @OPERATOR
 def charge_move(slices: str, assigner: int, path: str) -> None:
     """Gives SLICES, such as 3,7 or 10-19, a home at ASSIGNER; -1 takes that back. They go there by and by."""
-    from puffintide.wire.messages import Move
+    from puffintide.protocol.messages import Move
 
     numbers: list[int] = []
     for word in slices.split(","):
@@ -363,7 +363,7 @@
     """How each assigner judges each zone. Exit 1 if one does not answer."""
     from puffintide.cli.hand import show
     from puffintide.cli.processes import tls_of
-    from puffintide.wire.messages import Zones
+    from puffintide.protocol.messages import Zones
 
     config = _load(path, "operator")
     names = config.deployment.zones
@@ -470,7 +470,7 @@
 @click.argument("file")
 def day_check(file: str) -> None:
     """Checks a day's script without running it."""
-    from puffintide.days.faults import plan
+    from puffintide.scenarios.faults import plan
 
     config = _load(file, "day", "fleet", "load")
     steps = plan(config, config.day.seed if config.day else 0)
@@ -488,7 +488,7 @@
     """Turns a day drawn by the users' bench into a script."""
     import json
 
-    from puffintide.days.importer import ImportFailure, turn
+    from puffintide.scenarios.importer import ImportFailure, turn
 
     try:
         text = turn(json.loads(Path(source).read_text(encoding="utf-8")), scale, length)
@@ -506,8 +506,8 @@
 @click.option("--quiet", is_flag=True, help="No progress bar.")
 def day_run(file: str, out: str, seed: int | None, quiet: bool) -> None:
     """Plays a day, audits it and prints the verdict. Exit: 0 kept, 1 a rule broke, 2 bad input, 3 can't tell."""
-    from puffintide.days.place import PortError
-    from puffintide.days.runner import DayError, Player
+    from puffintide.scenarios.place import PortError
+    from puffintide.scenarios.runner import DayError, Player
 
     config = _load(file, "day", "fleet", "load")
     text = Path(file).read_text(encoding="utf-8")
@@ -559,7 +559,7 @@
 def day_kinds(file: str, out: str, seed: int, jobs: int, only: tuple[str, ...], table: str) -> None:
     """Plays every kind of trouble alone over a day's fleet and load; one row each."""
     from puffintide.audit.rules import RULES
-    from puffintide.days.kinds import KINDS, play_all
+    from puffintide.scenarios.kinds import KINDS, play_all
 
     _load(file, "day", "fleet", "load")
     names = list(only) or list(KINDS)
@@ -607,7 +607,7 @@
 def _verdict(folder: Path) -> int:
     from puffintide.audit.records import RecordError
     from puffintide.audit.rules import RULES
-    from puffintide.days.verdict import judge, quantile
+    from puffintide.scenarios.verdict import judge, quantile
 
     try:
         verdict = judge(folder)
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -22,8 +22,8 @@
 
 from puffintide.config.loader import Config, load
 from puffintide.logs import setup
+from puffintide.protocol.clock import monotonic_reactor
 from puffintide.tls.context import Contexts, TlsError
-from puffintide.wire.clock import monotonic_reactor
 
 
 def tls_of(config: Config) -> Contexts | None:
@@ -237,13 +237,13 @@
 
 
 def _day(out: Path) -> tuple[Config, Any]:
-    from puffintide.days.place import Place
+    from puffintide.scenarios.place import Place
 
     return load(str(out / "day.ini"), ("day", "fleet", "load")), Place.read(out / "place.json")
 
 
 def run_fleet(out: Path) -> None:
-    from puffintide.standins.fleet import FleetService
+    from puffintide.emulators.fleet import FleetService
 
     reactor = monotonic_reactor()
     config, place = _day(out)
@@ -257,7 +257,7 @@
 
 
 def run_tap(out: Path) -> None:
-    from puffintide.days.tap import Bend, Tap
+    from puffintide.scenarios.tap import Bend, Tap
 
     reactor = monotonic_reactor()
     config, place = _day(out)
@@ -309,7 +309,7 @@
 
 
 def run_clients(out: Path) -> None:
-    from puffintide.standins.clients import Clients
+    from puffintide.emulators.clients import Clients
 
     reactor = monotonic_reactor()
     config, place = _day(out)
--- a/puffintide/standins/clients.py
+++ b/puffintide/emulators/clients.py
@@ -10,9 +10,9 @@
 import numpy as np
 
 from puffintide.config.loader import Config
-from puffintide.wire import messages as m
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.stream import Dialler, Stream
+from puffintide.protocol import messages as m
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.stream import Dialler, Stream
 
 
 @dataclass(slots=True)
--- a/puffintide/standins/fleet.py
+++ b/puffintide/emulators/fleet.py
@@ -8,11 +8,11 @@
 from typing import Any, TextIO, TypeVar
 
 from puffintide.config.loader import Config
-from puffintide.standins.model import Make, ServerModel
-from puffintide.wire import messages as m
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.session import Greeting
-from puffintide.wire.stream import Acceptor, Stream
+from puffintide.emulators.model import Make, ServerModel
+from puffintide.protocol import messages as m
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.session import Greeting
+from puffintide.protocol.stream import Acceptor, Stream
 
 GONE, READY, DRAINING = 0, 1, 2
 T = TypeVar("T")
--- a/puffintide/node/__main__.py
+++ b/puffintide/platform/__main__.py
@@ -1,4 +1,4 @@
-"""python -m puffintide.node: one real assigner of the platform, in the foreground."""
+"""python -m puffintide.platform: one real assigner of the platform, in the foreground."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
     # No TLS here: what Twisted would load for it is a fourth of the least memory.
     sys.modules["OpenSSL"] = None  # type: ignore[assignment]
-    from puffintide.node.config import ConfigError, address, load
-    from puffintide.node.log import Log
+    from puffintide.platform.config import ConfigError, address, load
+    from puffintide.platform.log import Log
 
     path = os.environ.get("GW_CONFIG", "")
     try:
@@ -35,8 +35,8 @@
 
     from twisted.internet.error import CannotListenError
 
-    from puffintide.node.service import Service
-    from puffintide.wire.clock import monotonic_reactor
+    from puffintide.platform.service import Service
+    from puffintide.protocol.clock import monotonic_reactor
 
     _log_failures(log)
     reactor = monotonic_reactor()
@@ -59,7 +59,7 @@
     """What fails inside a handler ends its connection, by Twisted; here it is told, with its place."""
     from twisted.logger import globalLogBeginner
 
-    from puffintide.node.service import place
+    from puffintide.platform.service import place
 
     def observe(event: Any) -> None:
         failure = event.get("log_failure")
--- a/puffintide/node/calls.py
+++ b/puffintide/platform/calls.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from puffintide.node.config import Address
-from puffintide.node.relay import Outbox, Tables, Verdict
-from puffintide.node.request import Outcome, Request
-from puffintide.node.snapshot import SnapshotRead
+from puffintide.platform.config import Address
+from puffintide.platform.relay import Outbox, Tables, Verdict
+from puffintide.platform.request import Outcome, Request
+from puffintide.platform.snapshot import SnapshotRead
 
 TARGET = "/api/txn"
 CONNECT_S = 0.5
--- a/puffintide/node/lifecycle.py
+++ b/puffintide/platform/lifecycle.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 
 from puffintide.interface import Settings
-from puffintide.node.config import Config
+from puffintide.platform.config import Config
 
 KEPT = ("name", "listen", "sockets", "memory_mb")
 
--- a/puffintide/node/listing.py
+++ b/puffintide/platform/listing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from puffintide.node.messages import Members
+from puffintide.platform.messages import Members
 
 # Whatever discovery has to tell counts as told so long after at the latest: an agent that is behind for longer is
 # not late, its discovery counts anew.
--- a/puffintide/node/messages.py
+++ b/puffintide/platform/messages.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from puffintide import interface as api
-from puffintide.node.names import Hosts, Names
-from puffintide.wire.checks import COUNT_MOST, SPAN_MOST
-from puffintide.wire.messages import Entry
+from puffintide.platform.names import Hosts, Names
+from puffintide.protocol.checks import COUNT_MOST, SPAN_MOST
+from puffintide.protocol.messages import Entry
 
 MS = 1000.0
 
--- a/puffintide/node/news.py
+++ b/puffintide/platform/news.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from puffintide.node import messages as m
-from puffintide.node.config import Address
-from puffintide.node.http import Unreadable
-from puffintide.node.standing import Changes, Standing
-from puffintide.node.watch import Watch
+from puffintide.platform import messages as m
+from puffintide.platform.config import Address
+from puffintide.platform.http import Unreadable
+from puffintide.platform.standing import Changes, Standing
+from puffintide.platform.watch import Watch
 
 SETTLE_S = 0.15  # after so long without a line, what has come of what stands at the relay is passed on
 GIVEN_S = 0.03  # and the lines of a slice just given
--- a/puffintide/node/probe.py
+++ b/puffintide/platform/probe.py
@@ -8,9 +8,9 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.node.config import Address
-from puffintide.node.http import Exchange, Unreadable
-from puffintide.node.names import (
+from puffintide.platform.config import Address
+from puffintide.platform.http import Exchange, Unreadable
+from puffintide.platform.names import (
     ANSWERED,
     BROKEN_OFF,
     ERROR,
--- a/puffintide/node/relay.py
+++ b/puffintide/platform/relay.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from puffintide import interface as api
-from puffintide.node.names import Names
+from puffintide.platform.names import Names
 
 BYTES_MOST = 60_000
 WRAP = len('{"orders":[]}')
--- a/puffintide/node/request.py
+++ b/puffintide/platform/request.py
@@ -10,8 +10,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.node.config import Address
-from puffintide.node.http import Exchange, Unreadable
+from puffintide.platform.config import Address
+from puffintide.platform.http import Exchange, Unreadable
 
 GRACE_S = (
     0.01  # before a wait ends, what has come in meanwhile is read: this process may have been late itself
--- a/puffintide/node/service.py
+++ b/puffintide/platform/service.py
@@ -11,22 +11,22 @@
 
 from puffintide import interface as api
 from puffintide.assigner.runtime import Effects, Runtime
-from puffintide.node import messages as m
-from puffintide.node import relay
-from puffintide.node.calls import Caller
-from puffintide.node.config import Config, ConfigError, address, load
-from puffintide.node.http import Unreadable
-from puffintide.node.lifecycle import Lifecycle, reloaded
-from puffintide.node.listener import Listener
-from puffintide.node.listing import BEHIND_S, Listing
-from puffintide.node.names import Hosts
-from puffintide.node.news import NewsFeed
-from puffintide.node.probe import Prober
-from puffintide.node.standing import Changes, read_anew, table_anew
-from puffintide.node.watch import Watch
-from puffintide.policy import Director
-from puffintide.wire.messages import Charge, Held
-from puffintide.wire.messages import News as ListNews
+from puffintide.decisions.director import Director
+from puffintide.platform import messages as m
+from puffintide.platform import relay
+from puffintide.platform.calls import Caller
+from puffintide.platform.config import Config, ConfigError, address, load
+from puffintide.platform.http import Unreadable
+from puffintide.platform.lifecycle import Lifecycle, reloaded
+from puffintide.platform.listener import Listener
+from puffintide.platform.listing import BEHIND_S, Listing
+from puffintide.platform.names import Hosts
+from puffintide.platform.news import NewsFeed
+from puffintide.platform.probe import Prober
+from puffintide.platform.standing import Changes, read_anew, table_anew
+from puffintide.platform.watch import Watch
+from puffintide.protocol.messages import Charge, Held
+from puffintide.protocol.messages import News as ListNews
 
 EPOCH_S = 1e6  # added to the monotonic clock: times before the machine started are still above 0
 TICK_S = 0.004  # what comes in within so long is one batch
--- a/puffintide/node/snapshot.py
+++ b/puffintide/platform/snapshot.py
@@ -8,12 +8,12 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.node import messages as m
-from puffintide.node.config import Address
-from puffintide.node.http import Exchange, Unreadable
-from puffintide.node.lines import Lines, TooLong
-from puffintide.node.standing import Standing, Tables
-from puffintide.node.watch import LINE_MOST
+from puffintide.platform import messages as m
+from puffintide.platform.config import Address
+from puffintide.platform.http import Exchange, Unreadable
+from puffintide.platform.lines import Lines, TooLong
+from puffintide.platform.standing import Standing, Tables
+from puffintide.platform.watch import LINE_MOST
 
 CONNECT_S = 0.5
 QUIET_S = 0.06  # after so long without a line what stands has most likely been told
--- a/puffintide/node/standing.py
+++ b/puffintide/platform/standing.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from puffintide.node import messages as m
+from puffintide.platform import messages as m
 
 Tables = dict[int, dict[str, float]]  # by slice: shares by host
 
--- a/puffintide/wire/checks.py
+++ b/puffintide/protocol/checks.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from puffintide.wire.messages import Entry, Held, Line, Order, Sums
+from puffintide.protocol.messages import Entry, Held, Line, Order, Sums
 
 WEIGHT_MOST = 1e6
 COUNT_MOST = 1e9  # of anything counted between two reports
--- a/puffintide/wire/codec.py
+++ b/puffintide/protocol/codec.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from puffintide.wire.messages import AnyMessage, Message
+from puffintide.protocol.messages import AnyMessage, Message
 
 LINE_MOST = (
     4 << 20
--- a/puffintide/wire/session.py
+++ b/puffintide/protocol/session.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from puffintide.wire.codec import WireError, decode
-from puffintide.wire.messages import VERSION, AnyMessage, Hello, Message, Ping, Pong, Refuse, Welcome
+from puffintide.protocol.codec import WireError, decode
+from puffintide.protocol.messages import VERSION, AnyMessage, Hello, Message, Ping, Pong, Refuse, Welcome
 
 Greeting = Hello | Welcome
 Judge = Callable[[Greeting], str | None]  # the reason for which a peer is refused, if any
--- a/puffintide/wire/stream.py
+++ b/puffintide/protocol/stream.py
@@ -10,11 +10,11 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
+from puffintide.protocol.codec import LINE_MOST, WireError, encode
+from puffintide.protocol.messages import AnyMessage, Hello, Message, Refuse, Welcome
+from puffintide.protocol.session import Greeting, Judge, Session, any_peer
 from puffintide.tls.context import Contexts, names
 from puffintide.tls.keys import party
-from puffintide.wire.codec import LINE_MOST, WireError, encode
-from puffintide.wire.messages import AnyMessage, Hello, Message, Refuse, Welcome
-from puffintide.wire.session import Greeting, Judge, Session, any_peer
 
 PING_S, DEAD_S = 0.5, 2.0  # a half-open stream is noticed within the second
 Handler = Callable[["Stream", AnyMessage], None]
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass, field
 
+from puffintide.protocol.messages import ERROR, FULL, OK, RESET, TIMEOUT, UNREACHABLE, Charge, Order, Sums
 from puffintide.proxy.admit import Gate
 from puffintide.proxy.sums import Counter
 from puffintide.proxy.tables import FEW, Tables
 from puffintide.proxy.tries import TRIES, Kind, Past, further, patience
-from puffintide.wire.messages import ERROR, FULL, OK, RESET, TIMEOUT, UNREACHABLE, Charge, Order, Sums
 
 Ref = Hashable  # the front's name of a request
 
--- a/puffintide/proxy/http.py
+++ b/puffintide/proxy/http.py
@@ -20,13 +20,13 @@
 from zope.interface import implementer
 
 from puffintide.config.schema import ClassSection, ProxyProcess
+from puffintide.protocol import messages as m
+from puffintide.protocol.stream import hang_up
 from puffintide.proxy.choice import slice_of
 from puffintide.proxy.engine import Cancel, Close, Connect, Effect, Engine, Finish, Send
 from puffintide.proxy.openings import Openings
 from puffintide.tls.context import Contexts, names
 from puffintide.tls.keys import party
-from puffintide.wire import messages as m
-from puffintide.wire.stream import hang_up
 
 HOP = {
     b"connection",
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -9,6 +9,11 @@
 
 from puffintide.config.loader import Config
 from puffintide.config.schema import ProxyProcess
+from puffintide.protocol import messages as m
+from puffintide.protocol.checks import wrong_lines, wrong_order
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.session import Greeting
+from puffintide.protocol.stream import Acceptor, Dialler, Stream, hang_up
 from puffintide.proxy.choice import slice_of
 from puffintide.proxy.engine import Cancel, Close, Connect, Effect, Engine, Finish, Limits, Send
 from puffintide.proxy.http import HttpProxy
@@ -16,11 +21,6 @@
 from puffintide.proxy.state import StateError, load_state, save_state
 from puffintide.proxy.tries import Kind
 from puffintide.tls.context import Contexts
-from puffintide.wire import messages as m
-from puffintide.wire.checks import wrong_lines, wrong_order
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.session import Greeting
-from puffintide.wire.stream import Acceptor, Dialler, Stream, hang_up
 
 SAVE_S = 1.0
 STATS_S = 10.0
--- a/puffintide/proxy/sums.py
+++ b/puffintide/proxy/sums.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from puffintide.wire.messages import ServerSum, SliceSum, Sums
+from puffintide.protocol.messages import ServerSum, SliceSum, Sums
 
 
 @dataclass(slots=True)
--- a/puffintide/proxy/tables.py
+++ b/puffintide/proxy/tables.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from puffintide.interface import ALL_TABLES
+from puffintide.protocol.messages import Charge, Held, Level, Order
 from puffintide.proxy.choice import Picker, make
-from puffintide.wire.messages import Charge, Held, Level, Order
 
 FORMAT = 1
 FEW = 64
--- a/puffintide/replication/joining.py
+++ b/puffintide/replication/joining.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
+from puffintide.protocol.messages import Copies, Version
 from puffintide.replication.replica import PIECE_ROWS, Replica
-from puffintide.wire.messages import Copies, Version
 
 BURST_ROWS = (
     2 * PIECE_ROWS
--- a/puffintide/replication/peers.py
+++ b/puffintide/replication/peers.py
@@ -11,13 +11,13 @@
 
 from puffintide.assigner.ordered import Ordered
 from puffintide.config.schema import PeersSection
+from puffintide.protocol import messages as m
+from puffintide.protocol.messages import AnyMessage, Version
+from puffintide.protocol.stream import Dialler, Handler, Stream
 from puffintide.replication.findings import Findings, Heard, Shared
 from puffintide.replication.joining import Asking, CatchUp, Outgoing, stays
 from puffintide.replication.replica import NONCE_BITS, Replica
 from puffintide.replication.tables import adopt, flush, tidy, wrong_copies
-from puffintide.wire import messages as m
-from puffintide.wire.messages import AnyMessage, Version
-from puffintide.wire.stream import Dialler, Handler, Stream
 
 TIDY_S = 10.0
 REASONS_MOST = 5  # logged of one message
--- a/puffintide/replication/replica.py
+++ b/puffintide/replication/replica.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from operator import itemgetter
 
-from puffintide.wire.messages import CopiedRow, Copies, Value, Version
+from puffintide.protocol.messages import CopiedRow, Copies, Value, Version
 
 GONE_MOST = 2000  # rows taken back that are remembered of one origin; who knows less is sent all
 PIECE_ROWS = 400  # in one message
--- a/puffintide/replication/settle.py
+++ b/puffintide/replication/settle.py
@@ -11,8 +11,8 @@
 import math
 from collections.abc import Collection, Iterable, Mapping
 
+from puffintide.protocol.messages import Value
 from puffintide.replication.replica import Reading
-from puffintide.wire.messages import Value
 
 FRESH_S = 10.0  # an observation of our own counts before others' for so long
 OUT_MOST = 0.3  # an origin that finds more of the fleet unfit than this is confused itself, and not believed
--- a/puffintide/replication/tables.py
+++ b/puffintide/replication/tables.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from puffintide.assigner.ordered import Ordered
+from puffintide.protocol.checks import wrong_lines
+from puffintide.protocol.messages import CopiedRow, Copies, Held, Value
 from puffintide.replication import settle
 from puffintide.replication.replica import PIECE_ROWS, Reading, Replica
-from puffintide.wire.checks import wrong_lines
-from puffintide.wire.messages import CopiedRow, Copies, Held, Value
 
 KIND = "table"
 ADOPT_S = 1.0
--- a/puffintide/days/kinds.py
+++ b/puffintide/scenarios/kinds.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from puffintide.config.loader import check
-from puffintide.days.runner import DayError, Player
-from puffintide.days.verdict import Verdict, judge
+from puffintide.scenarios.runner import DayError, Player
+from puffintide.scenarios.verdict import Verdict, judge
 
 # What each kind is played with. at 8 s, so that all is at rest before; long enough to hurt.
 KINDS: dict[str, dict[str, str]] = {
--- a/puffintide/days/place.py
+++ b/puffintide/scenarios/place.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from puffintide.config.loader import Config
-from puffintide.days.tap import Link
+from puffintide.scenarios.tap import Link
 
 FIRST_PORT, LAST_PORT = 20000, 32000  # below the ports that the system deals to those who dial
 
--- a/puffintide/days/runner.py
+++ b/puffintide/scenarios/runner.py
@@ -16,9 +16,9 @@
 from typing import IO, Any
 
 from puffintide.config.loader import Config
-from puffintide.days.faults import Step, plan
-from puffintide.days.place import Place, at, lay
-from puffintide.standins.fleet import dealt
+from puffintide.emulators.fleet import dealt
+from puffintide.scenarios.faults import Step, plan
+from puffintide.scenarios.place import Place, at, lay
 
 READY_S = 20.0  # for a process to listen
 FRONTS_PER_PROCESS = 40  # dispatchers in one process
--- a/puffintide/days/tap.py
+++ b/puffintide/scenarios/tap.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.wire.codec import LINE_MOST
+from puffintide.protocol.codec import LINE_MOST
 
 BUFFER_MOST = 8 << 20  # bytes under way in one direction of a connection
 
--- a/puffintide/store/book.py
+++ b/puffintide/store/book.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
+from puffintide.protocol.checks import wrong_lines
+from puffintide.protocol.messages import Charge, Held, Line
 from puffintide.store.engine import Image, SliceState
-from puffintide.wire.checks import wrong_lines
-from puffintide.wire.messages import Charge, Held, Line
 
 BURST_S = 0.25  # of the pace that may be saved up
 
--- a/puffintide/store/engine.py
+++ b/puffintide/store/engine.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from puffintide.wire.messages import Hand, Held
+from puffintide.protocol.messages import Hand, Held
 
 
 class StoreError(Exception):
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -20,10 +20,10 @@
 import msgspec
 import xxhash
 
+from puffintide.protocol.messages import Hand
 from puffintide.store.engine import Change, Image, Overtaken, SliceState, StoreError
 from puffintide.store.etcd import rpc_pb2 as pb
 from puffintide.store.etcd.rpc_pb2_grpc import KVStub, LeaseStub
-from puffintide.wire.messages import Hand
 
 ROWS_MOST = 100  # of one transaction; etcd takes 128 operations by default
 BYTES_MOST = 1 << 20  # and requests of 1.5 MiB
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -12,15 +12,15 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.python.failure import Failure
 
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import encode
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.session import Greeting
+from puffintide.protocol.stream import Acceptor, Stream
 from puffintide.replication.tables import Refill
 from puffintide.store.book import Book, Change, charge_of
 from puffintide.store.engine import Change as Kept
 from puffintide.store.engine import Engine, Image, Overtaken, StoreError
-from puffintide.wire import messages as m
-from puffintide.wire.codec import encode
-from puffintide.wire.messages import AnyMessage
-from puffintide.wire.session import Greeting
-from puffintide.wire.stream import Acceptor, Stream
 
 DUE_S = 0.1  # how often charge is looked over
 AGAIN_S = 0.5  # after a commit that failed
--- a/puffintide/store/sqlite.py
+++ b/puffintide/store/sqlite.py
@@ -16,8 +16,8 @@
 import msgspec
 import xxhash
 
+from puffintide.protocol.messages import Hand
 from puffintide.store.engine import Change, Image, SliceState, StoreError
-from puffintide.wire.messages import Hand
 
 FORMAT = 1
 TOKEN_JUMP = 1 << 32  # a restored store gives tokens above all that its older self may have given
--- a/puffintide/store/tables.py
+++ b/puffintide/store/tables.py
@@ -5,7 +5,7 @@
 import json
 from pathlib import Path
 
-from puffintide.wire.messages import Held
+from puffintide.protocol.messages import Held
 
 
 class TableError(Exception):
--- a/puffintide/zones/director.py
+++ b/puffintide/zones/director.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from puffintide import interface as api
-from puffintide.policy import Director
+from puffintide.decisions.director import Director
 from puffintide.zones.plan import View, ZoneLimits, ZonePlan
 
 
--- a/puffintide/zones/plan.py
+++ b/puffintide/zones/plan.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from puffintide import interface as api
-from puffintide.policy import FULL
+from puffintide.decisions.director import FULL
 
 WELL, DEGRADED, LOST, HELD, RETURNING, DRAINED = "well", "degraded", "lost", "held", "returning", "drained"
 
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -21,18 +21,18 @@
 from puffintide.assigner.service import AssignerService
 from puffintide.config.loader import Config, load
 from puffintide.config.schema import AssignerProcess, ProxyProcess
-from puffintide.days.faults import Step, plan
-from puffintide.days.place import Place, at
-from puffintide.days.tap import Bend, Link, Tap
-from puffintide.days.verdict import Verdict, judge
+from puffintide.emulators.clients import Clients
+from puffintide.emulators.fleet import FleetService
+from puffintide.protocol.messages import Held
 from puffintide.proxy.service import ProxyService
 from puffintide.replication.tables import GAP, Refill
-from puffintide.standins.clients import Clients
-from puffintide.standins.fleet import FleetService
+from puffintide.scenarios.faults import Step, plan
+from puffintide.scenarios.place import Place, at
+from puffintide.scenarios.tap import Bend, Link, Tap
+from puffintide.scenarios.verdict import Verdict, judge
 from puffintide.store.book import Book
 from puffintide.store.engine import Change, Image, StoreError
 from puffintide.store.service import StoreService
-from puffintide.wire.messages import Held
 
 START = 1000.0
 WINDOW = 64 << 10  # bytes under way to a reader before its writer is told to pause
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from puffintide.days.place import Ports
-from puffintide.wire import messages as m
-from puffintide.wire.codec import decode, encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
+from puffintide.scenarios.place import Ports
 
 PORTS = Ports(os.getpid() * 53)
 LIMIT_S = 15.0  # no wait is longer
@@ -340,8 +340,8 @@
 
 
 SIGN: dict[str, Any] = {}  # of life
-LOUD = "import puffintide.node.log as log; log.BURST = log.PER_S = 1e6"  # every row is written
-NODE = "import puffintide.node.__main__ as main; raise SystemExit(main.main())"
+LOUD = "import puffintide.platform.log as log; log.BURST = log.PER_S = 1e6"  # every row is written
+NODE = "import puffintide.platform.__main__ as main; raise SystemExit(main.main())"
 
 
 class NodeProcess:
--- a/tests/records.py
+++ b/tests/records.py
@@ -5,7 +5,7 @@
 from puffintide.audit.records import Record
 from puffintide.audit.rules import Audit, Judgement, Life, World
 from puffintide.config.loader import Config, check
-from puffintide.wire import messages as m
+from puffintide.protocol import messages as m
 
 SECTIONS: dict[str, dict[str, str]] = {
     "deployment": {"name": "t", "zones": "a, b", "assigners": "2", "proxies": "3", "slices": "4"},
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -11,12 +11,12 @@
 from puffintide.assigner.ordered import Ordered
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
-from puffintide.days.place import at
-from puffintide.policy import REST_S
+from puffintide.decisions.director import REST_S
+from puffintide.protocol import messages as m
 from puffintide.proxy.engine import Engine, Finish, Limits, Send
 from puffintide.proxy.tables import Tables
 from puffintide.proxy.tries import Kind, Next, Past, further
-from puffintide.wire import messages as m
+from puffintide.scenarios.place import at
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import ZoneLimits
 from tests.deployment import Deployment
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -10,10 +10,10 @@
 
 from puffintide.assigner.service import AssignerService
 from puffintide.config.loader import check
-from puffintide.wire import messages as m
-from puffintide.wire.clock import monotonic_reactor
-from puffintide.wire.codec import decode, encode
-from puffintide.wire.stream import Stream
+from puffintide.protocol import messages as m
+from puffintide.protocol.clock import monotonic_reactor
+from puffintide.protocol.codec import decode, encode
+from puffintide.protocol.stream import Stream
 from tests.peers import SECTIONS, charges, servers
 
 ADDRESS = "127.0.0.1:1"
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 
 from puffintide.audit.records import read
 from puffintide.audit.rules import Life
-from puffintide.wire import messages as m
+from puffintide.protocol import messages as m
 from tests.records import KEYED, ONCE, READ, Tape, broken
 
 Bend = Callable[[], Tape]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import encode
 from puffintide.store.book import Book
-from puffintide.wire import messages as m
-from puffintide.wire.codec import encode
 from tests.deployment import SECTIONS, Deployment
 
 GOOD = m.Entry(0, 0, 0, 0, 1, 1.0, 1, -1.0, "127.0.0.1:5100")
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from puffintide.days.tap import Bend, Conn, Link
+from puffintide.protocol import messages as m
 from puffintide.replication import settle
-from puffintide.wire import messages as m
+from puffintide.scenarios.tap import Bend, Conn, Link
 from tests.deployment import Deployment
 
 PEERS: dict[str, Any] = {"peers": {"every_s": 0.5}, "deployment": {"assigners": 3}}
--- a/tests/test_copies_processes.py
+++ b/tests/test_copies_processes.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from puffintide.wire import messages as m
-from puffintide.wire.codec import encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import encode
 from tests.peers import LIMIT_S, PORTS, Door, dial, process
 
 pytestmark = pytest.mark.processes
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -14,14 +14,14 @@
 
 from puffintide.config.loader import ConfigError, check, load
 from puffintide.config.schema import FAULTS
-from puffintide.days.faults import BY_CLIENTS, plan
-from puffintide.days.importer import ImportFailure, turn
-from puffintide.days.kinds import KINDS, script
+from puffintide.emulators.clients import draw
+from puffintide.emulators.model import Make, ServerModel
+from puffintide.protocol import messages as m
 from puffintide.proxy.tables import Tables
-from puffintide.standins.clients import draw
-from puffintide.standins.model import Make, ServerModel
+from puffintide.scenarios.faults import BY_CLIENTS, plan
+from puffintide.scenarios.importer import ImportFailure, turn
+from puffintide.scenarios.kinds import KINDS, script
 from puffintide.store.book import Book
-from puffintide.wire import messages as m
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -9,9 +9,9 @@
 import pytest
 
 from puffintide import interface as api
-from puffintide.drill.__main__ import Host, serve
-from puffintide.drill.codec import Decoder, WireError, encode_action, frame
-from puffintide.settings import SettingsError, parse_settings
+from puffintide.bench_adapter.__main__ import Host, serve
+from puffintide.bench_adapter.codec import Decoder, WireError, encode_action, frame
+from puffintide.decisions.settings import SettingsError, parse_settings
 
 pytestmark = pytest.mark.processes
 
@@ -97,7 +97,11 @@
 )
 def test_malformed_input_is_one_plain_line(data: bytes, word: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "puffintide.drill"], input=data, capture_output=True, timeout=20, check=False
+        [sys.executable, "-m", "puffintide.bench_adapter"],
+        input=data,
+        capture_output=True,
+        timeout=20,
+        check=False,
     )
     assert done.returncode != 0
     text = done.stderr.decode()
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from puffintide.standins.etcd import Etcd
+from puffintide.emulators.etcd import Etcd
+from puffintide.protocol import messages as m
 from puffintide.store.engine import Change, Engine, Overtaken, SliceState, StoreError
 from puffintide.store.etcd.engine import EtcdEngine
 from puffintide.store.sqlite import SqliteEngine
-from puffintide.wire import messages as m
 from tests.peers import PORTS, dial, process
 
 Open = Callable[[], Engine]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 
 from puffintide.assigner.handover import FIRST_MARK, Handover, Steps
-from puffintide.wire.messages import Line, Order
+from puffintide.protocol.messages import Line, Order
 
 LEASE, LONGEST = 1.0, 2.0
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,7 +5,7 @@
 import pytest
 
 from puffintide import interface as api
-from puffintide.policy import Director
+from puffintide.decisions.director import Director
 from tests.world import World, server
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -18,11 +18,11 @@
 from twisted.python.failure import Failure
 
 from puffintide.audit.history import GIVE, READ, WRITE, Operation, linearizable
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
 from puffintide.store.book import Book
 from puffintide.store.engine import Change, Image, Memory, StoreError
 from puffintide.store.service import StoreService
-from puffintide.wire import messages as m
-from puffintide.wire.codec import decode, encode
 
 NOBODY = math.inf
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -14,9 +14,9 @@
 
 import pytest
 
+from puffintide.protocol import messages as m
 from puffintide.proxy.state import save_state
 from puffintide.proxy.tables import Saved
-from puffintide.wire import messages as m
 from tests.peers import PORTS, process
 
 Handler = Callable[[socket.socket, bytes, int], bool]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,16 +11,16 @@
 import pytest
 
 from puffintide import interface as api
-from puffintide.node import messages as m
-from puffintide.node.config import ConfigError, parse
-from puffintide.node.http import Exchange, Unreadable
-from puffintide.node.lines import Lines, TooLong
-from puffintide.node.listing import BEHIND_S, Listing
-from puffintide.node.log import Log
-from puffintide.node.names import Hosts, Names, draw, parse_text_report, probe_end
-from puffintide.node.relay import BYTES_MOST, Order, Outbox, orders, read_answer
-from puffintide.node.standing import Changes, Standing, read_anew, table_anew
-from puffintide.wire.messages import Entry
+from puffintide.platform import messages as m
+from puffintide.platform.config import ConfigError, parse
+from puffintide.platform.http import Exchange, Unreadable
+from puffintide.platform.lines import Lines, TooLong
+from puffintide.platform.listing import BEHIND_S, Listing
+from puffintide.platform.log import Log
+from puffintide.platform.names import Hosts, Names, draw, parse_text_report, probe_end
+from puffintide.platform.relay import BYTES_MOST, Order, Outbox, orders, read_answer
+from puffintide.platform.standing import Changes, Standing, read_anew, table_anew
+from puffintide.protocol.messages import Entry
 from tests.test_drill import CONF
 
 NAMES = Names(["a", "b"], ["status", "start"], ["m1", "m2"], ["rif", "busy"])
@@ -110,7 +110,9 @@
 
 def test_two_hosts_on_one_number_are_told_apart(monkeypatch: pytest.MonkeyPatch) -> None:
     real = draw
-    monkeypatch.setattr("puffintide.node.names.draw", lambda host, salt=0: real(host, salt) if salt else 7)
+    monkeypatch.setattr(
+        "puffintide.platform.names.draw", lambda host, salt=0: real(host, salt) if salt else 7
+    )
     hosts = Hosts()
     assert hosts.number("x") == 7 and hosts.number("y") != 7
     assert hosts.clashes == 1 and hosts.name(hosts.number("y")) == "y"
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -21,11 +21,11 @@
 from twisted.internet.testing import StringTransport
 
 from puffintide.assigner.runtime import Effects
-from puffintide.node.config import load
-from puffintide.node.listener import ACCEPTS
-from puffintide.node.listing import BEHIND_S
-from puffintide.node.request import Outcome, Request
-from puffintide.node.service import Service
+from puffintide.platform.config import load
+from puffintide.platform.listener import ACCEPTS
+from puffintide.platform.listing import BEHIND_S
+from puffintide.platform.request import Outcome, Request
+from puffintide.platform.service import Service
 from tests.deployment import Party, Reactor
 from tests.test_drill import CONF
 from tests.test_node import CONFIG
@@ -850,7 +850,7 @@
 sys.addaudithook(hook)
 for call in ("sendfile", "splice"):
     setattr(os, call, lambda *a, call=call: seen.add(call))
-import puffintide.node.__main__ as main
+import puffintide.platform.__main__ as main
 threading.Timer(2.0, os.kill, (os.getpid(), signal.SIGHUP)).start()
 threading.Timer(2.5, os.kill, (os.getpid(), signal.SIGTERM)).start()
 assert main.main() == 0
@@ -877,7 +877,7 @@
     path.write_text(json.dumps(process_config()))
     code = (
         "import os, signal, sys, threading\n"
-        "import puffintide.node.__main__ as main\n"
+        "import puffintide.platform.__main__ as main\n"
         "threading.Timer(1.5, os.kill, (os.getpid(), signal.SIGTERM)).start()\n"
         "assert main.main() == 0\n"
         "print(*{m.split('.')[0] for m, it in sys.modules.items() if it} - set(sys.stdlib_module_names))\n"
@@ -904,7 +904,7 @@
     def start(path: str) -> subprocess.Popen[str]:
         env = {**os.environ, "GW_CONFIG": path}
         return subprocess.Popen(
-            [sys.executable, "-m", "puffintide.node"], env=env, stderr=subprocess.PIPE, text=True
+            [sys.executable, "-m", "puffintide.platform"], env=env, stderr=subprocess.PIPE, text=True
         )
 
     bad = start(str(tmp_path / "none.json"))
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -13,11 +13,11 @@
 from puffintide import interface as api
 from puffintide.assigner.runtime import Runtime
 from puffintide.audit.records import read
-from puffintide.policy import Director
+from puffintide.decisions.director import Director
+from puffintide.emulators.model import ServerModel
+from puffintide.protocol import messages as m
 from puffintide.proxy import engine
 from puffintide.proxy.tries import Next
-from puffintide.standins.model import ServerModel
-from puffintide.wire import messages as m
 from tests.deployment import SECTIONS, Deployment
 from tests.test_faults import fault
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -14,6 +14,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from puffintide.protocol import messages as m
 from puffintide.proxy.admit import Gate
 from puffintide.proxy.choice import Lottery, Rotation, slice_of
 from puffintide.proxy.engine import Cancel, Close, Connect, Effect, Engine, Finish, Limits, Send
@@ -21,7 +22,6 @@
 from puffintide.proxy.state import StateError, load_state, save_state
 from puffintide.proxy.tables import Tables
 from puffintide.proxy.tries import Kind, Past, further, patience
-from puffintide.wire import messages as m
 
 KINDS = (Kind("repeatable", "all", 0, 1.0), Kind("by_key", "zone", 2.0, 1.0), Kind("once", "all", 0, 1.0))
 READ, KEYED, ONCE = 0, 1, 2
--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from puffintide.wire import messages as m
+from puffintide.protocol import messages as m
 from tests.peers import PORTS, Door, Line, dial, process
 
 ADMIT = {"hold_s": "0.3"}
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -26,8 +26,9 @@
 SERVERS, SLICES = 4, 6
 # Waits are long, so that on a busy machine no time-out gets between what a test puts in order.
 PATIENT = """
-import puffintide.node.calls as calls, puffintide.node.snapshot as snapshot, puffintide.node.news as news
-import puffintide.node.probe as probe, puffintide.node.service as service, puffintide.policy as policy
+import puffintide.platform.calls as calls, puffintide.platform.snapshot as snapshot
+import puffintide.platform.news as news, puffintide.platform.probe as probe
+import puffintide.platform.service as service, puffintide.decisions.director as policy
 calls.ANSWER_S = snapshot.MOST_S = probe.TIMEOUT_S = 20
 service.LIST_SILENT_S = news.SILENT_S = 60
 """
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -11,13 +11,13 @@
 from twisted.internet.task import Clock
 
 from puffintide.config.schema import PeersSection
+from puffintide.protocol.messages import CopiedRow, Copies, Digest, Held, Hello, Version
 from puffintide.replication import replica as core
 from puffintide.replication import settle
 from puffintide.replication.joining import BURST_ROWS, Asking, CatchUp, Outgoing, stays
 from puffintide.replication.peers import Peers
 from puffintide.replication.replica import Reading, Replica
 from puffintide.replication.tables import KIND, Refill, packed, wrong_copies
-from puffintide.wire.messages import CopiedRow, Copies, Digest, Held, Hello, Version
 from tests.deployment import Log
 
 COUNT = 4
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -11,11 +11,11 @@
 from puffintide.assigner.channel import Channel
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
-from puffintide.drill.__main__ import Host
-from puffintide.drill.codec import encode_action, frame
-from puffintide.policy import Director
-from puffintide.settings import parse_settings
-from puffintide.wire import messages as m
+from puffintide.bench_adapter.__main__ import Host
+from puffintide.bench_adapter.codec import encode_action, frame
+from puffintide.decisions.director import Director
+from puffintide.decisions.settings import parse_settings
+from puffintide.protocol import messages as m
 from tests.test_drill import CONF, hello
 from tests.world import World, settings
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from puffintide.wire import messages as m
-from puffintide.wire.codec import LINE_MOST, encode
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import LINE_MOST, encode
 from tests.peers import PORTS, Around, Line, charges, dial, process, servers
 
 pytestmark = pytest.mark.processes
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -6,7 +6,7 @@
 import pytest
 
 from puffintide import interface as api
-from puffintide.policy import Director
+from puffintide.decisions.director import Director
 from tests.world import START, World, server, settings
 
 SERVERS, EACH = range(1, 11), 12
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,11 +16,11 @@
 import msgspec
 import pytest
 
+from puffintide.protocol import messages as m
 from puffintide.proxy.tables import Tables
 from puffintide.store.book import Book
 from puffintide.store.engine import Change, Image, SliceState, StoreError
 from puffintide.store.sqlite import TOKEN_JUMP, SqliteEngine, restore
-from puffintide.wire import messages as m
 from tests.disk import Cut, Disk, Layer
 from tests.peers import PORTS, Around, Line, charges, dial, process, servers
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -17,13 +17,13 @@
 
 import pytest
 
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
 from puffintide.proxy.choice import slice_of
 from puffintide.proxy.state import save_state
 from puffintide.proxy.tables import Saved
 from puffintide.tls.context import Contexts, TlsError
 from puffintide.tls.keys import KeyFailure, make_authority, make_certificate, party
-from puffintide.wire import messages as m
-from puffintide.wire.codec import decode, encode
 from tests.peers import PORTS, process
 
 pytestmark = pytest.mark.processes
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from puffintide.wire import messages as m
-from puffintide.wire.codec import LINE_MOST, WireError, decode, encode
-from puffintide.wire.session import Session
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import LINE_MOST, WireError, decode, encode
+from puffintide.protocol.session import Session
 
 SAMPLES = [
     m.Hello(1, "proxy", 3, 1, "d", 2, True),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from puffintide import interface as api
-from puffintide.policy import FULL, Director
+from puffintide.decisions.director import FULL, Director
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import (
     DEGRADED,
--- a/tests/world.py
+++ b/tests/world.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from puffintide import interface as api
-from puffintide.policy import Director
+from puffintide.decisions.director import Director
 
 START = 1000.0
 
