--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -32,38 +32,38 @@
 def settings(slices: int, proxies: int, channel: float) -> api.Settings:
     kind = api.RequestClass("repeatable", "all", 0.0, 0.75, 2.5, 3.0, False)
     return api.Settings(
-        instance=0,
-        instances=1,
+        assigner_index=0,
+        assigner_count=1,
         seed=1,
         zone=0,
-        zones=2,
-        classes=(kind, kind, kind),
-        slices=slices,
-        proxies=proxies,
+        zone_count=2,
+        request_classes=(kind, kind, kind),
+        slice_count=slices,
+        proxy_count=proxies,
         single_writer=False,
-        warm_keys=True,
-        retry_default=0,
-        retry_wait_aims=1.0,
-        shun_after=0,
-        admit="silent",
-        channel_lines_per_s=12500.0 * channel,
-        channel_head_lines=12.0,
-        channel_limit=18800.0 * channel,
+        caches_keys=True,
+        default_retry_mode=0,
+        retry_wait_objectives=1.0,
+        proxy_ejection_failures=0,
+        admission_mode="silent",
+        channel_entries_per_s=12500.0 * channel,
+        channel_header_entries=12.0,
+        channel_capacity_entries=18800.0 * channel,
         channel_delay_s=0.4,
         channel_delay_max_s=1.2,
-        messages_most=20,
-        messages_span_s=10.0,
+        max_messages_per_window=20,
+        message_window_s=10.0,
         report_period_s=0.5,
-        report_lines_per_s=300.0,
-        report_names=("rif",),
-        probes=True,
-        list_is_asked=False,
+        report_entries_per_s=300.0,
+        load_value_names=("rif",),
+        health_checks_enabled=True,
+        watch_on_request=False,
         drain_grace_s=3.5,
-        cold_from=0.22,
-        warm_within_s=18.0,
-        fall_multiple=3.0,
-        fall_s=1.5,
-        bare_s=6.9,
+        slow_start_min_fraction=0.22,
+        slow_start_duration_s=18.0,
+        collapse_load_ratio=3.0,
+        collapse_duration_s=1.5,
+        max_unserved_s=6.9,
     )
 
 
@@ -86,19 +86,22 @@
     channel, gather = Channel(12500.0 * width, 1e12), Gatherer(300.0)
     cost, carried = Cost(), 0
     now = 1000.0
-    rows = [m.Entry(s, s % 2, 0, 0, 1, 4.0, 1, -1.0, f"127.0.0.1:{9000 + s}") for s in range(servers)]
-    runtime.news(now, m.News("full", 1, rows))
+    rows = [m.EndpointEntry(s, s % 2, 0, 0, 1, 4.0, 1, -1.0, f"127.0.0.1:{9000 + s}") for s in range(servers)]
+    runtime.news(now, m.WatchEvent("full", 1, rows))
     for p in range(proxies):
         channel.join(p)
         runtime.joined(now, p, p % 2, 1.0, True)
     for n in range(slices):
-        runtime.charge(now, m.Charge(n, n + 1, 0, [m.Held(n % servers, 1.0, "")]))
+        runtime.charge(now, m.SliceOwnership(n, n + 1, 0, [m.TableEntry(n % servers, 1.0, "")]))
     sums = [
         encode(
-            m.Sums(
+            m.UsageReport(
                 0.5,
-                [m.ServerSum((p + k) % servers, 2, 0, 0.2, [3.0]) for k in range(min(servers, TOUCHED // 3))],
-                [m.SliceSum((p * 7 + k) % slices, k % 3, 1, 0) for k in range(min(slices, TOUCHED))],
+                [
+                    m.ServerUsage((p + k) % servers, 2, 0, 0.2, [3.0])
+                    for k in range(min(servers, TOUCHED // 3))
+                ],
+                [m.SliceUsage((p * 7 + k) % slices, k % 3, 1, 0) for k in range(min(slices, TOUCHED))],
             )
         )
         for p in range(proxies)
@@ -110,30 +113,33 @@
             began = time.process_time()
             for p, line in enumerate(sums):
                 message = decode(line)
-                assert isinstance(message, m.Sums)
+                assert isinstance(message, m.UsageReport)
                 gather.add(now, p % 2, message)
             runtime.hear(now, *gather.take(now))
             cost.add("sums", began)
         if tick % 12 == 8:
             lost = tick // 12
-            runtime.news(now, m.News("delta", tick, [m.Entry(lost % servers, 0, 0, 0, 2, 4.0, 1, -1.0, "")]))
-        runtime.hear(now, *(api.ProbeResult(s, 0, 0.004, (3.0,)) for s in range(tick % 3, servers, 3)))
+            runtime.news(
+                now,
+                m.WatchEvent("delta", tick, [m.EndpointEntry(lost % servers, 0, 0, 0, 2, 4.0, 1, -1.0, "")]),
+            )
+        runtime.hear(now, *(api.HealthCheckResult(s, 0, 0.004, (3.0,)) for s in range(tick % 3, servers, 3)))
         due = [x for x in pending if x[0] <= now]
         pending = [x for x in pending if x[0] > now]
-        runtime.hear(now, *(api.Applied(p, mark, 0.4) for _, p, mark in due))
+        runtime.hear(now, *(api.CheckpointAcknowledged(p, mark, 0.4) for _, p, mark in due))
         began = time.process_time()
         effects = runtime.tick(now)
         cost.add("module", began)
         if effects is not None:
             for proxy, order in effects.orders:
                 channel.put(proxy, order)
-            carried += any(isinstance(a, api.SetLine | api.Withdraw) for a in effects.actions)
+            carried += any(isinstance(a, api.SetWeight | api.SetWithdrawn) for a in effects.actions)
         began = time.process_time()
         sent, _ = channel.take(now)
         for proxy, order in sent:
             encode(order)
-            if order.mark is not None:
-                pending.append((now + 0.4, proxy, order.mark))
+            if order.checkpoint_id is not None:
+                pending.append((now + 0.4, proxy, order.checkpoint_id))
         cost.add("orders", began)
     return {k: v / seconds for k, v in cost.parts.items()}, cost.longest, channel.most_waiting, carried
 
--- a/benchmarks/day_figures.py
+++ b/benchmarks/day_figures.py
@@ -21,7 +21,7 @@
     """For each marked order that all its proxies applied: seconds from the order to the last applied, and what the
     channel's own count (lines of all its messages at the stated pace, and the mean way) says it should take."""
     who = peers(records)
-    told: dict[tuple[str, int], list[m.Order]] = defaultdict(list)
+    told: dict[tuple[str, int], list[m.ProxyUpdate]] = defaultdict(list)
     waiting: dict[tuple[str, int], set[int]] = defaultdict(set)
     marks: dict[tuple[str, int], tuple[str, int]] = {}
     done: dict[tuple[str, int], float] = {}
@@ -29,21 +29,25 @@
         peer = who.get(r.conn)
         if peer is None:
             continue
-        if isinstance(r.message, m.Order) and r.message.mark is not None and r.went is not None:
+        if (
+            isinstance(r.message, m.ProxyUpdate)
+            and r.message.checkpoint_id is not None
+            and r.went is not None
+        ):
             key = (r.link, r.message.batch)
             told[key].append(r.message)
             waiting[key].add(peer.id)
-            marks[r.link, r.message.mark] = key
-        elif isinstance(r.message, m.Applied):
-            found = marks.get((r.link, r.message.mark))
+            marks[r.link, r.message.checkpoint_id] = key
+        elif isinstance(r.message, m.CheckpointReply):
+            found = marks.get((r.link, r.message.checkpoint_id))
             if found is not None:
                 waiting[found].discard(peer.id)
                 done[found] = r.came
     took, stated = [], []
     for key, orders in told.items():
         if not waiting[key] and key in done:
-            took.append(done[key] - orders[0].at)
-            stated.append(sum(order.cost for order in orders) / pace + delay_s)
+            took.append(done[key] - orders[0].ordered_at_s)
+            stated.append(sum(order.channel_cost for order in orders) / pace + delay_s)
     return took, stated
 
 
--- a/benchmarks/fuzz_fronts.py
+++ b/benchmarks/fuzz_fronts.py
@@ -29,7 +29,7 @@
 from puffintide.protocol.codec import encode
 from puffintide.scenarios.place import Ports
 
-HELLO = encode(m.Hello(m.VERSION, "client", 1)) + b"\n"
+HELLO = encode(m.Hello(m.PROTOCOL_VERSION, "client", 1)) + b"\n"
 SEEDS_HTTP = (
     b"GET /a?b=c HTTP/1.1\r\nhost: x\r\nx-puffintide-key: 7\r\nx-puffintide-deadline-ms: 900\r\n\r\n",
     b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 11\r\nidempotency-key: k\r\n\r\nhello world",
@@ -39,13 +39,17 @@
     b"HEAD / HTTP/1.0\r\n\r\nGET / HTTP/1.1\r\nhost: y\r\n\r\n",
 )
 SEEDS_LINES = (
-    HELLO + encode(m.Ask(1, 0, 5, 2.0)) + b"\n" + encode(m.Ask(2, 0, 2**64 - 1, 0.001)) + b"\n",
-    HELLO + encode(m.Ping()) + b"\n" + encode(m.Ask(1, 9, 5, 2.0)) + b"\n",
-    encode(m.Ask(1, 0, 5, 2.0)) + b"\n" + HELLO,
-    HELLO + encode(m.Sums(0.5)) + b"\n",
+    HELLO
+    + encode(m.ClientRequest(1, 0, 5, 2.0))
+    + b"\n"
+    + encode(m.ClientRequest(2, 0, 2**64 - 1, 0.001))
+    + b"\n",
+    HELLO + encode(m.Ping()) + b"\n" + encode(m.ClientRequest(1, 9, 5, 2.0)) + b"\n",
+    encode(m.ClientRequest(1, 0, 5, 2.0)) + b"\n" + HELLO,
+    HELLO + encode(m.UsageReport(0.5)) + b"\n",
 )
 FINE_HTTP = b"GET /fine HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
-FINE_LINES = HELLO + encode(m.Ask(77, 0, 5, 4.0)) + b"\n"
+FINE_LINES = HELLO + encode(m.ClientRequest(77, 0, 5, 4.0)) + b"\n"
 
 
 def damaged(rng: random.Random, seeds: tuple[bytes, ...]) -> bytes:
--- a/benchmarks/proxy_churn.py
+++ b/benchmarks/proxy_churn.py
@@ -53,18 +53,22 @@
 
     def _store(self, sock: socket.socket) -> None:
         held = [
-            m.Held(s, w, f"127.0.0.1:{p}") for s, (w, p) in enumerate(zip(WEIGHTS, self.servers, strict=True))
+            m.TableEntry(s, w, f"127.0.0.1:{p}")
+            for s, (w, p) in enumerate(zip(WEIGHTS, self.servers, strict=True))
         ]
         with contextlib.suppress(OSError):
             for line in sock.makefile("rb"):
                 match decode(line.rstrip(b"\n")):
                     case m.Hello():
-                        self._say(sock, m.Welcome(m.VERSION, "store", 0))
-                    case m.Read():
+                        self._say(sock, m.Welcome(m.PROTOCOL_VERSION, "store", 0))
+                    case m.ReadRequest():
                         self._say(
-                            sock, m.Charges([m.Charge(n, 1, 0, held, 0, 1) for n in range(self.slices)])
+                            sock,
+                            m.SliceOwnerships(
+                                [m.SliceOwnership(n, 1, 0, held, 0, 1) for n in range(self.slices)]
+                            ),
                         )
-                        self._say(sock, m.ReadEnd(self.slices, 1, "x"))
+                        self._say(sock, m.ReadComplete(self.slices, 1, "x"))
                     case m.Ping():
                         self._say(sock, m.Pong())
 
@@ -73,18 +77,18 @@
             for line in sock.makefile("rb"):
                 match decode(line.rstrip(b"\n")):
                     case m.Hello():
-                        self._say(sock, m.Welcome(m.VERSION, "assigner", 0))
+                        self._say(sock, m.Welcome(m.PROTOCOL_VERSION, "assigner", 0))
                         self.out = sock
-                    case m.Applied(mark):
+                    case m.CheckpointReply(mark):
                         self.applied.append((time.monotonic(), mark))
                     case m.Ping():
                         self._say(sock, m.Pong())
 
     def order(self, batch: int) -> None:
         weights = WEIGHTS if batch % 2 else WEIGHTS[::-1]
-        lines = [m.Line(n, s, w, 1) for n in range(self.slices) for s, w in enumerate(weights)]
+        lines = [m.WeightEntry(n, s, w, 1) for n in range(self.slices) for s, w in enumerate(weights)]
         assert self.out is not None
-        self._say(self.out, m.Order(batch, 0.0, len(lines), lines, mark=batch % 65536))
+        self._say(self.out, m.ProxyUpdate(batch, 0.0, len(lines), lines, checkpoint_id=batch % 65536))
 
 
 def shares(applied: list[tuple[float, int]], began: float, ended: float) -> list[float]:
--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -67,7 +67,7 @@
                     self.factory.count += 1
                     out.append(b'{"t":"answer","id":' + line[16 : line.index(b",", 16)] + b',"status":0}\n')
                 elif line.startswith(b'{"t":"hello"'):
-                    out.append(encode(m.Welcome(m.VERSION, "server", 0)) + b"\n")
+                    out.append(encode(m.Welcome(m.PROTOCOL_VERSION, "server", 0)) + b"\n")
                 elif line.startswith(b'{"t":"count"'):
                     out.append(b'{"count":%d}\n' % self.factory.count)
                 elif line.startswith(b'{"t":"ping"'):
@@ -150,7 +150,7 @@
                 work["began"] = work["began"] or time.monotonic()
                 self.http()
             else:
-                self.transport.write(encode(m.Hello(m.VERSION, "client", 0)) + b"\n")
+                self.transport.write(encode(m.Hello(m.PROTOCOL_VERSION, "client", 0)) + b"\n")
 
         def http(self) -> None:
             work["sent"] += 1
@@ -345,8 +345,10 @@
     folder: Path, servers: list[int], port: int, nobody: int, name: str = "proxy", **more: str
 ) -> Path:
     """A proxy that lives on the tables of its file, with no assigner or store there."""
-    held = [m.Held(s, w, f"127.0.0.1:{p}") for s, (w, p) in enumerate(zip(WEIGHTS, servers, strict=False))]
-    charges = [m.Charge(n, 1, 0, held) for n in range(SLICES)]
+    held = [
+        m.TableEntry(s, w, f"127.0.0.1:{p}") for s, (w, p) in enumerate(zip(WEIGHTS, servers, strict=False))
+    ]
+    charges = [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)]
     save_state(str(folder / f"{name}.json"), Saved(1, time.time(), charges, {}, []))
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_dict(
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -109,9 +109,11 @@
     return {
         "worth": whole,
         "seconds": float(back[0] - KILL_S) if back else AFTER_S,
-        "moves": sum(x.weight >= 1 for r in seen if isinstance(r.message, m.Write) for x in r.message.lines),
+        "moves": sum(
+            x.weight >= 1 for r in seen if isinstance(r.message, m.WriteRequest) for x in r.message.weights
+        ),
         "wrong": len(ejected - hung),
-        "probes": sum(isinstance(r.message, m.Probe) for r in seen),
+        "probes": sum(isinstance(r.message, m.HealthCheckRequest) for r in seen),
     }
 
 
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -78,30 +78,30 @@
     section = PeersSection(addresses=addresses, catch_up_s=60.0)
     peers = Peers(reactor, section, me, life, slices, Log(), lambda: None)
     ordered, tokens = Ordered(), dict[int, int]()
-    lines = [m.Held(7, 1.0, "127.0.0.1:9007", 0), m.Held(8, 0.004, "127.0.0.1:9008", 1)]
+    lines = [m.TableEntry(7, 1.0, "127.0.0.1:9007", 0), m.TableEntry(8, 0.004, "127.0.0.1:9008", 1)]
     for number in range(me, slices, len(addresses)) if first >= 0 else ():
         tokens[number] = number + 1
-        ordered.charge(m.Charge(number, number + 1, me, lines, 1), goes_on=False)
+        ordered.charge(m.SliceOwnership(number, number + 1, me, lines, 1), goes_on=False)
     found = Findings(1.0, {})
     peers.flush(tokens, ordered, found, Heard())
-    hello = m.Hello(m.VERSION, "assigner", me, 0, "t", start=life)
+    hello = m.Hello(m.PROTOCOL_VERSION, "assigner", me, 0, "t", incarnation=life)
 
     def dial(address: str, heard: Any, lost: Any, *, again: bool = True) -> Dialler:
         return Dialler(reactor, address, lambda: hello, heard, lost, again=again).start()
 
     def told(stream: Stream, message: Any) -> None:
-        if isinstance(message, m.AskCopies):
+        if isinstance(message, m.ReplicaRequest):
             began = time.process_time()
             for piece in newest(peers.replica, reactor.seconds):
                 stream.send(piece)
             say("asked", took=time.process_time() - began)
-        elif isinstance(message, m.Charges):
-            say("charged", slices=len(message.charges))
+        elif isinstance(message, m.SliceOwnerships):
+            say("charged", slices=len(message.ownerships))
 
     def look(due: float) -> None:
         nonlocal last, late
         late = max(late, reactor.seconds() - due)
-        versions = [(v.origin, v.seq) for v in peers.replica.digest()]
+        versions = [(v.origin_id, v.sequence) for v in peers.replica.digest()]
         if versions != last:
             last = versions
             say("holds", versions=versions)
@@ -114,7 +114,7 @@
         late = 0.0
         reactor.callLater(section.every_s, beat)
 
-    welcome = m.Welcome(m.VERSION, "assigner", me, life)
+    welcome = m.Welcome(m.PROTOCOL_VERSION, "assigner", me, life)
     factory = Acceptor(reactor, lambda: welcome, peers.heard)
     host, _, port = addresses[me].partition(":")
     reactor.listenTCP(int(port), factory, 50, host)
@@ -128,7 +128,7 @@
 
     def change() -> None:
         for number in list(tokens)[:20]:
-            ordered.written(2, [m.Line(number, 9, 1.0, tokens[number], "127.0.0.1:9009", 0)])
+            ordered.written(2, [m.WeightEntry(number, 9, 1.0, tokens[number], "127.0.0.1:9009", 0)])
         peers.flush(tokens, ordered, found, Heard())
 
     reactor.run()
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -48,9 +48,11 @@
         self.engine = Engine(limits(), self.rng.random)
         make = Make(2, 1.0, 4, 20, 0.5, 5.0, 0.0, 1.0, 10, 3.0, 1.5)
         self.servers = [ServerModel(make, None) for _ in range(SERVERS)]
-        held = [m.Held(s, 1.0, f"127.0.0.1:{s}") for s in range(SERVERS)]
-        self.engine.charges(0.0, [m.Charge(n, 1, 0, held) for n in range(SLICES)])
-        self.engine.order(0.0, 0, m.Order(1, 0.0, 1.0, levels=[m.Level(0xFFFF, 0, 1.0, mode)]))
+        held = [m.TableEntry(s, 1.0, f"127.0.0.1:{s}") for s in range(SERVERS)]
+        self.engine.charges(0.0, [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)])
+        self.engine.order(
+            0.0, 0, m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, mode)])
+        )
         self.rate = share * SERVERS * make.cores / WORK_S
         self.now = 0.0
         self.events: list[tuple[float, int, str, int]] = []
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -31,7 +31,7 @@
 
 def state(number: int, servers: int, token: int, rng: random.Random) -> SliceState:
     held = [
-        m.Held(rng.randrange(servers), w, f"127.0.0.1:{20000 + rng.randrange(servers)}", 0)
+        m.TableEntry(rng.randrange(servers), w, f"127.0.0.1:{20000 + rng.randrange(servers)}", 0)
         for w in (1.0, 0.004)
     ]
     return SliceState(number, number % 3, token, token, held, -1, token, 1)
@@ -139,8 +139,11 @@
     recover = time.perf_counter() - began
     again.close()
     began = time.perf_counter()
-    rows = [m.Charge(s.slice, s.token, s.assigner, s.lines, s.batch, s.since) for s in image.slices.values()]
-    out = [encode(m.Charges(rows[k : k + 1000])) for k in range(0, len(rows), 1000)]
+    rows = [
+        m.SliceOwnership(s.slice, s.token, s.assigner, s.lines, s.batch, s.since)
+        for s in image.slices.values()
+    ]
+    out = [encode(m.SliceOwnerships(rows[k : k + 1000])) for k in range(0, len(rows), 1000)]
     reading = time.perf_counter() - began
     text = (
         f"| {slices} | {servers} | {shown(times)} | {grown / 1e6:.1f} | {recover * 1000:.0f} | {backup * 1000:.0f} "
--- a/benchmarks/store_readers.py
+++ b/benchmarks/store_readers.py
@@ -29,11 +29,11 @@
 
 async def reader(
     port: int, number: int, since: int, identity: str, began: float
-) -> tuple[float, int, m.ReadEnd]:
+) -> tuple[float, int, m.ReadComplete]:
     """Seconds until all was read, bytes, and the end."""
     stream, out = await asyncio.open_connection("127.0.0.1", port, limit=LINE_MOST + 1)
-    out.write(encode(m.Hello(m.VERSION, "proxy", number % 60000, 0, "readers")) + b"\n")
-    out.write(encode(m.Read(since, identity)) + b"\n")
+    out.write(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", number % 60000, 0, "readers")) + b"\n")
+    out.write(encode(m.ReadRequest(since, identity)) + b"\n")
     size = 0
     while True:
         line = await stream.readline()
@@ -43,12 +43,12 @@
             out.write(encode(m.Pong()) + b"\n")
         if line.startswith(b'{"t":"read_end"'):
             end = decode(line.rstrip(b"\n"))
-            assert isinstance(end, m.ReadEnd)
+            assert isinstance(end, m.ReadComplete)
             out.close()
             return time.monotonic() - began, size, end
 
 
-async def crowd(port: int, count: int, since: int, identity: str) -> tuple[list[float], int, m.ReadEnd]:
+async def crowd(port: int, count: int, since: int, identity: str) -> tuple[list[float], int, m.ReadComplete]:
     began = time.monotonic()
     found = await asyncio.gather(*(reader(port, k, since, identity, began) for k in range(count)))
     return sorted(f[0] for f in found), found[0][1], found[0][2]
@@ -86,7 +86,7 @@
                 finally:
                     running.terminate()
                     running.wait()
-                what = f"what changed ({end.slices})" if written else "all"
+                what = f"what changed ({end.slice_count})" if written else "all"
                 took = f"{statistics.median(times):.3f} | {times[-1]:.3f}"
                 lines.append(
                     f"| {slices} | {count} | {what} | {took} | {size / 1e3:.0f} | {memory / 1024:.0f} |"
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -38,8 +38,8 @@
         self.at: dict[int, float] = {}
         self.sock = socket.create_connection(("127.0.0.1", port), 5)
         self.sock.settimeout(None)
-        self.say(m.Hello(m.VERSION, "proxy", 0, 0, "takeover"))
-        self.say(m.Read())
+        self.say(m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "takeover"))
+        self.say(m.ReadRequest())
         threading.Thread(target=self._run, daemon=True).start()
 
     def say(self, message: m.Message) -> None:
@@ -51,11 +51,11 @@
                 message = decode(line.rstrip(b"\n"))
                 if isinstance(message, m.Ping):
                     self.say(m.Pong())
-                elif isinstance(message, m.Charges):
+                elif isinstance(message, m.SliceOwnerships):
                     now = time.monotonic()
-                    for charge in message.charges:
-                        if self.owner.get(charge.slice) != charge.assigner:
-                            self.owner[charge.slice], self.at[charge.slice] = charge.assigner, now
+                    for charge in message.ownerships:
+                        if self.owner.get(charge.slice_id) != charge.owner_id:
+                            self.owner[charge.slice_id], self.at[charge.slice_id] = charge.owner_id, now
 
     def until(self, found: bool, which: list[int], assigner: int) -> float:
         """When the last of these slices came to that assigner (found) or went to another."""
@@ -69,16 +69,16 @@
 def listed(port: int, servers: int) -> None:
     """A list that tells of servers which all run, and of nothing else."""
     listener = socket.create_server(("127.0.0.1", port))
-    rows = [m.Entry(s, s % 2, 0, 0, 1, 2.0, 1, -1.0, "127.0.0.1:9") for s in range(servers)]
+    rows = [m.EndpointEntry(s, s % 2, 0, 0, 1, 2.0, 1, -1.0, "127.0.0.1:9") for s in range(servers)]
 
     def serve(sock: socket.socket) -> None:
         with contextlib.suppress(OSError):
             for line in sock.makefile("rb"):
                 match decode(line.rstrip(b"\n")):
                     case m.Hello():
-                        sock.sendall(encode(m.Welcome(m.VERSION, "list", 0)) + b"\n")
-                    case m.Watch() | m.Fetch():
-                        sock.sendall(encode(m.News("full", 1, rows)) + b"\n")
+                        sock.sendall(encode(m.Welcome(m.PROTOCOL_VERSION, "list", 0)) + b"\n")
+                    case m.WatchRequest() | m.SnapshotRequest():
+                        sock.sendall(encode(m.WatchEvent("full", 1, rows)) + b"\n")
                     case m.Ping():
                         sock.sendall(encode(m.Pong()) + b"\n")
 
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -49,22 +49,22 @@
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         for event in events:
             match event:
-                case api.ServerList():
-                    if event.kind in ("full", "cached"):
+                case api.EndpointListUpdate():
+                    if event.update_type in ("full", "cached"):
                         self.states = {}
-                    self.states |= {s.id: s.state for s in event.servers}
-                case api.SliceCharge(number, True):
+                    self.states |= {s.server_id: s.status for s in event.endpoints}
+                case api.OwnershipChanged(number, True):
                     self.tables[number] = set()
-                case api.SliceCharge(number):
+                case api.OwnershipChanged(number):
                     self.tables.pop(number, None)
-                case api.StoredLine(number, server, weight) if weight > 0 and number in self.tables:
+                case api.StoredWeight(number, server, weight) if weight > 0 and number in self.tables:
                     self.tables[number].add(server)
         ready = sorted(s for s, state in self.states.items() if state == api.READY)
         actions: list[api.Action] = []
         for number, held in sorted(self.tables.items()):
             wanted = {ready[number % len(ready)]} if ready else held
-            actions += [api.SetLine(number, s, 1.0) for s in sorted(wanted - held)]
-            actions += [api.SetLine(number, s, 0.0) for s in sorted(held - wanted)]
+            actions += [api.SetWeight(number, s, 1.0) for s in sorted(wanted - held)]
+            actions += [api.SetWeight(number, s, 0.0) for s in sorted(held - wanted)]
             self.tables[number] = set(wanted)
         return actions
 
@@ -146,7 +146,8 @@
             if '"decision"' in line:
                 row = json.loads(line)
                 count += (
-                    sum("SetLine" in a and a["SetLine"][2] >= 0.5 for a in row["actions"]) + row["more"] // 2
+                    sum("SetWeight" in a and a["SetWeight"][2] >= 0.5 for a in row["actions"])
+                    + row["more"] // 2
                 )
     return count
 
--- a/benchmarks/zone_loads.py
+++ b/benchmarks/zone_loads.py
@@ -16,7 +16,7 @@
 
 from puffintide.audit.records import read, rows
 from puffintide.config.loader import load
-from puffintide.protocol.messages import Try
+from puffintide.protocol.messages import AttemptRequest
 
 SPAN_S = 3
 
@@ -33,7 +33,11 @@
         capture = read(lines, "tap.jsonl")
     work: defaultdict[int, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
     for record in capture.records:
-        if isinstance(record.message, Try) and record.went is not None and record.link.startswith("try:"):
+        if (
+            isinstance(record.message, AttemptRequest)
+            and record.went is not None
+            and record.link.startswith("try:")
+        ):
             work[int(record.link[4:])][int(record.went - began)] += record.message.work_s
     length = int(config.day.length_s)
     found = {}
--- a/puffintide/assigner/cache.py
+++ b/puffintide/assigner/cache.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from puffintide.files import swap
-from puffintide.protocol.messages import News
+from puffintide.protocol.messages import WatchEvent
 
 
 class CacheError(Exception):
@@ -17,18 +17,18 @@
 class Saved(msgspec.Struct, frozen=True):
     version: int
     at: float  # wall-clock time of the saving: it has to be told after a reboot too
-    news: News
+    news: WatchEvent
 
 
 FORMAT = 1
 
 
-def save_list(path: str, wall: float, news: News) -> None:
+def save_list(path: str, wall: float, news: WatchEvent) -> None:
     """Raises OSError."""
     swap(path, msgspec.json.encode(Saved(FORMAT, wall, news)))
 
 
-def load_list(path: str, wall: float) -> News:
+def load_list(path: str, wall: float) -> WatchEvent:
     """The saved list as news of kind "cached", ages brought up to now. A clock set back makes nothing younger."""
     try:
         saved = msgspec.json.decode(Path(path).read_bytes(), type=Saved)
@@ -42,4 +42,4 @@
     rows = [
         msgspec.structs.replace(e, age_s=e.age_s + passed) if e.age_s >= 0 else e for e in saved.news.servers
     ]
-    return News("cached", saved.news.version, rows)
+    return WatchEvent("cached", saved.news.version, rows)
--- a/puffintide/assigner/channel.py
+++ b/puffintide/assigner/channel.py
@@ -10,13 +10,13 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from puffintide.protocol.messages import Order
+from puffintide.protocol.messages import ProxyUpdate
 
 
 @dataclass(slots=True)
 class _Parked:
     writable: bool = True
-    orders: deque[Order] = field(default_factory=deque)
+    orders: deque[ProxyUpdate] = field(default_factory=deque)
     lines: float = 0.0
 
 
@@ -29,7 +29,7 @@
     def __init__(self, lines_per_s: float, limit: float, span_s: float = 10.0) -> None:
         self.lines_per_s = lines_per_s
         self.limit = limit
-        self._queue: deque[tuple[int, Order]] = deque()
+        self._queue: deque[tuple[int, ProxyUpdate]] = deque()
         self._free_at = 0.0  # when the last message taken had left at the stated pace
         self._parked: dict[int, _Parked] = {}
         self._waiting = 0.0
@@ -48,15 +48,15 @@
         """What waits for the proxy is lost with its stream."""
         self._parked.pop(proxy, None)
         self._recent.pop(proxy, None)
-        lost = sum(order.cost for to, order in self._queue if to == proxy)
+        lost = sum(order.channel_cost for to, order in self._queue if to == proxy)
         if lost:
             self._queue = deque((to, order) for to, order in self._queue if to != proxy)
             self._waiting -= lost
 
-    def put(self, proxy: int, order: Order) -> None:
+    def put(self, proxy: int, order: ProxyUpdate) -> None:
         if proxy in self._parked:
             self._queue.append((proxy, order))
-            self._waiting += order.cost
+            self._waiting += order.channel_cost
             while self.waiting() > self.limit and self._give_up():
                 pass
             self.most_waiting = max(self.most_waiting, self.waiting())
@@ -65,16 +65,16 @@
         """Lines that wait, heads included, whether in the queue or held back by a proxy that does not read."""
         return self._waiting + sum(parked.lines for parked in self._parked.values())
 
-    def take(self, now: float) -> tuple[list[tuple[int, Order]], list[int]]:
+    def take(self, now: float) -> tuple[list[tuple[int, ProxyUpdate]], list[int]]:
         """(messages that leave now, proxies whose stream is given up as they hold back too much)."""
-        out: list[tuple[int, Order]] = []
+        out: list[tuple[int, ProxyUpdate]] = []
         while self._queue:
             proxy, order = self._queue[0]
-            leaves = max(self._free_at, order.at) + order.cost / self.lines_per_s
+            leaves = max(self._free_at, order.ordered_at_s) + order.channel_cost / self.lines_per_s
             if leaves > now:
                 break
             self._queue.popleft()
-            self._waiting -= order.cost
+            self._waiting -= order.channel_cost
             self._free_at = leaves
             parked = self._parked[proxy]  # leave() took away what was for others
             if parked.writable and not parked.orders:
@@ -82,7 +82,7 @@
                 self._count(proxy, now)
             else:
                 parked.orders.append(order)
-                parked.lines += order.cost
+                parked.lines += order.channel_cost
         given_up, self._given_up = self._given_up, []
         return out, given_up
 
@@ -103,7 +103,7 @@
         self.sent += 1
         self.most_messages = max(self.most_messages, len(recent))
 
-    def set_writable(self, now: float, proxy: int, writable: bool) -> list[Order]:
+    def set_writable(self, now: float, proxy: int, writable: bool) -> list[ProxyUpdate]:
         """Tells that a proxy reads again or not; gives what it had held back."""
         parked = self._parked.get(proxy)
         if parked is None:
@@ -123,4 +123,4 @@
         if not self._queue:
             return None
         order = self._queue[0][1]
-        return max(self._free_at, order.at) + order.cost / self.lines_per_s
+        return max(self._free_at, order.ordered_at_s) + order.channel_cost / self.lines_per_s
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -19,14 +19,14 @@
 import msgspec
 
 from puffintide import interface as api
-from puffintide.protocol.messages import Line, Order
+from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
 FIRST_MARK = 1 << 20  # the module's own are below 2^16
 PATIENCE = 0.8  # of the time that a slice may be without a server, for writes in hand to end
 MESSAGES = 2  # to a proxy for each batch, where the module counts one
 STOP, KEEP = "stop", "keep"
 
-Orders = list[tuple[int, Order]]
+Orders = list[tuple[int, ProxyUpdate]]
 
 
 @dataclass(slots=True)
@@ -34,13 +34,13 @@
     """What the service does now: messages for the channel, and lines for the store."""
 
     orders: Orders = field(default_factory=list)
-    writes: list[tuple[int, list[Line]]] = field(default_factory=list)  # batch and lines
+    writes: list[tuple[int, list[WeightEntry]]] = field(default_factory=list)  # batch and lines
 
 
 @dataclass(slots=True)
 class _Move:
     batch: int
-    lines: list[Line]
+    lines: list[WeightEntry]
     later: Orders  # what goes along with the lines: the module's mark
     mark: int
     waiting: set[int]  # proxies that have not answered
@@ -68,7 +68,7 @@
         self.left_at.pop(proxy, None)
         if self.moves:
             return Steps()
-        return Steps(orders=[(proxy, Order(0, now, self.head_lines))])
+        return Steps(orders=[(proxy, ProxyUpdate(0, now, self.head_lines))])
 
     def left(self, now: float, proxy: int) -> Steps:
         """It is no longer heard; what it has in hand is waited out."""
@@ -80,26 +80,36 @@
                 move.gone_until = max(move.gone_until, now + self.lease_s + self.longest_s)
         return self.due(now)
 
-    def put(self, now: float, batch: int, lines: list[Line], orders: Orders) -> Steps:
+    def put(self, now: float, batch: int, lines: list[WeightEntry], orders: Orders) -> Steps:
         """A batch of the module. Whatever has no lines goes on at once."""
         steps = Steps()
-        slices = sorted({line.table for line in lines})
+        slices = sorted({line.slice_id for line in lines})
         if not slices:
             steps.orders = orders
             return steps
-        beside: dict[int, Order] = {}
+        beside: dict[int, ProxyUpdate] = {}
         later: Orders = []
         for proxy, order in orders:
             rest = msgspec.structs.replace(
                 order,
-                lines=[],
-                clear=[],
-                mark=None,
-                cost=self.head_lines + len(order.out) + len(order.back) + len(order.levels),
+                weights=[],
+                cleared_slices=[],
+                checkpoint_id=None,
+                channel_cost=self.head_lines
+                + len(order.withdrawn_servers)
+                + len(order.readmitted_servers)
+                + len(order.admission_levels),
             )
-            if rest.out or rest.back or rest.levels:
+            if rest.withdrawn_servers or rest.readmitted_servers or rest.admission_levels:
                 beside[proxy] = rest
-            later.append((proxy, msgspec.structs.replace(order, out=[], back=[], levels=[])))
+            later.append(
+                (
+                    proxy,
+                    msgspec.structs.replace(
+                        order, withdrawn_servers=[], readmitted_servers=[], admission_levels=[]
+                    ),
+                )
+            )
         self.moves.append(_Move(batch, lines, later, 0, set()))
         if len(self.moves) == 1:
             steps.orders = self._stop(now, beside)
@@ -121,8 +131,10 @@
             later = dict(move.later)
             cost = self.head_lines + len(move.lines)
             for proxy in sorted(self.proxies):  # those that came in between have the same lines
-                order = later.get(proxy, Order(move.batch, now, cost))
-                made = msgspec.structs.replace(order, batch=move.batch, lines=list(move.lines), cost=cost)
+                order = later.get(proxy, ProxyUpdate(move.batch, now, cost))
+                made = msgspec.structs.replace(
+                    order, batch=move.batch, weights=list(move.lines), channel_cost=cost
+                )
                 steps.orders.append((proxy, made))
             if self.moves:
                 steps.orders += self._stop(now)
@@ -131,9 +143,9 @@
     def refused(self, number: int) -> None:
         """The slice is another's by now: its lines go to nobody."""
         for move in self.moves:
-            move.lines = [line for line in move.lines if line.table != number]
+            move.lines = [line for line in move.lines if line.slice_id != number]
 
-    def again(self) -> list[tuple[int, list[Line]]]:
+    def again(self) -> list[tuple[int, list[WeightEntry]]]:
         """What the store has not told to be kept, for when it is back."""
         return [(move.batch, move.lines) for move in list(self.moves)[:1] if move.stage == KEEP]
 
@@ -144,7 +156,7 @@
 
     # Time -----------------------------------------------------------------------------------------
 
-    def _stop(self, now: float, beside: dict[int, Order] | None = None) -> Orders:
+    def _stop(self, now: float, beside: dict[int, ProxyUpdate] | None = None) -> Orders:
         """Begins with all batches that wait, as one."""
         move = self.moves.popleft()
         while self.moves:
@@ -155,12 +167,19 @@
         move.until = now + self.patience_s
         recent = [at for at in self.left_at.values() if now - at < self.lease_s + self.longest_s]
         move.gone_until = max((at + self.lease_s + self.longest_s for at in recent), default=0.0)
-        slices = sorted({line.table for line in move.lines})
+        slices = sorted({line.slice_id for line in move.lines})
         orders: Orders = []
         for proxy in sorted(self.proxies):
-            rest = (beside or {}).get(proxy, Order(move.batch, now, self.head_lines))
-            cost = rest.cost + len(slices) + 1
-            orders.append((proxy, msgspec.structs.replace(rest, clear=slices, mark=move.mark, cost=cost)))
+            rest = (beside or {}).get(proxy, ProxyUpdate(move.batch, now, self.head_lines))
+            cost = rest.channel_cost + len(slices) + 1
+            orders.append(
+                (
+                    proxy,
+                    msgspec.structs.replace(
+                        rest, cleared_slices=slices, checkpoint_id=move.mark, channel_cost=cost
+                    ),
+                )
+            )
         return orders
 
     def due(self, now: float) -> Steps:
@@ -179,23 +198,29 @@
     """None where slices may have several writers."""
     if not settings.single_writer:
         return None
-    longest = max((c.deadline_s for c in settings.classes if c.effect != "repeatable"), default=0.0)
-    return Handover(lease_s, longest, min(longest, PATIENCE * settings.bare_s), settings.channel_head_lines)
+    longest = max(
+        (c.deadline_s for c in settings.request_classes if c.repeat_safety != "repeatable"), default=0.0
+    )
+    return Handover(
+        lease_s, longest, min(longest, PATIENCE * settings.max_unserved_s), settings.channel_header_entries
+    )
 
 
 def budgeted(settings: api.Settings) -> api.Settings:
     """What the module is told, so that all of a batch's messages stay within messages_most."""
-    if not settings.messages_most:
+    if not settings.max_messages_per_window:
         return settings
-    return replace(settings, messages_most=max(1, (settings.messages_most - 1) // MESSAGES))
+    return replace(
+        settings, max_messages_per_window=max(1, (settings.max_messages_per_window - 1) // MESSAGES)
+    )
 
 
 def _joined(first: _Move, second: _Move) -> _Move:
     """Two batches as one: of a slice that both move, the later line counts."""
-    again = {line.table for line in second.lines}
-    lines = [line for line in first.lines if line.table not in again] + second.lines
+    again = {line.slice_id for line in second.lines}
+    lines = [line for line in first.lines if line.slice_id not in again] + second.lines
     return _Move(second.batch, lines, sorted((dict(first.later) | dict(second.later)).items()), 0, set())
 
 
-def _under(line: Line, number: int, token: int) -> Line:
-    return msgspec.structs.replace(line, token=token) if line.table == number else line
+def _under(line: WeightEntry, number: int, token: int) -> WeightEntry:
+    return msgspec.structs.replace(line, fencing_token=token) if line.slice_id == number else line
--- a/puffintide/assigner/listed.py
+++ b/puffintide/assigner/listed.py
@@ -21,16 +21,16 @@
         self.reactor, self.path, self.log = reactor, path, log
         self.version = -1
         self.told = False  # by its source, in this life
-        self.entries: dict[int, tuple[m.Entry, float]] = {}  # and when each was heard
+        self.entries: dict[int, tuple[m.EndpointEntry, float]] = {}  # and when each was heard
         self._saving: Any = None
 
-    def heard(self, news: m.News) -> None:
-        self.version, self.told = news.version, news.kind != "cached"
-        if news.kind != "delta":
+    def heard(self, news: m.WatchEvent) -> None:
+        self.version, self.told = news.version, news.update_type != "cached"
+        if news.update_type != "delta":
             self.entries = {}
         now = float(self.reactor.seconds())
-        self.entries.update({e.id: (e, now) for e in news.servers})
-        self.entries = {k: row for k, row in self.entries.items() if row[0].state != api.GONE}
+        self.entries.update({e.server_id: (e, now) for e in news.servers})
+        self.entries = {k: row for k, row in self.entries.items() if row[0].status != api.GONE}
         if self.path and self._saving is None:
             self._saving = self.reactor.callLater(SAVE_S, self._write)
 
@@ -42,11 +42,11 @@
             for _, (e, at) in sorted(self.entries.items())
         ]
         try:
-            save_list(self.path, time.time(), m.News("cached", self.version, rows))
+            save_list(self.path, time.time(), m.WatchEvent("cached", self.version, rows))
         except OSError as error:
             self.log.warning("list_cache_failed", reason=str(error))
 
-    def load(self) -> m.News | None:
+    def load(self) -> m.WatchEvent | None:
         if not self.path:
             return None
         try:
--- a/puffintide/assigner/ordered.py
+++ b/puffintide/assigner/ordered.py
@@ -9,46 +9,52 @@
 
 from collections.abc import Iterable
 
-from puffintide.protocol.messages import Charge, Held, Line
+from puffintide.protocol.messages import SliceOwnership, TableEntry, WeightEntry
 
 
 class Ordered:
     def __init__(self) -> None:
-        self.lines: dict[int, dict[int, Held]] = {}
+        self.lines: dict[int, dict[int, TableEntry]] = {}
         self.batches: dict[int, int] = {}  # of the last order for each
         self.changed: set[int] = set()  # since somebody took note
 
-    def charge(self, charge: Charge, goes_on: bool) -> None:
+    def charge(self, charge: SliceOwnership, goes_on: bool) -> None:
         if not goes_on:
-            self.lines[charge.slice] = {h.server: h for h in charge.lines}
-            self.batches[charge.slice] = charge.batch
-        self.changed.add(charge.slice)
+            self.lines[charge.slice_id] = {h.server_id: h for h in charge.entries}
+            self.batches[charge.slice_id] = charge.batch
+        self.changed.add(charge.slice_id)
 
-    def written(self, batch: int, lines: Iterable[Line]) -> None:
+    def written(self, batch: int, lines: Iterable[WeightEntry]) -> None:
         for line in lines:
-            table = self.lines.setdefault(line.table, {})
+            table = self.lines.setdefault(line.slice_id, {})
             if line.weight > 0:
-                table[line.server] = Held(line.server, line.weight, line.address, line.zone)
+                table[line.server_id] = TableEntry(line.server_id, line.weight, line.address, line.zone)
             else:
-                table.pop(line.server, None)
-            self.batches[line.table] = batch
-            self.changed.add(line.table)
+                table.pop(line.server_id, None)
+            self.batches[line.slice_id] = batch
+            self.changed.add(line.slice_id)
 
     def taken(self, number: int) -> None:
         self.lines.pop(number, None)
         self.batches.pop(number, None)
         self.changed.discard(number)
 
-    def missing(self, charges: Iterable[Charge]) -> tuple[int, list[Line]]:
+    def missing(self, charges: Iterable[SliceOwnership]) -> tuple[int, list[WeightEntry]]:
         """(batch, lines) to write once more under the tokens that were given: what the store's tables lack."""
-        lines: list[Line] = []
+        lines: list[WeightEntry] = []
         batch = 0
         for charge in charges:
-            mine, stored = self.lines.get(charge.slice, {}), {h.server: h for h in charge.lines}
+            mine, stored = self.lines.get(charge.slice_id, {}), {h.server_id: h for h in charge.entries}
             new = [h for s, h in sorted(mine.items()) if s not in stored or stored[s].weight != h.weight]
-            found = [Line(charge.slice, h.server, h.weight, charge.token, h.address, h.zone) for h in new]
-            found += [Line(charge.slice, s, 0.0, charge.token) for s in sorted(stored.keys() - mine.keys())]
+            found = [
+                WeightEntry(charge.slice_id, h.server_id, h.weight, charge.fencing_token, h.address, h.zone)
+                for h in new
+            ]
+            found += [
+                WeightEntry(charge.slice_id, s, 0.0, charge.fencing_token)
+                for s in sorted(stored.keys() - mine.keys())
+            ]
             if found:
                 lines += found
-                batch = max(batch, self.batches.get(charge.slice, 0))
+                batch = max(batch, self.batches.get(charge.slice_id, 0))
         return batch, lines
--- a/puffintide/assigner/orders.py
+++ b/puffintide/assigner/orders.py
@@ -28,13 +28,13 @@
         self.proxies.pop(number, None)
         self.channel.leave(number)
 
-    def put(self, orders: list[tuple[int, m.Order]]) -> None:
+    def put(self, orders: list[tuple[int, m.ProxyUpdate]]) -> None:
         now = float(self.reactor.seconds())
         for proxy, order in orders:
             self.channel.put(proxy, order)
-            if order.mark is not None:
+            if order.checkpoint_id is not None:
                 self.marks = {k: at for k, at in self.marks.items() if now - at < MARK_S}
-                self.marks[order.mark] = now
+                self.marks[order.checkpoint_id] = now
         self._drain()
 
     def applied(self, mark: int) -> float:
--- a/puffintide/assigner/prober.py
+++ b/puffintide/assigner/prober.py
@@ -53,7 +53,7 @@
         self.out = (self.id, now)
         self.timer = self.reactor.callLater(self.timeout_s, self._end, m.TIMEOUT, ())
         if self.stream is not None:
-            self.stream.send(m.Probe(self.id))
+            self.stream.send(m.HealthCheckRequest(self.id))
         elif self.id > 1:
             self.dialler.stop()
             self.dialler = self._dial()
@@ -63,8 +63,8 @@
             case m.Welcome():
                 self.stream = stream
                 if self.out is not None:
-                    stream.send(m.Probe(self.out[0]))
-            case m.Probed(id=number, status=status, values=values):
+                    stream.send(m.HealthCheckRequest(self.out[0]))
+            case m.HealthCheckResponse(check_id=number, status=status, load_values=values):
                 if self.out is not None and number == self.out[0]:
                     self._end(status, tuple(values))
 
--- a/puffintide/assigner/reports.py
+++ b/puffintide/assigner/reports.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from puffintide import interface as api
-from puffintide.protocol.messages import Sums
+from puffintide.protocol.messages import UsageReport
 
 
 @dataclass(slots=True)
@@ -35,15 +35,15 @@
         self._credit = 0.0
         self._last: float | None = None
 
-    def add(self, now: float, zone: int, sums: Sums) -> None:
+    def add(self, now: float, zone: int, sums: UsageReport) -> None:
         for s in sums.servers:
-            pair = self._pair(now, (0, zone, s.server), sums.span_s)
-            pair.count += s.tries
-            pair.bad += s.failed
-            pair.good_s += s.good_s
-            pair.values = tuple(s.values) or pair.values
+            pair = self._pair(now, (0, zone, s.server_id), sums.interval_s)
+            pair.count += s.attempts
+            pair.bad += s.failed_attempts
+            pair.good_s += s.success_latency_total_s
+            pair.values = tuple(s.load_values) or pair.values
         for c in sums.slices:
-            pair = self._pair(now, (1, c.slice, c.request_class), sums.span_s)
+            pair = self._pair(now, (1, c.slice_id, c.class_index), sums.interval_s)
             pair.count += c.requests
             pair.bad += c.unanswered
 
@@ -76,8 +76,8 @@
         if kind == 0:
             good = pair.count - pair.bad
             mean = pair.good_s / good if good > 0 else 0.0
-            return api.LoadReport(where, what, pair.count, pair.bad, mean, span_s, pair.values)
-        return api.SliceHeat(where, what, pair.count, pair.bad, span_s)
+            return api.ServerLoadReport(where, what, pair.count, pair.bad, mean, span_s, pair.values)
+        return api.SliceLoadReport(where, what, pair.count, pair.bad, span_s)
 
     def forget_slice(self, number: int) -> None:
         """A slice that left our charge is no longer told of."""
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -14,7 +14,14 @@
 from puffintide import interface as api
 from puffintide.decisions.director import Director
 from puffintide.protocol.checks import sound_entries
-from puffintide.protocol.messages import Charge, Entry, Level, Line, News, Order
+from puffintide.protocol.messages import (
+    AdmissionLevel,
+    EndpointEntry,
+    ProxyUpdate,
+    SliceOwnership,
+    WatchEvent,
+    WeightEntry,
+)
 
 FEW = 64  # servers no longer listed that may be remembered, beside as many as are
 EARLY_MOST = 1_000_000  # events kept before the first list
@@ -32,8 +39,8 @@
 class Effects:
     """What a tick asks the service to do, in this order."""
 
-    writes: list[Line] = field(default_factory=list)  # to the store
-    orders: list[tuple[int, Order]] = field(default_factory=list)  # (proxy, message) for the channel
+    writes: list[WeightEntry] = field(default_factory=list)  # to the store
+    orders: list[tuple[int, ProxyUpdate]] = field(default_factory=list)  # (proxy, message) for the channel
     probes: list[int] = field(default_factory=list)
     watch: list[bool] = field(default_factory=list)
     logs: list[str] = field(default_factory=list)
@@ -55,7 +62,7 @@
         self.proxies: dict[int, int] = {}  # zone by proxy
         self.addresses: dict[int, str] = {}
         self.zones: dict[int, int] = {}
-        self.entries: dict[int, Entry] = {}  # as listed now, each the last good one
+        self.entries: dict[int, EndpointEntry] = {}  # as listed now, each the last good one
         self.tokens: dict[int, int] = {}  # slices in charge
         self.tenures: dict[int, int] = {}  # first token of the unbroken tenure of each
         self._started: dict[int, tuple[int, float]] = {}  # by server: its life, when that began
@@ -74,69 +81,76 @@
             self._heard_at = now
         self._events.extend(events)
 
-    def news(self, now: float, news: News) -> list[str]:
+    def news(self, now: float, news: WatchEvent) -> list[str]:
         """A list from outside. Ages become times on our own clock once for each life of a server. Entries that
         can't be are passed over, with the reasons given back: what was last told of such a server stands."""
         good, reasons = self._good(news)
         servers = []
         for e in good:
-            self.addresses[e.id] = e.address or self.addresses.get(e.id, "")
-            self.zones[e.id] = e.zone
-            servers.append(api.Server(e.id, e.zone, e.kind, e.cell, e.state, e.weight, self._start(now, e)))
+            self.addresses[e.server_id] = e.address or self.addresses.get(e.server_id, "")
+            self.zones[e.server_id] = e.zone
+            servers.append(
+                api.Endpoint(
+                    e.server_id, e.zone, e.server_type, e.cell, e.status, e.weight, self._start(now, e)
+                )
+            )
         for known in (self.addresses, self.zones, self._started):  # each machine has an id of its own
-            if len(known) > 2 * len(self.entries) + FEW and news.kind != "failed":
+            if len(known) > 2 * len(self.entries) + FEW and news.update_type != "failed":
                 for sid in known.keys() - self.entries.keys():
                     del known[sid]
-        if not self.listed and news.kind != "failed":
+        if not self.listed and news.update_type != "failed":
             self.listed = True
-            self._events.insert(0, api.ServerList(news.kind, news.version, tuple(servers)))
+            self._events.insert(0, api.EndpointListUpdate(news.update_type, news.version, tuple(servers)))
         else:
-            self.hear(now, api.ServerList(news.kind, news.version, tuple(servers)))
+            self.hear(now, api.EndpointListUpdate(news.update_type, news.version, tuple(servers)))
         return reasons
 
-    def _good(self, news: News) -> tuple[list[Entry], list[str]]:
-        if news.kind == "failed":
+    def _good(self, news: WatchEvent) -> tuple[list[EndpointEntry], list[str]]:
+        if news.update_type == "failed":
             return [], []
-        good, bad = sound_entries(news.servers, self.settings.zones)
-        if news.kind == "delta":
+        good, bad = sound_entries(news.servers, self.settings.zone_count)
+        if news.update_type == "delta":
             self.entries |= good
         else:  # a server whose entry can't be is not one that is missing
             self.entries = good = {k: e for k, e in self.entries.items() if k in bad} | good
-        self.entries = {k: e for k, e in self.entries.items() if e.state != api.GONE}
+        self.entries = {k: e for k, e in self.entries.items() if e.status != api.GONE}
         return list(good.values()), [bad[k] for k in sorted(bad)]
 
-    def _start(self, now: float, entry: Entry) -> float:
+    def _start(self, now: float, entry: EndpointEntry) -> float:
         if entry.age_s < 0:
             return 0.0
-        life, began = self._started.get(entry.id, (-1, 0.0))
-        if life != entry.start:
-            life, began = self._started[entry.id] = entry.start, now - entry.age_s
+        life, began = self._started.get(entry.server_id, (-1, 0.0))
+        if life != entry.incarnation:
+            life, began = self._started[entry.server_id] = entry.incarnation, now - entry.age_s
         return began
 
-    def charge(self, now: float, charge: Charge) -> bool:
+    def charge(self, now: float, charge: SliceOwnership) -> bool:
         """A slice is given, with its table. In an unbroken tenure (True) it has been ours all the time, whatever
         the store missed: the module goes on with the table it knows."""
-        held = charge.slice in self.tokens
-        goes_on = held and charge.since and self.tenures.get(charge.slice) == charge.since
-        self.tokens[charge.slice], self.tenures[charge.slice] = charge.token, charge.since
+        held = charge.slice_id in self.tokens
+        goes_on = held and charge.tenure_token and self.tenures.get(charge.slice_id) == charge.tenure_token
+        self.tokens[charge.slice_id], self.tenures[charge.slice_id] = (
+            charge.fencing_token,
+            charge.tenure_token,
+        )
         if goes_on:
             return True
-        self.addresses |= {h.server: h.address for h in charge.lines if h.address}
-        stored = [api.StoredLine(charge.slice, h.server, h.weight) for h in charge.lines]
-        self.hear(now, api.SliceCharge(charge.slice, True), *stored)
+        self.addresses |= {h.server_id: h.address for h in charge.entries if h.address}
+        stored = [api.StoredWeight(charge.slice_id, h.server_id, h.weight) for h in charge.entries]
+        self.hear(now, api.OwnershipChanged(charge.slice_id, True), *stored)
         return False
 
     def taken(self, now: float, number: int) -> None:
         if self.tokens.pop(number, None) is not None:
-            self.hear(now, api.SliceCharge(number, False))
+            self.hear(now, api.OwnershipChanged(number, False))
 
     def joined(self, now: float, proxy: int, zone: int, rate: float, fresh: bool) -> None:
         self.proxies[proxy] = zone
-        self.hear(now, api.ProxyJoined(proxy, zone, rate, fresh))
+        self.hear(now, api.ProxyConnected(proxy, zone, rate, fresh))
 
     def left(self, now: float, proxy: int) -> None:
         if self.proxies.pop(proxy, None) is not None:
-            self.hear(now, api.ProxyLeft(proxy))
+            self.hear(now, api.ProxyDisconnected(proxy))
 
     # Ticks --------------------------------------------------------------------------------------
 
@@ -147,22 +161,22 @@
         """After a round that failed: its timer is lost with it, and without one the module's rounds end. Where one
         stands, what failed was not the module, and a second would double its rounds for good."""
         if self.next_timer() is None:
-            self.hear(now, api.TimerDue(0))
+            self.hear(now, api.TimerFired(0))
 
     def busy(self) -> bool:
         return self.listed and bool(self._events)
 
     def waiting_servers(self) -> set[int]:
         """Those that events name which the module has not been handed yet."""
-        return {e.server for e in self._events if isinstance(e, api.StoredLine)}
+        return {e.server_id for e in self._events if isinstance(e, api.StoredWeight)}
 
     def tick(self, now: float) -> Effects | None:
         """Hands the waiting events and due timers to the module; None when there was nothing."""
         while self._timers and self._timers[0][0] <= now:
             _, _, name = heapq.heappop(self._timers)
-            self.hear(now, api.TimerDue(name))
+            self.hear(now, api.TimerFired(name))
         if not self.listed:
-            kept = (api.SliceCharge, api.StoredLine, api.ProxyJoined, api.ProxyLeft)
+            kept = (api.OwnershipChanged, api.StoredWeight, api.ProxyConnected, api.ProxyDisconnected)
             early: list[api.Event] = [e for e in self._events if isinstance(e, kept)]
             self._events = early[-EARLY_MOST:]
             return None
@@ -177,36 +191,45 @@
 
     def _carry_out(self, now: float, actions: tuple[api.Action, ...], out: Effects) -> None:
         withdrawals: dict[int, bool] = {}
-        levels: list[Level] = []
+        levels: list[AdmissionLevel] = []
         mark: int | None = None
         for action in actions:
             match action:
                 case api.SetTimer(after_s, name):
                     self._timer_count += 1
                     heapq.heappush(self._timers, (now + after_s, self._timer_count, name))
-                case api.Probe(server):
+                case api.SendHealthCheck(server):
                     out.probes.append(server)
-                case api.WatchList(on):
+                case api.WatchEndpoints(on):
                     out.watch.append(on)
-                case api.Log(text):
+                case api.LogMessage(text):
                     out.logs.append(text)
-                case api.Mark(number):
+                case api.SendCheckpoint(number):
                     mark = number
-                case api.SetLine(table, server, weight) if table in self.tokens:
+                case api.SetWeight(table, server, weight) if table in self.tokens:
                     out.writes.append(self._line(table, server, weight))
-                case api.Withdraw(server, gone):
+                case api.SetWithdrawn(server, gone):
                     withdrawals[server] = gone
-                case api.Admit(table, classes, level, retry):
-                    levels.append(Level(table, classes, level, retry))
+                case api.SetAdmission(table, classes, level, retry):
+                    levels.append(AdmissionLevel(table, classes, level, retry))
         told = [s for s, gone in sorted(withdrawals.items()) if gone]
         back = [s for s, gone in sorted(withdrawals.items()) if not gone]
         size = len(out.writes) + len(told) + len(back) + len(levels)
         if not size:
             return
-        cost = size + (mark is not None) + self.settings.channel_head_lines
-        order = Order(self.batch, now, cost, out.writes, out=told, back=back, levels=levels, mark=mark)
+        cost = size + (mark is not None) + self.settings.channel_header_entries
+        order = ProxyUpdate(
+            self.batch,
+            now,
+            cost,
+            out.writes,
+            withdrawn_servers=told,
+            readmitted_servers=back,
+            admission_levels=levels,
+            checkpoint_id=mark,
+        )
         out.orders = [(proxy, order) for proxy in sorted(self.proxies)]
 
-    def _line(self, table: int, server: int, weight: float) -> Line:
+    def _line(self, table: int, server: int, weight: float) -> WeightEntry:
         address, zone = self.addresses.get(server, ""), self.zones.get(server, -1)
-        return Line(table, server, weight, self.tokens[table], address, zone)
+        return WeightEntry(table, server, weight, self.tokens[table], address, zone)
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -59,11 +59,13 @@
         self.runtime = Runtime(self.settings, (lambda _: zoned) if zoned is not None else Director)
         self.ordered = Ordered()
         self.channel = Channel(
-            self.settings.channel_lines_per_s, self.settings.channel_limit, self.settings.messages_span_s
+            self.settings.channel_entries_per_s,
+            self.settings.channel_capacity_entries,
+            self.settings.message_window_s,
         )
         self.orders = Orders(reactor, self.channel)
         self.proxies = self.orders.proxies
-        self.reports = Gatherer(self.settings.report_lines_per_s)
+        self.reports = Gatherer(self.settings.report_entries_per_s)
         self.draw = random.Random(f"{self.me.seed}:{self.me.id}:{life}").random
         self.list: Stream | None = None
         self.listed = Listed(reactor, self.me.list_cache, log)
@@ -74,7 +76,7 @@
         self.rounds = 0
         self.decisions = 0
         self.peers = (
-            Peers(reactor, config.peers, self.me.id, life, self.settings.slices, log, self._to_store)
+            Peers(reactor, config.peers, self.me.id, life, self.settings.slice_count, log, self._to_store)
             if config.peers is not None
             else None
         )
@@ -96,15 +98,15 @@
 
     def hello(self) -> m.Hello:
         name = self.config.deployment.name
-        return m.Hello(m.VERSION, "assigner", self.me.id, self.me.zone, name, start=self.life)
+        return m.Hello(m.PROTOCOL_VERSION, "assigner", self.me.id, self.me.zone, name, incarnation=self.life)
 
     def store_hello(self) -> m.Hello:
         token = max(self.runtime.tokens.values(), default=0)
-        return msgspec.structs.replace(self.hello(), token=token)
+        return msgspec.structs.replace(self.hello(), highest_token=token)
 
     def factory(self) -> Acceptor:
         def me() -> m.Welcome:
-            return m.Welcome(m.VERSION, "assigner", self.me.id, self.life)
+            return m.Welcome(m.PROTOCOL_VERSION, "assigner", self.me.id, self.life)
 
         return Acceptor(self.reactor, me, self._from_dialled, self._proxy_lost, self._judge)
 
@@ -139,9 +141,9 @@
     def _heard(self) -> Heard:
         entries = self.runtime.entries
         return Heard(
-            {sid: entry.start for sid, entry in entries.items()},
+            {sid: entry.incarnation for sid, entry in entries.items()},
             {sid: at for sid, (_, at) in self.listed.entries.items() if self.listed.told},
-            {sid for sid, entry in entries.items() if entry.state == api.DRAINING},
+            {sid for sid, entry in entries.items() if entry.status == api.DRAINING},
         )
 
     def _flush(self) -> None:
@@ -151,7 +153,7 @@
             self.runtime.hear(self.now(), *news)
             self._schedule()
 
-    def _copies(self, changed: set[int] | None) -> Iterator[m.Copies]:
+    def _copies(self, changed: set[int] | None) -> Iterator[m.ReplicationDelta]:
         assert self.peers is not None
         self._flush()
         return newest(self.peers.replica, self.now, changed)
@@ -183,39 +185,41 @@
             self.peers.heard(stream, message)
             return
         match message:
-            case m.Digest() | m.Copies() if self.peers and stream.tag and stream.tag[0] == "assigner":
+            case m.VersionDigest() | m.ReplicationDelta() if (
+                self.peers and stream.tag and stream.tag[0] == "assigner"
+            ):
                 self.peers.heard(stream, message)
-            case m.AskCopies() if self.peers and stream.tag and stream.tag[0] == "operator":
+            case m.ReplicaRequest() if self.peers and stream.tag and stream.tag[0] == "operator":
                 for piece in self.peers.replica.differences(now, [], SHOWN_MOST):
                     stream.send(piece)
-                stream.send(m.Digest(self.peers.replica.digest()))
+                stream.send(m.VersionDigest(self.peers.replica.digest()))
             case m.Hello(role="proxy"):
                 self._proxy_joined(now, stream, message)
             case m.Hello():
                 stream.tag = (message.role, message.id)
-            case m.AskZones() if stream.tag and stream.tag[0] == "operator":
+            case m.ZoneStatusRequest() if stream.tag and stream.tag[0] == "operator":
                 stream.send(self._zones(now))
-            case m.Sums() if stream.tag and stream.tag[0] == "proxy":
+            case m.UsageReport() if stream.tag and stream.tag[0] == "proxy":
                 zone = self.runtime.proxies.get(stream.tag[1])
-                wrong = wrong_sums(message, self.settings.slices, len(self.settings.classes))
+                wrong = wrong_sums(message, self.settings.slice_count, len(self.settings.request_classes))
                 if wrong is not None:
                     stream.refuse(f"sums: {wrong}")
                 elif zone is not None:
                     self.reports.add(now, zone, message)
-            case m.Applied(mark) if stream.tag and stream.tag[0] == "proxy" and mark >= FIRST_MARK:
+            case m.CheckpointReply(mark) if stream.tag and stream.tag[0] == "proxy" and mark >= FIRST_MARK:
                 if self.handover is not None:
                     self._step(self.handover.applied(now, stream.tag[1], mark))
-            case m.Applied() if stream.tag and stream.tag[0] == "proxy":
-                took = self.orders.applied(message.mark)
-                self.runtime.hear(now, api.Applied(stream.tag[1], message.mark, took))
+            case m.CheckpointReply() if stream.tag and stream.tag[0] == "proxy":
+                took = self.orders.applied(message.checkpoint_id)
+                self.runtime.hear(now, api.CheckpointAcknowledged(stream.tag[1], message.checkpoint_id, took))
                 self._schedule()
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for an assigner")
 
-    def _zones(self, now: float) -> m.Zones:
+    def _zones(self, now: float) -> m.ZoneStatusReport:
         states = self.zoned.plan.states() if self.zoned is not None else []
         rows = [
-            m.ZoneRow(
+            m.ZoneStatus(
                 s.zone,
                 s.phase,
                 s.cause,
@@ -229,7 +233,7 @@
             )
             for s in states
         ]
-        return m.Zones(self.me.id, self.zoned is not None, rows)
+        return m.ZoneStatusReport(self.me.id, self.zoned is not None, rows)
 
     def _proxy_joined(self, now: float, stream: Stream, hello: m.Hello) -> None:
         old = self.proxies.get(hello.id)
@@ -240,8 +244,8 @@
         self.orders.joined(hello.id, stream)
         if self.handover is not None:
             self._step(self.handover.joined(now, hello.id))
-        self.runtime.joined(now, hello.id, hello.zone, 0.0, hello.fresh)
-        self.log.info("proxy_joined", proxy=hello.id, zone=hello.zone, fresh=hello.fresh)
+        self.runtime.joined(now, hello.id, hello.zone, 0.0, hello.first_connection)
+        self.log.info("proxy_joined", proxy=hello.id, zone=hello.zone, fresh=hello.first_connection)
         self._schedule()
 
     def _forget_proxy(self, now: float, proxy: int) -> None:
@@ -261,21 +265,21 @@
             case m.Welcome():
                 self.list = stream
                 self.log.info("list_reached")
-                if not self.settings.list_is_asked:
-                    stream.send(m.Watch(True, self.listed.version))
+                if not self.settings.watch_on_request:
+                    stream.send(m.WatchRequest(True, self.listed.version))
                 elif not self.runtime.listed:  # a first list, as the module is promised one at its start
-                    stream.send(m.Fetch())
-            case m.News() if message.kind not in NEWS_KINDS:
-                stream.refuse(f"news of kind {message.kind[:20]!r}; there are {', '.join(NEWS_KINDS)}")
-            case m.News():
+                    stream.send(m.SnapshotRequest())
+            case m.WatchEvent() if message.update_type not in NEWS_KINDS:
+                stream.refuse(f"news of kind {message.update_type[:20]!r}; there are {', '.join(NEWS_KINDS)}")
+            case m.WatchEvent():
                 for reason in self.runtime.news(self.now(), message)[:REASONS_MOST]:
                     self.log.warning("entry_refused", reason=reason)
-                if message.kind != "failed":
+                if message.update_type != "failed":
                     self.listed.heard(message)
                 for server in sorted(self.probers.keys() - self.runtime.entries.keys()):
                     self.probers.pop(server).stop()
-                states = {e.id: e.state for e in message.servers}
-                self.log.info("list", kind=message.kind, version=message.version, states=states)
+                states = {e.server_id: e.status for e in message.servers}
+                self.log.info("list", kind=message.update_type, version=message.version, states=states)
                 self._schedule()
 
     def _load_list(self) -> None:
@@ -287,8 +291,8 @@
     def _list_lost(self, why: str) -> None:
         if self.list is not None:
             self.log.warning("list_lost", reason=why)
-            if self.settings.list_is_asked:
-                self.runtime.news(self.now(), m.News("failed", self.listed.version))
+            if self.settings.watch_on_request:
+                self.runtime.news(self.now(), m.WatchEvent("failed", self.listed.version))
         self.list = None
 
     # Ticks --------------------------------------------------------------------------------------
@@ -338,9 +342,9 @@
             self._probe(now, server)
         if self.list is not None:
             for on in effects.watch:
-                self.list.send(m.Watch(on, self.listed.version))
+                self.list.send(m.WatchRequest(on, self.listed.version))
         elif effects.watch:
-            self.runtime.news(now, m.News("failed", self.listed.version))
+            self.runtime.news(now, m.WatchEvent("failed", self.listed.version))
         for text in effects.logs:
             self.log.info("module", text=text)
         self._log_decision(now, effects)
@@ -360,7 +364,7 @@
         self._step(self.handover.due(self.now()))
 
     def _log_decision(self, now: float, effects: Effects) -> None:
-        kinds = (api.SetLine, api.Withdraw, api.Admit)
+        kinds = (api.SetWeight, api.SetWithdrawn, api.SetAdmission)
         told = [a for a in effects.actions if isinstance(a, kinds)]
         if not told:
             return
@@ -390,7 +394,7 @@
 
     def _probe(self, now: float, server: int) -> None:
         address = self.runtime.addresses.get(server, "")
-        if not address or not self.settings.probes:
+        if not address or not self.settings.health_checks_enabled:
             return
         prober = self.probers.get(server)
         if prober is None or prober.address != address:
@@ -407,7 +411,7 @@
         prober.probe(now)
 
     def probed(self, server: int, status: int, took_s: float, values: tuple[float, ...]) -> None:
-        self.runtime.hear(self.now(), api.ProbeResult(server, status, took_s, values))
+        self.runtime.hear(self.now(), api.HealthCheckResult(server, status, took_s, values))
         self._schedule()
 
     def _stats(self) -> None:
--- a/puffintide/assigner/stored.py
+++ b/puffintide/assigner/stored.py
@@ -17,7 +17,7 @@
 from puffintide.protocol.stream import Stream
 
 ANSWER_S = 0.01  # between pieces to a store that lost all
-Pieces = Callable[[set[int] | None], Iterator[m.Copies]]
+Pieces = Callable[[set[int] | None], Iterator[m.ReplicationDelta]]
 
 
 class Stored:
@@ -48,7 +48,7 @@
         self.stream: Stream | None = None
         self.hands: dict[int, int] = {}  # number of the order that stands, by zone
         self.refilling = False  # it has asked for all tables, and gives no charge yet
-        self._answers: Iterator[m.Copies] = iter(())  # pieces that wait to go
+        self._answers: Iterator[m.ReplicationDelta] = iter(())  # pieces that wait to go
 
     def heard(self, stream: Stream, message: AnyMessage) -> None:
         now = float(self.reactor.seconds())
@@ -56,40 +56,42 @@
             case m.Welcome():
                 self.stream = stream
                 self.log.info("store_reached")
-            case m.Charges():
-                wrong = next((w for c in message.charges if (w := wrong_lines(c.lines)) is not None), None)
+            case m.SliceOwnerships():
+                wrong = next(
+                    (w for c in message.ownerships if (w := wrong_lines(c.entries)) is not None), None
+                )
                 if wrong is not None:
                     stream.refuse(f"charges: {wrong}")
                     return
-                self._charged(now, [c for c in message.charges if c.assigner == self.me])
-            case m.Members():
-                self.log.info("members", assigners=message.assigners)
-                if self.me in message.assigners:
-                    self.runtime.hear(now, api.Instances(len(message.assigners)))
-            case m.Hands():
-                for hand in message.hands:
-                    if hand.number != self.hands.get(hand.zone):
-                        self.hands[hand.zone] = hand.number
-                        self.runtime.hear(now, api.ZoneHand(hand.zone, hand.what, hand.pace))
-                        self.log.warning("hand", zone=hand.zone, what=hand.what, by=hand.by)
-            case m.Taken():
+                self._charged(now, [c for c in message.ownerships if c.owner_id == self.me])
+            case m.AssignerMembership():
+                self.log.info("members", assigners=message.assigner_ids)
+                if self.me in message.assigner_ids:
+                    self.runtime.hear(now, api.AssignerCountChanged(len(message.assigner_ids)))
+            case m.ZoneCommands():
+                for hand in message.commands:
+                    if hand.sequence != self.hands.get(hand.zone):
+                        self.hands[hand.zone] = hand.sequence
+                        self.runtime.hear(now, api.ZoneCommandReceived(hand.zone, hand.operation, hand.pace))
+                        self.log.warning("hand", zone=hand.zone, what=hand.operation, by=hand.operator)
+            case m.OwnershipRevoked():
                 if self.handover is not None:
-                    self.handover.refused(message.slice)
-                self.runtime.taken(now, message.slice)
-                self.reports.forget_slice(message.slice)
-                self.ordered.taken(message.slice)
-                self.log.info("slice_taken", slice=message.slice)
-            case m.Written():
+                    self.handover.refused(message.slice_id)
+                self.runtime.taken(now, message.slice_id)
+                self.reports.forget_slice(message.slice_id)
+                self.ordered.taken(message.slice_id)
+                self.log.info("slice_taken", slice=message.slice_id)
+            case m.WriteAcknowledged():
                 if self.handover is not None:
                     self.step(self.handover.written(now, message.batch))
-            case m.AskCopies():  # it lost all that it had kept
+            case m.ReplicaRequest():  # it lost all that it had kept
                 if self.copies is not None:
                     self.refilling, self._answers = True, iter(())
                     self._tell(stream, self.copies(None))
-            case m.Refused():
+            case m.WriteRejected():
                 if self.handover is not None:
-                    self.handover.refused(message.slice)
-                self.log.warning("write_refused", slice=message.slice, reason=message.reason)
+                    self.handover.refused(message.slice_id)
+                self.log.warning("write_refused", slice=message.slice_id, reason=message.reason)
         self.due()
 
     def lost(self, why: str) -> None:
@@ -97,27 +99,27 @@
             self.log.warning("store_lost", reason=why)
         self.stream, self.refilling = None, False
 
-    def write(self, batch: int, lines: list[m.Line]) -> None:
+    def write(self, batch: int, lines: list[m.WeightEntry]) -> None:
         """While it is away nothing is lost by that: what its tables lack is written on its return."""
         if self.stream is not None:
-            self.stream.send(m.Write(batch, lines))
+            self.stream.send(m.WriteRequest(batch, lines))
         else:
             self.log.warning("write_waits", batch=batch, lines=len(lines))
 
-    def _charged(self, now: float, ours: list[m.Charge]) -> None:
+    def _charged(self, now: float, ours: list[m.SliceOwnership]) -> None:
         self.refilling = False
-        goes_on = {c.slice for c in ours if self.runtime.charge(now, c)}
+        goes_on = {c.slice_id for c in ours if self.runtime.charge(now, c)}
         for charge in ours:
-            self.ordered.charge(charge, charge.slice in goes_on)
-            if charge.slice not in goes_on and self.handover is not None:
-                self.handover.refused(charge.slice)
-        self._write_again([c for c in ours if c.slice in goes_on])
+            self.ordered.charge(charge, charge.slice_id in goes_on)
+            if charge.slice_id not in goes_on and self.handover is not None:
+                self.handover.refused(charge.slice_id)
+        self._write_again([c for c in ours if c.slice_id in goes_on])
 
-    def _write_again(self, charges: list[m.Charge]) -> None:
+    def _write_again(self, charges: list[m.SliceOwnership]) -> None:
         """What the store has not kept, or keeps no more, under the tokens that hold now."""
         if self.handover is not None:
             for charge in charges:
-                self.handover.token(charge.slice, charge.token)
+                self.handover.token(charge.slice_id, charge.fencing_token)
             for batch, lines in self.handover.again():
                 self.write(batch, lines)
             return
@@ -133,7 +135,7 @@
         if self.refilling and numbers and self.stream is not None and self.copies is not None:
             self._tell(self.stream, self.copies(numbers))
 
-    def _tell(self, stream: Stream, pieces: Iterator[m.Copies]) -> None:
+    def _tell(self, stream: Stream, pieces: Iterator[m.ReplicationDelta]) -> None:
         before, self._answers = self._answers, pieces
         first = next(before, None)
         if first is None:
--- a/puffintide/audit/copies.py
+++ b/puffintide/audit/copies.py
@@ -23,7 +23,11 @@
     last = 0.0
     for r in records:
         last = max(last, r.came)
-        if not r.link.startswith("peer:") or not isinstance(r.message, m.Copies) or r.conn not in dialled:
+        if (
+            not r.link.startswith("peer:")
+            or not isinstance(r.message, m.ReplicationDelta)
+            or r.conn not in dialled
+        ):
             continue
         target = int(r.link.rsplit(":", 1)[1])
         sender, taker = (target, dialled[r.conn].id) if r.to_dialler else (dialled[r.conn].id, target)
@@ -36,7 +40,7 @@
             if at is not None and at > ended.get(who, -1.0):
                 held[who].take(at, r.message)
         for row in r.message.rows:
-            first.setdefault((row.number, row.value), (r.came, r.number))
+            first.setdefault((row.row_id, row.value), (r.came, r.number))
     best: dict[int, dict[int, m.Value]] = {}
     for k, replica in held.items():
         for number, rows in replica.readings(last, KIND).items():
--- a/puffintide/audit/rules.py
+++ b/puffintide/audit/rules.py
@@ -207,15 +207,15 @@
             ):
                 until = min(peer.until, self._killed_after(self._number_of(r.link), r.went))
                 self.streams[peer.id, self._number_of(r.link)].append((r.went, until))
-            elif kind == "list" and isinstance(message, m.News) and r.went is not None:
+            elif kind == "list" and isinstance(message, m.WatchEvent) and r.went is not None:
                 self._news(peer.id, self._heard(peer.id, r.went), message, listed, began)
-            elif kind == "store" and isinstance(message, m.Charges) and peer.role == "assigner":
-                for charge in message.charges:
+            elif kind == "store" and isinstance(message, m.SliceOwnerships) and peer.role == "assigner":
+                for charge in message.ownerships:
                     self._given(peer.id, r, charge, open_charge)
-            elif kind == "store" and isinstance(message, m.Taken) and r.went is not None:
-                since = open_charge.pop((peer.id, message.slice), None)
+            elif kind == "store" and isinstance(message, m.OwnershipRevoked) and r.went is not None:
+                since = open_charge.pop((peer.id, message.slice_id), None)
                 if since is not None:
-                    self.charges[peer.id][message.slice].append((since, self._heard(peer.id, r.went)))
+                    self.charges[peer.id][message.slice_id].append((since, self._heard(peer.id, r.went)))
         for (assigner, number), since in open_charge.items():
             self.charges[assigner][number].append((since, self._killed_after(assigner, since)))
         for key, spans in list(self.streams.items()):
@@ -228,40 +228,40 @@
         return min((t for t in self.world.killed.get(assigner, []) if t >= at), default=EVER)
 
     def _given(
-        self, assigner: int, r: Record, charge: m.Charge, open_charge: dict[tuple[int, int], float]
+        self, assigner: int, r: Record, charge: m.SliceOwnership, open_charge: dict[tuple[int, int], float]
     ) -> None:
         """A slice is given when the assigner has it; the old one's charge ends as the store writes that."""
-        number = charge.slice
-        self.tokens[number].append((r.came, charge.token, charge.assigner))
+        number = charge.slice_id
+        self.tokens[number].append((r.came, charge.fencing_token, charge.owner_id))
         for (who, other), since in list(open_charge.items()):
             if other == number:
                 del open_charge[who, other]
                 self.charges[who][number].append((since, min(r.came, self._killed_after(who, since))))
-        if charge.assigner == assigner and r.went is not None:
+        if charge.owner_id == assigner and r.went is not None:
             open_charge[assigner, number] = self._heard(assigner, r.went)
 
     def _news(
         self,
         assigner: int,
         at: float,
-        news: m.News,
+        news: m.WatchEvent,
         listed: dict[int, set[int]],
         began: dict[tuple[int, int, int], float],
     ) -> None:
-        if news.kind not in NEWS_KINDS or news.kind == "failed":
+        if news.update_type not in NEWS_KINDS or news.update_type == "failed":
             return
         told = self.told[assigner]
         good, bad = sound_entries(news.servers, len(self.config.deployment.zones))
         for e in good.values():
-            self.zones[e.id] = e.zone
-            key = (assigner, e.id, e.start)
+            self.zones[e.server_id] = e.zone
+            key = (assigner, e.server_id, e.incarnation)
             if key not in began:
                 began[key] = 0.0 if e.age_s < 0 else at - e.age_s
-                if e.age_s >= 0 and e.state == 1:
-                    self.starts[assigner, e.id].append(at)
-            told[e.id].states.append((at, e.state, began[key]))
-            listed[assigner].add(e.id)
-        if news.kind in ("full", "cached"):
+                if e.age_s >= 0 and e.status == 1:
+                    self.starts[assigner, e.server_id].append(at)
+            told[e.server_id].states.append((at, e.status, began[key]))
+            listed[assigner].add(e.server_id)
+        if news.update_type in ("full", "cached"):
             for sid in listed[assigner] - good.keys() - bad.keys():
                 told[sid].states.append((at, 0, 0.0))
             listed[assigner] = {*good, *(listed[assigner] & bad.keys())}
@@ -306,20 +306,20 @@
                     d.slices, d.retry_default, d.pick, lambda: 0.5, single_writer=d.single_writer
                 )
             tables = replicas[peer.id]
-            if isinstance(r.message, m.Charges):
-                for charge in r.message.charges:
+            if isinstance(r.message, m.SliceOwnerships):
+                for charge in r.message.ownerships:
                     tables.charge(charge)
-                    look(peer.id, charge.slice, r.went, r.number)
+                    look(peer.id, charge.slice_id, r.went, r.number)
             elif isinstance(r.message, m.Welcome) and r.link.startswith("order:"):
                 assigner = self._number_of(r.link)
                 tables.joined(assigner)
                 for number in sorted(n for n, t in tables.tables.items() if t.assigner == assigner):
                     look(peer.id, number, r.went, r.number)
-            elif isinstance(r.message, m.Order):
+            elif isinstance(r.message, m.ProxyUpdate):
                 assigner = self._number_of(r.link)
                 tables.order(assigner, r.message)
-                touched = {line.table for line in r.message.lines} | set(r.message.clear)
-                if r.message.out or r.message.back:
+                touched = {line.slice_id for line in r.message.weights} | set(r.message.cleared_slices)
+                if r.message.withdrawn_servers or r.message.readmitted_servers:
                     touched |= {n for n, t in tables.tables.items() if t.assigner == assigner}
                 for number in sorted(touched & tables.tables.keys()):
                     look(peer.id, number, r.went, r.number)
@@ -350,23 +350,23 @@
     def _tries(self) -> None:
         answered: dict[tuple[int, int], tuple[float, int]] = {}
         for r in self.records:
-            if isinstance(r.message, m.Answer) and r.went is not None:
-                answered[r.conn, r.message.id] = (r.went, r.message.status)
-        sent: dict[tuple[int, int], list[tuple[Record, m.Try, int]]] = defaultdict(list)
+            if isinstance(r.message, m.AttemptResponse) and r.went is not None:
+                answered[r.conn, r.message.attempt_id] = (r.went, r.message.status)
+        sent: dict[tuple[int, int], list[tuple[Record, m.AttemptRequest, int]]] = defaultdict(list)
         last: dict[tuple[int, int, float], float] = {}
-        pushed: dict[int, list[tuple[Record, m.Try, bool]]] = defaultdict(list)
+        pushed: dict[int, list[tuple[Record, m.AttemptRequest, bool]]] = defaultdict(list)
         orders = self._orders_by_proxy()
         for r in sorted(self.records, key=lambda r: (r.came, r.number)):
-            if not isinstance(r.message, m.Try):
+            if not isinstance(r.message, m.AttemptRequest):
                 continue
             t, server = r.message, self._number_of(r.link)
-            sent[t.proxy, t.request].append((r, t, server))
-            duty = self._in_charge(t.slice, r.came)
+            sent[t.proxy_id, t.request_id].append((r, t, server))
+            duty = self._in_charge(t.slice_id, r.came)
             knowing = False
             if duty is not None:
                 assigner, given = duty
                 self._drain(r, t, server, assigner, given, last)
-                knowing = self._knows(t.proxy, server, assigner, r.came, orders)
+                knowing = self._knows(t.proxy_id, server, assigner, r.came, orders)
             if r.went is not None:
                 pushed[server].append((r, t, knowing))
         for tries in sent.values():
@@ -381,19 +381,19 @@
     def _drain(
         self,
         r: Record,
-        t: m.Try,
+        t: m.AttemptRequest,
         server: int,
         assigner: int,
         given: float,
         last: dict[tuple[int, int, float], float],
     ) -> None:
-        stream = holding(self.streams.get((t.proxy, assigner), []), r.came)
+        stream = holding(self.streams.get((t.proxy_id, assigner), []), r.came)
         lost = self.told[assigner][server].lost_since(r.came)
         if stream is None or lost is None:
             return
         last[assigner, server, lost] = max(last.get((assigner, server, lost), lost), r.came)
         late = r.came - max(lost, stream, given)
-        who = f"proxy {t.proxy} to server {server}, slice {t.slice}, assigner {assigner}"
+        who = f"proxy {t.proxy_id} to server {server}, slice {t.slice_id}, assigner {assigner}"
         self.result.see("drains kept", r.came, who, late, self.config.rules.drain_grace_s, r.number)
 
     def _orders_by_proxy(self) -> dict[tuple[int, int], list[tuple[float, float]]]:
@@ -401,8 +401,8 @@
         found: dict[tuple[int, int], list[tuple[float, float]]] = defaultdict(list)
         for r in self.records:
             peer = self.peers.get(r.conn)
-            if isinstance(r.message, m.Order) and peer is not None and r.went is not None:
-                found[peer.id, self._number_of(r.link)].append((r.went, r.message.at))
+            if isinstance(r.message, m.ProxyUpdate) and peer is not None and r.went is not None:
+                found[peer.id, self._number_of(r.link)].append((r.went, r.message.ordered_at_s))
         return found
 
     def _knows(
@@ -421,17 +421,19 @@
         return (k >= 0 and rows[k][1] >= starts[-1]) or at - starts[-1] >= self.config.rules.drain_grace_s
 
     def _repeats(
-        self, tries: list[tuple[Record, m.Try, int]], answered: dict[tuple[int, int], tuple[float, int]]
+        self,
+        tries: list[tuple[Record, m.AttemptRequest, int]],
+        answered: dict[tuple[int, int], tuple[float, int]],
     ) -> None:
         """A once request is not sent again after a try that may have run, a keyed one only within its window and
         group. A try that did not run is one that was answered as full before the next, or never delivered to
         an open server, its stream gone."""
-        made = self.classes[tries[0][1].request_class]
+        made = self.classes[tries[0][1].class_index]
         first: Record | None = None
         first_server = -1
         for r, t, server in tries:
             if first is not None:
-                who = f"proxy {t.proxy}, request {t.request}, try {t.number}"
+                who = f"proxy {t.proxy_id}, request {t.request_id}, try {t.attempt_number}"
                 if made.effect == "once":
                     self.result.broken("no effect twice", r.came, who, first.number, r.number)
                 elif made.effect == "by_key":
@@ -441,11 +443,11 @@
                     )
                     if made.group == "zone" and self.zones.get(server) != self.zones.get(first_server):
                         self.result.broken("no effect twice", r.came, who, first.number, r.number)
-            answer = answered.get((r.conn, t.id))
+            answer = answered.get((r.conn, t.attempt_id))
             if first is None and not (answer is not None and answer[1] == m.FULL):
                 first, first_server = r, server
 
-    def _cold(self, life: Life, tries: list[tuple[Record, m.Try, bool]]) -> None:
+    def _cold(self, life: Life, tries: list[tuple[Record, m.AttemptRequest, bool]]) -> None:
         """The budget of each window while the server warms, and how much of it came from those who knew."""
         rules = self.config.rules
         window: deque[tuple[float, float, bool, int]] = deque()
@@ -476,13 +478,13 @@
             peer = self.peers.get(r.conn)
             if peer is None:
                 continue
-            if isinstance(r.message, m.Write):
+            if isinstance(r.message, m.WriteRequest):
                 written[peer.id, r.message.batch] = r.came
-            elif isinstance(r.message, m.Order):
+            elif isinstance(r.message, m.ProxyUpdate):
                 assigner = self._number_of(r.link)
                 lives[assigner] = r.number
-                at = min(r.message.at, r.came, written.get((assigner, r.message.batch), EVER))
-                size = max(r.message.cost, self._size(r.message) + channel.head_lines)
+                at = min(r.message.ordered_at_s, r.came, written.get((assigner, r.message.batch), EVER))
+                size = max(r.message.channel_cost, self._size(r.message) + channel.head_lines)
                 changes[assigner] += [(at, size, r.number), (r.came, -size, r.number)]
                 by_proxy[assigner, peer.id, peer.since].append((r.came, r.number))
         for assigner, rows in sorted(changes.items()):
@@ -504,9 +506,15 @@
                     )
 
     @staticmethod
-    def _size(order: m.Order) -> int:
-        parts = (order.lines, order.clear, order.out, order.back, order.levels)
-        return sum(len(part) for part in parts) + (order.mark is not None)
+    def _size(order: m.ProxyUpdate) -> int:
+        parts = (
+            order.weights,
+            order.cleared_slices,
+            order.withdrawn_servers,
+            order.readmitted_servers,
+            order.admission_levels,
+        )
+        return sum(len(part) for part in parts) + (order.checkpoint_id is not None)
 
     # Single ownership ---------------------------------------------------------------------------------
 
@@ -517,20 +525,20 @@
         epochs: dict[int, list[tuple[float, int]]] = defaultdict(list)  # slice: when it was given to a server
         for r in self.records:
             peer = self.peers.get(r.conn)
-            if isinstance(r.message, m.Write) and r.went is not None:
-                for line in r.message.lines:
+            if isinstance(r.message, m.WriteRequest) and r.went is not None:
+                for line in r.message.weights:
                     if line.weight > 0:
-                        epochs[line.table].append((r.came, line.server))
-            elif isinstance(r.message, m.Charges) and peer is not None:
-                for charge in r.message.charges:
-                    if charge.lines and not epochs[charge.slice]:
-                        epochs[charge.slice].append((r.came, charge.lines[0].server))
+                        epochs[line.slice_id].append((r.came, line.server_id))
+            elif isinstance(r.message, m.SliceOwnerships) and peer is not None:
+                for charge in r.message.ownerships:
+                    if charge.entries and not epochs[charge.slice_id]:
+                        epochs[charge.slice_id].append((r.came, charge.entries[0].server_id))
         events: list[tuple[float, int, Record, int]] = []
         for r in self.records:
-            if isinstance(r.message, m.Try) and r.went is not None:
-                if self.classes[r.message.request_class].effect != "repeatable":
+            if isinstance(r.message, m.AttemptRequest) and r.went is not None:
+                if self.classes[r.message.class_index].effect != "repeatable":
                     events.append((r.went, 1, r, self._number_of(r.link)))
-            elif isinstance(r.message, m.Answer):
+            elif isinstance(r.message, m.AttemptResponse):
                 events.append((r.came, 0, r, self._number_of(r.link)))
         open_writes: dict[tuple[int, int], tuple[int, int]] = {}  # (conn, try): slice, server
         in_hand: dict[int, dict[int, int]] = defaultdict(lambda: defaultdict(int))
@@ -543,13 +551,13 @@
                 for by_server in in_hand.values():
                     by_server.pop(gone, None)
             if kind == 0:
-                assert isinstance(r.message, m.Answer)
-                done = open_writes.pop((r.conn, r.message.id), None)
+                assert isinstance(r.message, m.AttemptResponse)
+                done = open_writes.pop((r.conn, r.message.attempt_id), None)
                 if done is not None:
                     in_hand[done[0]][done[1]] -= 1
                 continue
-            assert isinstance(r.message, m.Try)
-            number = r.message.slice
+            assert isinstance(r.message, m.AttemptRequest)
+            number = r.message.slice_id
             self.result.checked["one owner"] += 1
             who = f"slice {number}, server {server}"
             if any(n > 0 for s, n in in_hand[number].items() if s != server):
@@ -559,5 +567,5 @@
             if mine < newest.get(number, -1):
                 self.result.broken("one owner", at, who, r.number)
             newest[number] = max(mine, newest.get(number, -1))
-            open_writes[r.conn, r.message.id] = (number, server)
+            open_writes[r.conn, r.message.attempt_id] = (number, server)
             in_hand[number][server] += 1
--- a/puffintide/bench_adapter/codec.py
+++ b/puffintide/bench_adapter/codec.py
@@ -66,7 +66,7 @@
     """Reads batches; keeps the numbered server lists that later events refer to."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, tuple[api.Server, ...]] = {}
+        self._lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def events(self, body: bytes) -> Iterator[tuple[int, api.Event | Hello | Exit]]:
         """The events of a batch body (what follows the clock), each with its instance."""
@@ -88,7 +88,7 @@
         for _ in range(rows):
             sid, zone, kind, cell, state, weight, started = r.take("IBHHBfd")
             servers.append(
-                api.Server(
+                api.Endpoint(
                     int(sid), int(zone), int(kind), int(cell), int(state), float(weight), float(started)
                 )
             )
@@ -107,12 +107,12 @@
                 if form != 2 and number not in self._lists:
                     raise WireError(f"list {number} was never sent (record at byte {start})")
                 rows = () if form == 2 else self._lists[number]
-                return api.ServerList(_LIST_KINDS[form], version, rows)
+                return api.EndpointListUpdate(_LIST_KINDS[form], version, rows)
             case 2:
-                return api.TimerDue(int(r.take("I")[0]))
+                return api.TimerFired(int(r.take("I")[0]))
             case 3:
                 took, server, status = r.take("dIH")
-                return api.ProbeResult(int(server), int(status), float(took), r.floats())
+                return api.HealthCheckResult(int(server), int(status), float(took), r.floats())
             case 4:
                 r.raw(int(r.take("IH")[1]))
                 return None
@@ -120,15 +120,15 @@
                 return Exit()
             case 6:
                 proxy, zone, rate, fresh = r.take("HBfB")
-                return api.ProxyJoined(int(proxy), int(zone), float(rate), bool(fresh))
+                return api.ProxyConnected(int(proxy), int(zone), float(rate), bool(fresh))
             case 7:
-                return api.ProxyLeft(int(r.take("H")[0]))
+                return api.ProxyDisconnected(int(r.take("H")[0]))
             case 8:
                 took, proxy, stamp = r.take("dHQ")
-                return api.Applied(int(proxy), int(stamp), float(took))
+                return api.CheckpointAcknowledged(int(proxy), int(stamp), float(took))
             case 9:
                 zone, server, tries, failed, mean, span = r.take("BIIIdd")
-                return api.LoadReport(
+                return api.ServerLoadReport(
                     int(zone), int(server), int(tries), int(failed), float(mean), float(span), r.floats()
                 )
             case 10:
@@ -136,13 +136,13 @@
                 return None
             case 11:
                 table, qos, count, failed, span = r.take("HHIId")
-                return api.SliceHeat(int(table), int(qos), int(count), int(failed), float(span))
+                return api.SliceLoadReport(int(table), int(qos), int(count), int(failed), float(span))
             case 12:
                 table, given = r.take("HB")
-                return api.SliceCharge(int(table), bool(given))
+                return api.OwnershipChanged(int(table), bool(given))
             case 13:
                 weight, server, table = r.take("fIH")
-                return api.StoredLine(int(table), int(server), float(weight))
+                return api.StoredWeight(int(table), int(server), float(weight))
         raise WireError(f"unknown event code {code} at byte {start}")
 
 
@@ -154,21 +154,21 @@
 def encode_action(who: int, action: api.Action) -> bytes:
     """One action as a record."""
     match action:
-        case api.SetLine(table, server, weight):
+        case api.SetWeight(table, server, weight):
             return _struct("BHHIf").pack(71, who, table, server, weight)
         case api.SetTimer(after_s, name):
             return _struct("BHdI").pack(64, who, after_s, name)
-        case api.Probe(server):
+        case api.SendHealthCheck(server):
             return _struct("BHI").pack(65, who, server)
-        case api.Log(text):
+        case api.LogMessage(text):
             return _text(67, who, text)
-        case api.WatchList(on):
+        case api.WatchEndpoints(on):
             return _struct("BHB").pack(69, who, on)
-        case api.Withdraw(server, out):
+        case api.SetWithdrawn(server, out):
             return _struct("BHBI").pack(73, who, out, server)
-        case api.Admit(table, classes, level, retry):
+        case api.SetAdmission(table, classes, level, retry):
             return _struct("BHHHfB").pack(75, who, table, classes, level, retry)
-        case api.Mark(number):
+        case api.SendCheckpoint(number):
             return _struct("BHQB").pack(76, who, number, False)
 
 
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -81,9 +81,9 @@
 @OPERATOR
 def store_backup(name: str, path: str) -> None:
     """Has a running store write a backup NAME into its folder for them."""
-    from puffintide.protocol.messages import Backup
+    from puffintide.protocol.messages import BackupRequest
 
-    click.echo(_order(path, Backup(name)))
+    click.echo(_order(path, BackupRequest(name)))
 
 
 @store.command("restore")
@@ -140,11 +140,11 @@
         raise Failure(str(error)) from None
     click.echo(json.dumps({"store": image.identity, "revision": image.revision, "token": image.token}))
     for number, state in sorted(image.slices.items()):
-        lines = [[h.server, h.weight, h.address] for h in state.lines]
+        lines = [[h.server_id, h.weight, h.address] for h in state.lines]
         row = {"slice": number, "assigner": state.assigner, "token": state.token, "pin": state.pin}
         click.echo(json.dumps(row | {"revision": image.revisions[number], "lines": lines}))
     for name, hand in sorted(image.hands.items()):
-        click.echo(json.dumps({"zone": name, "hand": hand.what, "pace": hand.pace, "by": hand.by}))
+        click.echo(json.dumps({"zone": name, "hand": hand.operation, "pace": hand.pace, "by": hand.operator}))
 
 
 def _there(file: str) -> None:
@@ -168,9 +168,9 @@
 @OPERATOR
 def store_refill(path: str) -> None:
     """Has an empty store with `refill = yes` go on with the tables of the assigners that have answered."""
-    from puffintide.protocol.messages import Refill
+    from puffintide.protocol.messages import RestoreFromReplicas
 
-    _order(path, Refill("operator"))
+    _order(path, RestoreFromReplicas("operator"))
     click.echo("refilled; see its log for how many tables, from whom")
 
 
@@ -252,7 +252,7 @@
 @OPERATOR
 def charge_move(slices: str, assigner: int, path: str) -> None:
     """Gives SLICES, such as 3,7 or 10-19, a home at ASSIGNER; -1 takes that back. They go there by and by."""
-    from puffintide.protocol.messages import Move
+    from puffintide.protocol.messages import MigrateSlices
 
     numbers: list[int] = []
     for word in slices.split(","):
@@ -264,7 +264,7 @@
         ):
             raise Failure(f"slices {slices!r}: must be numbers or ranges, such as 3,7 or 10-19")
         numbers += range(int(first), int(last if dash else first) + 1)
-    _order(path, Move(numbers, assigner, "operator"))
+    _order(path, MigrateSlices(numbers, assigner, "operator"))
     click.echo(f"{len(numbers)} slices have their home at assigner {assigner}")
 
 
@@ -281,8 +281,8 @@
     except HandError as error:
         raise Failure(str(error)) from None
     table = Table("assigner", "slices", "which")
-    for number in sorted({c.assigner for c in found}):
-        mine = [c.slice for c in found if c.assigner == number]
+    for number in sorted({c.owner_id for c in found}):
+        mine = [c.slice_id for c in found if c.owner_id == number]
         table.add_row("nobody" if number < 0 else str(number), str(len(mine)), _ranges(mine))
     out_console.print(table)
 
@@ -320,9 +320,11 @@
         standing = order(config, name, what, pace, tls_of(config))
     except HandError as error:
         raise Failure(str(error)) from None
-    for hand in standing.hands:
+    for hand in standing.commands:
         name = config.deployment.zones[hand.zone]
-        click.echo(f"zone {name}: {hand.what}, pace {hand.pace:g}, by {hand.by}, order {hand.number}")
+        click.echo(
+            f"zone {name}: {hand.operation}, pace {hand.pace:g}, by {hand.operator}, order {hand.sequence}"
+        )
 
 
 CONFIG = click.option("--config", "path", required=True, help="INI file with an [operator] section.")
@@ -363,31 +365,31 @@
     """How each assigner judges each zone. Exit 1 if one does not answer."""
     from puffintide.cli.hand import show
     from puffintide.cli.processes import tls_of
-    from puffintide.protocol.messages import Zones
+    from puffintide.protocol.messages import ZoneStatusReport
 
     config = _load(path, "operator")
     names = config.deployment.zones
     table = Table("assigner", "zone", "phase", "why", "there", "bound", "losses", "its load goes to")
     missing = 0
     for address, answer in show(config, tls_of(config)).items():
-        if not isinstance(answer, Zones):
+        if not isinstance(answer, ZoneStatusReport):
             table.add_row(address, "", answer)
             missing += 1
             continue
-        if not answer.planned:
-            table.add_row(str(answer.assigner), "", "no zone plan ([zones] plan = no)")
+        if not answer.zone_plan_enabled:
+            table.add_row(str(answer.assigner_id), "", "no zone plan ([zones] plan = no)")
         for row in answer.zones:
-            spill = ", ".join(f"{names[z]} {share:.0%}" for z, share in row.spill)
-            spill += f", beyond {row.beyond:.0%}" if spill else ""
-            why = row.cause + (f", {row.held_s:.0f} s more" if row.phase == "held" else "")
+            spill = ", ".join(f"{names[z]} {share:.0%}" for z, share in row.spillover)
+            spill += f", beyond {row.unplaced_fraction:.0%}" if spill else ""
+            why = row.cause + (f", {row.hold_remaining_s:.0f} s more" if row.phase == "held" else "")
             table.add_row(
-                str(answer.assigner),
+                str(answer.assigner_id),
                 names[row.zone],
                 row.phase,
                 why,
-                f"{row.share:.0%}",
-                f"{row.bound:.2f} to {row.bound_most:.2f}",
-                str(row.flaps),
+                f"{row.available_fraction:.0%}",
+                f"{row.min_capacity_fraction:.2f} to {row.max_capacity_fraction:.2f}",
+                str(row.flap_count),
                 spill,
             )
     out_console.print(table)
--- a/puffintide/decisions/director.py
+++ b/puffintide/decisions/director.py
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class ServerView:
-    entry: api.Server
+    entry: api.Endpoint
     since: float  # when it was first heard of, or restarted
     good: defaultdict[int, Rate] = field(default_factory=lambda: defaultdict(Rate))  # answers, by proxy zone
     held: defaultdict[int, Rate] = field(default_factory=lambda: defaultdict(Rate))  # tries under way
@@ -128,7 +128,7 @@
         self.now = -math.inf
         self.actions: list[api.Action] = []
         self.urgent = self.levels_due = self.rejoined = False  # rejoined: a proxy that knows no withdrawals
-        self.next_watch = 0.0 if settings.list_is_asked else math.inf
+        self.next_watch = 0.0 if settings.watch_on_request else math.inf
         self.next_publish = self.ordinary_at = 0.0
         self.waiting = 0.0  # lines in the channel or on their way
         self.marks: dict[int, tuple[float, float, set[int]]] = {}  # when sent, lines each, not yet applied by
@@ -149,7 +149,7 @@
         self.orders_for: list[tuple[bool, int]] = []
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        due = self.now < 0 or any(isinstance(event, api.TimerDue) for event in events)
+        due = self.now < 0 or any(isinstance(event, api.TimerFired) for event in events)
         self.now, self.actions = now, [api.SetTimer(ROUND_S, 1)] if due else []
         for event in events:
             self.observe(event)
@@ -160,7 +160,7 @@
 
     def round(self) -> None:
         if self.now >= self.next_watch:
-            self.actions.append(api.WatchList(True))
+            self.actions.append(api.WatchEndpoints(True))
             self.next_watch = math.inf
         self.judge_health()
         self.probe()
@@ -171,87 +171,93 @@
 
     def observe(self, event: api.Event) -> None:
         match event:
-            case api.LoadReport():
+            case api.ServerLoadReport():
                 self.see_load(event)
-            case api.SliceHeat():
-                view = self.slices.get(event.slice)
-                if view is not None and event.span_s > 0:
+            case api.SliceLoadReport():
+                view = self.slices.get(event.slice_id)
+                if view is not None and event.interval_s > 0:
                     self.reported = self.now
-                    view.heat[event.request_class].add(self.now, event.requests, event.span_s)
-            case api.ServerList():
+                    view.heat[event.class_index].add(self.now, event.requests, event.interval_s)
+            case api.EndpointListUpdate():
                 self.see_list(event)
-            case api.SliceCharge():
+            case api.OwnershipChanged():
                 self.charged = self.now
-                if self.slices.pop(event.slice, None) is not None and not event.given:
+                if self.slices.pop(event.slice_id, None) is not None and not event.granted:
                     self.taken = self.now
-                if event.given:
-                    self.slices[event.slice] = SliceView()
+                if event.granted:
+                    self.slices[event.slice_id] = SliceView()
                     self.urgent = self.levels_due = True
-            case api.StoredLine():
-                view = self.slices.get(event.slice)
+            case api.StoredWeight():
+                view = self.slices.get(event.slice_id)
                 if view is not None and event.weight > 0:
-                    view.lines[event.server] = event.weight
+                    view.lines[event.server_id] = event.weight
                     half = max(view.lines.values()) / 2
                     view.places = [s for s, weight in sorted(view.lines.items()) if weight >= half]
                     view.default = view.places[0]
-            case api.ProxyJoined():
-                self.proxies.add(event.proxy)
+            case api.ProxyConnected():
+                self.proxies.add(event.proxy_id)
                 self.levels_due = self.rejoined = True
-            case api.Applied():
-                self.marks.get(event.number, (0, 0, set[int]()))[2].discard(event.proxy)
-            case api.ProxyLeft():
-                self.proxies.discard(event.proxy)
-            case api.ProbeResult():
+            case api.CheckpointAcknowledged():
+                self.marks.get(event.checkpoint_id, (0, 0, set[int]()))[2].discard(event.proxy_id)
+            case api.ProxyDisconnected():
+                self.proxies.discard(event.proxy_id)
+            case api.HealthCheckResult():
                 self.see_probe(event)
-            case api.Instances():  # each takes its part of the room; alone, nobody else's load is there
-                self.set = replace(self.set, instances=max(1, event.count))
+            case api.AssignerCountChanged():  # each takes its part of the room; alone, nobody else's load is there
+                self.set = replace(self.set, assigner_count=max(1, event.count))
                 for server in self.servers.values() if event.count <= 1 else ():
                     server.foreign = None
-            case api.SecondHand():
+            case api.PeerObservation():
                 self.see_copy(event)
-            case api.ServerBound():
-                self.bounds.pop(event.server, None)
-                if event.share < 1:
-                    self.bounds[event.server] = event.share
+            case api.CapacityLimitChanged():
+                self.bounds.pop(event.server_id, None)
+                if event.fraction < 1:
+                    self.bounds[event.server_id] = event.fraction
 
-    def see_list(self, event: api.ServerList) -> None:
-        if event.kind == "failed":
+    def see_list(self, event: api.EndpointListUpdate) -> None:
+        if event.update_type == "failed":
             self.next_watch = self.now + 0.5
             return
-        listed = {entry.id for entry in event.servers}
-        for entry in event.servers:
-            view = self.servers.get(entry.id)
+        listed = {entry.server_id for entry in event.endpoints}
+        for entry in event.endpoints:
+            view = self.servers.get(entry.server_id)
             self.urgent |= view is None or replace(view.entry, weight=entry.weight) != entry
-            if view is None or (entry.state == api.READY and entry.started > view.entry.started):
-                self.servers[entry.id] = view = ServerView(entry, self.now)  # new, or a restart: start anew
+            if view is None or (entry.status == api.READY and entry.started_at_s > view.entry.started_at_s):
+                self.servers[entry.server_id] = view = ServerView(
+                    entry, self.now
+                )  # new, or a restart: start anew
             view.entry, view.left = entry, False
-        for sid, view in sorted(self.servers.items()) if event.kind != "delta" else []:
-            if sid not in listed and view.entry.state != api.GONE:
-                view.entry = replace(view.entry, state=api.GONE)
+        for sid, view in sorted(self.servers.items()) if event.update_type != "delta" else []:
+            if sid not in listed and view.entry.status != api.GONE:
+                view.entry = replace(view.entry, status=api.GONE)
                 self.urgent = True
         for sid, view in self.servers.items():
             view.lost_since = None if self.ready(sid) else view.lost_since or self.now
-        old = {s for s, v in self.servers.items() if v.entry.state == api.GONE}
+        old = {s for s, v in self.servers.items() if v.entry.status == api.GONE}
         old = {s for s in old if self.now - (self.servers[s].lost_since or self.now) > FORGET_S}
         for sid in old.difference(*(view.lines for view in self.slices.values())):
             del self.servers[sid]
 
-    def see_load(self, event: api.LoadReport) -> None:
-        view = self.servers.get(event.server)
-        if view is None or event.span_s <= 0 or event.failed > event.tries:
+    def see_load(self, event: api.ServerLoadReport) -> None:
+        view = self.servers.get(event.server_id)
+        if view is None or event.interval_s <= 0 or event.failed_attempts > event.attempts:
             return
         self.reported = self.now
-        good = event.tries - event.failed
-        view.good[event.zone].add(self.now, good, event.span_s)
-        view.held[event.zone].add(self.now, good * event.mean_s, event.span_s)  # Little's law
-        if event.tries:
-            view.failing = smooth(view.failing, event.failed / event.tries, event.span_s * event.tries / 3)
+        good = event.attempts - event.failed_attempts
+        view.good[event.proxy_zone].add(self.now, good, event.interval_s)
+        view.held[event.proxy_zone].add(
+            self.now, good * event.mean_latency_s, event.interval_s
+        )  # Little's law
+        if event.attempts:
+            view.failing = smooth(
+                view.failing, event.failed_attempts / event.attempts, event.interval_s * event.attempts / 3
+            )
         if good:
             view.last_good = self.now
-        self.see_values(view, event.values)
+        self.see_values(view, event.load_values)
 
     def see_values(self, view: ServerView, values: tuple[float, ...]) -> None:
-        for name, value in zip(self.set.report_names, values, strict=False):
+        for name, value in zip(self.set.load_value_names, values, strict=False):
             if name == "busy" and 0 <= value <= 1.5:
                 view.load = smooth(view.load, min(value, 1.0), self.set.report_period_s)
             elif name == "rif" and 0 <= value < 1e5:
@@ -260,29 +266,29 @@
             elif name == "lat_ms" and 0 < value < math.inf:
                 view.service_s = smooth(view.service_s, value / 1000, self.set.report_period_s)
 
-    def see_probe(self, event: api.ProbeResult) -> None:
-        view = self.servers.get(event.server)
+    def see_probe(self, event: api.HealthCheckResult) -> None:
+        view = self.servers.get(event.server_id)
         if view is None or event.status not in (0, 3, 4, 5):
             return
         view.streak = max(view.streak, 0) + 1 if event.status == 0 else min(view.streak, 0) - 1
         if event.status == 0:
-            view.quickest = min(view.quickest, event.took_s)
-            self.see_values(view, event.values)
-        view.slowed = event.status != 0 or event.took_s > SLOWED * view.quickest
+            view.quickest = min(view.quickest, event.elapsed_s)
+            self.see_values(view, event.load_values)
+        view.slowed = event.status != 0 or event.elapsed_s > SLOWED * view.quickest
         if event.status in (0, 3) and view.inflight is not None and view.entry.zone not in self.blind:
             self.probed.append((view.latest / max(view.entry.weight, 1e-9), view.slowed))
 
-    def see_copy(self, event: api.SecondHand) -> None:
+    def see_copy(self, event: api.PeerObservation) -> None:
         """Guards against a blind start, and against a list that does not reach us: what others found out counts
         until we have found out ourselves."""
-        view = self.servers.get(event.server)
-        if view is not None and event.leaving is not None:
-            view.left, self.urgent = event.leaving, True
-            view.lost_since = None if self.ready(event.server) else view.lost_since or self.now
-        if event.capacity > 0 and not self.per_size:
-            self.per_size, self.copied = event.capacity, True
-        if view is not None and 0 <= event.level < view.level and view.last_good == 0:
-            view.level, view.level_since, self.urgent = event.level, self.now, True
+        view = self.servers.get(event.server_id)
+        if view is not None and event.is_leaving is not None:
+            view.left, self.urgent = event.is_leaving, True
+            view.lost_since = None if self.ready(event.server_id) else view.lost_since or self.now
+        if event.capacity_per_s > 0 and not self.per_size:
+            self.per_size, self.copied = event.capacity_per_s, True
+        if view is not None and 0 <= event.recovery_level < view.level and view.last_good == 0:
+            view.level, view.level_since, self.urgent = event.recovery_level, self.now, True
 
     def findings(self) -> tuple[float | None, dict[int, int]]:
         """For other assigners: the fleet's capacity as learned here, and servers below their full level."""
@@ -291,7 +297,7 @@
 
     def ready(self, sid: int) -> bool:
         view = self.servers.get(sid)
-        return view is not None and view.entry.state == api.READY and not view.left
+        return view is not None and view.entry.status == api.READY and not view.left
 
     def ready_views(self) -> list[ServerView]:
         return [view for sid, view in sorted(self.servers.items()) if self.ready(sid)]
@@ -299,10 +305,10 @@
     def warmth(self, sid: int) -> float:
         """The least share of its capacity that a server can have by now, since its start."""
         view = self.servers[sid]
-        if view.entry.started <= 0 or self.set.warm_within_s <= 0:
+        if view.entry.started_at_s <= 0 or self.set.slow_start_duration_s <= 0:
             return 1.0
-        age = max(0.0, self.now - view.entry.started) / self.set.warm_within_s
-        return min(1.0, self.set.cold_from + (1 - self.set.cold_from) * age)
+        age = max(0.0, self.now - view.entry.started_at_s) / self.set.slow_start_duration_s
+        return min(1.0, self.set.slow_start_min_fraction + (1 - self.set.slow_start_min_fraction) * age)
 
     def judge_health(self) -> None:
         """Finds servers that are listed ready and do not answer; lets them back by levels. When most look
@@ -311,14 +317,14 @@
         zones = {z: [v.slowed for v in ready if v.entry.zone == z] for z in {v.entry.zone for v in ready}}
         shares = {zone: sum(slowed) / len(slowed) for zone, slowed in sorted(zones.items())}
         self.blind = {z for z, share in shares.items() if share > BLIND and min(shares.values()) < 0.5}
-        bad = {v.entry.id for v in ready if self.suspect(v)}
+        bad = {v.entry.server_id for v in ready if self.suspect(v)}
         if len(bad) > OUT_MOST * len(ready):
             return
         for view in ready:
-            if view.entry.id in bad and view.level > 0:
+            if view.entry.server_id in bad and view.level > 0:
                 view.level, view.level_since, view.ejections = 0, self.now, view.ejections + 1
                 self.urgent = True
-            elif view.entry.id not in bad and self.proved(view):
+            elif view.entry.server_id not in bad and self.proved(view):
                 view.level, view.level_since = view.level + 1, self.now
                 view.failing, view.streak, view.load = None, max(view.streak, 0), None
 
@@ -334,16 +340,18 @@
     def proved(self, view: ServerView) -> bool:
         wait: float = 1 if view.last_good > view.level_since else 2
         if view.level == 0:
-            probed = self.set.probes and view.entry.zone not in self.blind
+            probed = self.set.health_checks_enabled and view.entry.zone not in self.blind
             wait = 1 if probed and view.streak >= 2 else math.inf if probed else 2 ** min(view.ejections, 4)
         return view.level < len(LEVELS) - 1 and self.now - view.level_since > STEP_S * wait
 
     def probe(self) -> None:
         """First probes at once, the next spread by id so that not all go out together."""
-        for view in self.ready_views() if self.set.probes else []:
+        for view in self.ready_views() if self.set.health_checks_enabled else []:
             if self.now >= view.next_probe:
-                self.actions.append(api.Probe(view.entry.id))
-                spread = 1.0 if view.next_probe else zlib.crc32(f"{view.entry.id}".encode()) % 1000 / 1000
+                self.actions.append(api.SendHealthCheck(view.entry.server_id))
+                spread = (
+                    1.0 if view.next_probe else zlib.crc32(f"{view.entry.server_id}".encode()) % 1000 / 1000
+                )
                 view.next_probe = self.now + PROBE_S * spread
 
     def heat(self, view: SliceView) -> float:
@@ -352,8 +360,10 @@
 
     def turn(self) -> float:
         """The time in which all in charge is heard of: of many slices and servers reports take turns."""
-        lines = len(self.slices) * len(self.set.classes) + len(self.servers) * max(1, self.set.zones)
-        return max(self.set.report_period_s, lines / max(self.set.report_lines_per_s, 1.0))
+        lines = len(self.slices) * len(self.set.request_classes) + len(self.servers) * max(
+            1, self.set.zone_count
+        )
+        return max(self.set.report_period_s, lines / max(self.set.report_entries_per_s, 1.0))
 
     def window(self) -> float:
         """What was not heard of for longer counts as nothing."""
@@ -367,12 +377,12 @@
         """A load from requests in flight. As many servers are full as probes were slowed, and the count that
         parts the fleet so is a full server's. Without probes the median server is taken to be at USUAL. Where
         servers tell no counts, what other assigners bring to a warm one is taken as even: slices lie by a hash."""
-        size = sum(v.entry.weight for v in ready if self.warmth(v.entry.id) >= 1)
-        ours, share = sum(self.recent(v.held) for v in ready), len(self.slices) / max(1, self.set.slices)
-        blank = "rif" not in self.set.report_names and share > 0 and size > 0
+        size = sum(v.entry.weight for v in ready if self.warmth(v.entry.server_id) >= 1)
+        ours, share = sum(self.recent(v.held) for v in ready), len(self.slices) / max(1, self.set.slice_count)
+        blank = "rif" not in self.set.load_value_names and share > 0 and size > 0
         others = ours * (1 / share - 1) / size if blank else 0.0
-        brought = {v.entry.id: others if self.warmth(v.entry.id) >= 1 else 0.0 for v in ready}
-        held = sorted(self.recent(v.held) / v.entry.weight + brought[v.entry.id] for v in ready)
+        brought = {v.entry.server_id: others if self.warmth(v.entry.server_id) >= 1 else 0.0 for v in ready}
+        held = sorted(self.recent(v.held) / v.entry.weight + brought[v.entry.server_id] for v in ready)
         if len(self.probed) >= PROBES_KEPT / 5:
             free = sum(not slowed for _, slowed in self.probed)
             self.in_work = sorted(count for count, _ in self.probed)[min(free, len(self.probed) - 1)]
@@ -381,8 +391,8 @@
         for v in ready:
             own = self.recent(v.held)
             # A lone assigner's answers tell all, with less noise; but answer times hold a slow link's way.
-            lone = self.set.instances == 1 and not self.blind
-            guess = own + brought[v.entry.id] * v.entry.weight
+            lone = self.set.assigner_count == 1 and not self.blind
+            guess = own + brought[v.entry.server_id] * v.entry.weight
             total = own if lone else guess if v.inflight is None else v.inflight
             if (own > 0 or (v.inflight is None and total > 0)) and self.in_work > 0:
                 v.load = min(1.0, total / (v.entry.weight * self.in_work))
@@ -390,7 +400,7 @@
     def estimate(self) -> None:
         """Capacity = served rate over load, fleet-wide by listed size and for each server."""
         ready = [v for v in self.ready_views() if v.entry.weight > 0]
-        if "busy" not in self.set.report_names:
+        if "busy" not in self.set.load_value_names:
             self.read_inflight(ready)
         for v in ready:  # a server with more of our requests than it reports is not believed: it is full
             told = math.inf if v.inflight is None or self.blind else v.inflight
@@ -398,7 +408,7 @@
                 v.load = 1.0
         known = [(v, v.load, self.recent(v.good)) for v in ready if v.load is not None]
         work = sum(v.entry.weight * load for v, load, _ in known)
-        rate = sum(good for *_, good in known) * max(1, self.set.slices) / max(1, len(self.slices))
+        rate = sum(good for *_, good in known) * max(1, self.set.slice_count) / max(1, len(self.slices))
         if self.slices and rate > 0 and work > IDLE / 2 * sum(v.entry.weight for v, *_ in known):
             # Answers of slices that were taken are no measure of those left: they count until forgotten.
             matched = self.now - self.taken >= self.window()
@@ -406,15 +416,19 @@
                 self.per_size = learn(self.per_size, rate / work)
             elif self.charged <= self.first_reported and not self.copied:
                 self.per_size = rate / work  # a first idea
-        if self.set.instances == 1:
+        if self.set.assigner_count == 1:
             for v, load, good in known:
-                warmth = self.warmth(v.entry.id)
+                warmth = self.warmth(v.entry.server_id)
                 if warmth >= 1 and load > IDLE and good > 0:
-                    sure = "busy" in self.set.report_names and load > FULL  # a full server shows all it can
+                    sure = (
+                        "busy" in self.set.load_value_names and load > FULL
+                    )  # a full server shows all it can
                     v.capacity = learn(v.capacity, good / load, sure)
         elif self.per_size is not None:
             # Service times tell a server's pace between idling and crowding; the rest shows as foreign load.
-            paced = [v for v, load, _ in known if IDLE < load < CROWDED and self.warmth(v.entry.id) >= 1]
+            paced = [
+                v for v, load, _ in known if IDLE < load < CROWDED and self.warmth(v.entry.server_id) >= 1
+            ]
             timed = [(v, v.service_s) for v in paced if v.service_s]
             times = sorted(time for _, time in timed)
             for v, time in timed:
@@ -422,7 +436,7 @@
             for v in ready:
                 v.capacity = self.per_size * v.entry.weight * v.pace
             for v, load, good in known:
-                other = load * (v.capacity or 0.0) * self.warmth(v.entry.id) - good
+                other = load * (v.capacity or 0.0) * self.warmth(v.entry.server_id) - good
                 v.foreign = smooth(v.foreign, max(0.0, other), ROUND_S, STEADY_S)
 
     def capacity(self, sid: int, whole: bool = False) -> float:
@@ -440,7 +454,9 @@
         key = number, self.slices[number].default
         if key not in self.orders:
             home = self.servers.get(self.slices[number].default or 0)
-            tiers = self.set.tiers[home.entry.zone] if self.set.tiers and home else (0,) * 256
+            tiers = (
+                self.set.zone_distances[home.entry.zone] if self.set.zone_distances and home else (0,) * 256
+            )
             ids = [
                 (cold, tiers[self.servers[s].entry.zone], zlib.crc32(b"%d:%d" % (number, s)), s)
                 for cold, s in self.orders_for
@@ -451,14 +467,19 @@
     def ours(self, sid: int) -> bool:
         """Whether a server is among those whose room this assigner has alone: as many as its part of the
         slices, so that those of the dead count too."""
-        turn = zlib.crc32(f"{sid}".encode()) / 2**32 - self.set.instance / self.set.instances
-        return turn % 1 < len(self.slices) / max(1, self.set.slices)
+        turn = zlib.crc32(f"{sid}".encode()) / 2**32 - self.set.assigner_index / self.set.assigner_count
+        return turn % 1 < len(self.slices) / max(1, self.set.slice_count)
 
     def at_ease(self, sid: int) -> bool:
         """Guards against readings of load that swing: by others' counts, or a capacity learned from few
         probes, a server looks full that keeps nobody waiting. Each move would cost its keys."""
         view = self.servers[sid]
-        return self.set.probes and view.streak > 0 and not view.slowed and (view.failing or 0.0) < EASE
+        return (
+            self.set.health_checks_enabled
+            and view.streak > 0
+            and not view.slowed
+            and (view.failing or 0.0) < EASE
+        )
 
     def detour(self, plan: Plan) -> Plan:
         can = {sid: self.capacity(sid) for sid in sorted(self.servers) if self.ready(sid)}
@@ -475,8 +496,10 @@
         # All assigners see the same room and the same excess. Each takes its part of both, where that holds
         # some slices whole. Smaller parts stay empty and the fleet's room unused: there each has all the room
         # of some servers and none of the others', and sheds as its part of the load.
-        even = self.set.instances == 1 or self.set.slices >= WHOLE * len(can) * self.set.instances
-        parts = {sid: 1 / self.set.instances if even else float(self.ours(sid)) for sid in can}
+        even = (
+            self.set.assigner_count == 1 or self.set.slice_count >= WHOLE * len(can) * self.set.assigner_count
+        )
+        parts = {sid: 1 / self.set.assigner_count if even else float(self.ours(sid)) for sid in can}
         part: dict[int, float] = {}
         pieces = dict.fromkeys(self.slices, 1)
         for number, view in sorted(self.slices.items()):
@@ -494,12 +517,14 @@
         def cost(number: int, sid: int) -> float:
             """Dearer where its keys are not cached; the few that make a slice hot soon are anywhere."""
             known = pieces[number] > 1 or sid in self.slices[number].places
-            if not self.set.warm_keys or (known and sid not in raw):
+            if not self.set.caches_keys or (known and sid not in raw):
                 return part[number]
             return part[number] * (COLD_MISS if sid in raw else MISS)
 
         def place(number: int, fill: float = ROOM) -> int | None:
-            even = [] if self.set.tiers else [min(ROOM, total / most)]  # else the nearest are filled first
+            even = (
+                [] if self.set.zone_distances else [min(ROOM, total / most)]
+            )  # else the nearest are filled first
             for room in [*even, fill]:  # first those not above the fleet's mean load
                 for sid in self.ranking(number):
                     # A hot key shows first as a slice that is large for a cold server, and grows tenfold
@@ -517,7 +542,7 @@
             best = min(ids, key=lambda s: (s not in warm, (load[s] + cost(number, s)) / can[s]), default=None)
             if best is None or not lame:
                 return best
-            room = (SAFE * self.set.fall_multiple * can[best] - base[best]) / self.set.instances
+            room = (SAFE * self.set.collapse_load_ratio * can[best] - base[best]) / self.set.assigner_count
             return best if load[best] + cost(number, best) <= base[best] + room else None
 
         def move(number: int, old: int | None, new: int) -> None:
@@ -562,7 +587,7 @@
                 continue
             excess = max(0.0, base[sid] - FULL * can[sid]) if sid in warm else 0.0
             others = (self.servers[sid].foreign or 0.0) / max(base[sid], 1e-9)
-            mine = 1 / self.set.instances if even else 1 - others
+            mine = 1 / self.set.assigner_count if even else 1 - others
             for number in alone[sid]:
                 if load[sid] <= FULL * can[sid] + excess * (1 - mine):
                     break
@@ -578,11 +603,11 @@
                     target = place(number, SHORT)
                 if target is not None:
                     move(number, sid, target)
-                elif lame and load[sid] > SAFE * self.set.fall_multiple * can[sid]:
+                elif lame and load[sid] > SAFE * self.set.collapse_load_ratio * can[sid]:
                     plan[number], load[sid] = [], load[sid] - part[number] * COLD_MISS
         # A key that becomes hot is told of when it has pushed a cold server over: what would stand there alone
         # gets a second place, as long as one such slice would do that.
-        frail = {s for s in raw if self.set.fall_multiple * self.warmth(s) < SURGE}
+        frail = {s for s in raw if self.set.collapse_load_ratio * self.warmth(s) < SURGE}
         for number in sorted(self.slices):
             if (
                 pieces[number] == 1
@@ -613,13 +638,17 @@
         was read what the fleet can do, and for two report turns, that is a guess and refuses nobody."""
         read = self.per_size is not None or any(v.capacity for v in self.ready_views())
         early = not read or self.now - self.first_reported < SETTLE * self.turn()
-        if self.set.admit != "fraction" or not self.slices or early:
+        if self.set.admission_mode != "fraction" or not self.slices or early:
             return
-        room = sum(self.capacity(v.entry.id) for v in self.ready_views()) * len(self.slices) / self.set.slices
-        offered = dict.fromkeys(range(len(self.set.classes)), 0.0)
+        room = (
+            sum(self.capacity(v.entry.server_id) for v in self.ready_views())
+            * len(self.slices)
+            / self.set.slice_count
+        )
+        offered = dict.fromkeys(range(len(self.set.request_classes)), 0.0)
         for number, rate in (pair for _, v in sorted(self.slices.items()) for pair in v.heat.items()):
             offered[number] += rate.value
-        work = {k: rate * self.set.classes[k].aim_s for k, rate in offered.items()}
+        work = {k: rate * self.set.request_classes[k].latency_objective_s for k, rate in offered.items()}
         let_in = {k: self.levels.get(k, 1.0) for k in offered}  # the room is in requests of that mix
         room *= sum(work[k] * v for k, v in let_in.items())
         room /= max(sum(offered[k] * v for k, v in let_in.items()), 1e-9)
@@ -628,7 +657,13 @@
         room *= 1 + AGAIN * (min(let_in.values()) < 1) * max(0.0, SHED_TO - sum(busy) / max(1, len(busy)))
         if sum(work.values()) > room * (SHED_TO if min(let_in.values()) < 1 else SHED_AT):
             excess = sum(work.values()) - room * SHED_TO
-            for k in sorted(work, key=lambda k: self.set.classes[k].worth / self.set.classes[k].aim_s):
+            for k in sorted(
+                work,
+                key=lambda k: (
+                    self.set.request_classes[k].priority_weight
+                    / self.set.request_classes[k].latency_objective_s
+                ),
+            ):
                 if work[k] > 0:
                     levels[k] = max(LEVEL_LEAST, 1 - excess / work[k])
                     excess -= work[k] * (1 - levels[k])
@@ -639,7 +674,11 @@
     def table(self, number: int, places: list[int]) -> dict[int, float]:
         """The lines for a slice: its places, and a standby where a proxy's further try can go."""
         lines = dict.fromkeys(places, 1.0)
-        if len(places) == 1 and not self.set.single_writer and self.set.retry_default + self.set.shun_after:
+        if (
+            len(places) == 1
+            and not self.set.single_writer
+            and self.set.default_retry_mode + self.set.proxy_ejection_failures
+        ):
             whole = (s for s in self.ranking(number) if self.servers[s].level == len(LEVELS) - 1)
             spare = next((s for s in whole if s not in lines and s not in self.withdrawn), None)
             if spare is not None and self.warmth(spare) >= 1:
@@ -647,12 +686,14 @@
         return lines
 
     def publish(self, plan: Plan) -> None:
-        longest = self.set.channel_limit / (LOST * self.set.channel_lines_per_s)
+        longest = self.set.channel_capacity_entries / (LOST * self.set.channel_entries_per_s)
         self.marks = {n: mark for n, mark in self.marks.items() if mark[2] and self.now - mark[0] < longest}
         self.waiting = sum(lines * len(late & self.proxies) for _, lines, late in self.marks.values())
         ordinary = self.now >= self.next_publish
-        self.sent = [t for t in self.sent if t > self.now - self.set.messages_span_s - 1]
-        full = self.set.messages_most and len(self.sent) >= self.set.messages_most - (1 if self.urgent else 5)
+        self.sent = [t for t in self.sent if t > self.now - self.set.message_window_s - 1]
+        full = self.set.max_messages_per_window and len(self.sent) >= self.set.max_messages_per_window - (
+            1 if self.urgent else 5
+        )
         if full or not (ordinary or self.urgent):
             return
         # Ordinary changes wait while reports are late, and after a start until there are enough of them.
@@ -671,9 +712,9 @@
         # At stake first: slices of lost servers, then of cold ones, each time the hottest first.
         whole = {s for s in self.servers if self.ready(s) and self.warmth(s) >= 1}
         must.sort(key=lambda n: (not whole.isdisjoint(self.slices[n].places), -self.heat(self.slices[n]), n))
-        proxies, limit = max(1, len(self.proxies)), self.set.channel_limit
-        budget = MOST * limit - self.waiting - self.set.channel_head_lines * proxies
-        ample = budget - min((self.set.channel_head_lines + SPARE) * proxies, limit / 3)
+        proxies, limit = max(1, len(self.proxies)), self.set.channel_capacity_entries
+        budget = MOST * limit - self.waiting - self.set.channel_header_entries * proxies
+        ample = budget - min((self.set.channel_header_entries + SPARE) * proxies, limit / 3)
         self.urgent = False
         orders = self.shut_out(plan, must, budget, ample)
         for number, urgent in [(n, True) for n in must] + [(n, False) for n in may]:
@@ -688,13 +729,13 @@
             self.levels_due = False
         if orders:
             number = int(self.now * 1000) % 65536
-            orders.append(api.Mark(number))  # its answers tell how fast the channel really is
-            self.marks[number] = self.now, len(orders) + self.set.channel_head_lines, set(self.proxies)
+            orders.append(api.SendCheckpoint(number))  # its answers tell how fast the channel really is
+            self.marks[number] = self.now, len(orders) + self.set.channel_header_entries, set(self.proxies)
             self.actions.extend(orders)
             self.sent.append(self.now)
             # Urgent changes put ordinary ones off, yet not for ever: in a large fleet they never stop.
             self.ordinary_at = self.now if ordinary else self.ordinary_at
-            pace = max(1.0, self.set.instances / 2) * PUBLISH_S
+            pace = max(1.0, self.set.assigner_count / 2) * PUBLISH_S
             self.next_publish = min(self.now + pace, self.ordinary_at + max(pace, PUT_OFF_S))
 
     def shut_out(self, plan: Plan, must: list[int], budget: float, ample: float) -> list[api.Action]:
@@ -706,7 +747,7 @@
         left = self.set.drain_grace_s - (self.now - told) - self.set.channel_delay_max_s - ROUND_S
         lines = sum(len(self.changes(n, plan[n], tidy=False)) for n in must) if lost else 0
         proxies = max(1, len(self.proxies))
-        if lines * proxies <= min(left * self.set.channel_lines_per_s - self.waiting, ample):
+        if lines * proxies <= min(left * self.set.channel_entries_per_s - self.waiting, ample):
             lost = []
         astray = {s for n, view in self.slices.items() for s in view.lines if s not in plan[n]}
         back = [s for s in sorted(self.withdrawn - astray) if self.ready(s) or s not in self.servers]
@@ -715,27 +756,31 @@
         chosen = (lost + back + again)[:most]
         self.urgent, self.rejoined = len(chosen) < len(lost), len(chosen) < len(lost + back + again)
         self.withdrawn = self.withdrawn.union(lost[:most]).difference(set(back) & set(chosen))
-        return [api.Withdraw(s, s not in back) for s in dict.fromkeys(chosen)]
+        return [api.SetWithdrawn(s, s not in back) for s in dict.fromkeys(chosen)]
 
-    def changes(self, number: int, places: list[int], tidy: bool) -> list[api.SetLine]:
+    def changes(self, number: int, places: list[int], tidy: bool) -> list[api.SetWeight]:
         """New lines first. Lines of servers that are shut out wait for an ordinary change."""
         old, new = self.slices[number].lines, self.table(number, places)
         if self.set.single_writer:
-            return [api.SetLine(number, s, 1.0) for s in new if s not in old]
-        added = [api.SetLine(number, s, w) for s, w in sorted(new.items()) if abs(old.get(s, 0.0) - w) > 1e-6]
+            return [api.SetWeight(number, s, 1.0) for s in new if s not in old]
+        added = [
+            api.SetWeight(number, s, w) for s, w in sorted(new.items()) if abs(old.get(s, 0.0) - w) > 1e-6
+        ]
         drop = [s for s in sorted(old) if s not in new and (tidy or s not in self.withdrawn)]
-        return added + [api.SetLine(number, s, 0.0) for s in drop]
+        return added + [api.SetWeight(number, s, 0.0) for s in drop]
 
-    def commit(self, number: int, places: list[int], changes: list[api.SetLine]) -> None:
+    def commit(self, number: int, places: list[int], changes: list[api.SetWeight]) -> None:
         view = self.slices[number]
         view.default = next(iter(places), None) if view.default is None else view.default
         if set(places) != set(view.places):
             view.former, view.moved = view.places, self.now
-        lines = ({} if self.set.single_writer else view.lines) | {c.server: c.weight for c in changes}
+        lines = ({} if self.set.single_writer else view.lines) | {c.server_id: c.weight for c in changes}
         view.lines, view.places = {s: w for s, w in lines.items() if w > 0}, list(places)
 
     def retry_orders(self) -> list[api.Action]:
-        tries = min(1, self.set.retry_default)  # after proof that the first never ran: safe for every class
-        usual = [(0, 1.0)] if tries < self.set.retry_default else []
+        tries = min(
+            1, self.set.default_retry_mode
+        )  # after proof that the first never ran: safe for every class
+        usual = [(0, 1.0)] if tries < self.set.default_retry_mode else []
         levels = sorted((1 << k, v) for k, v in self.levels.items()) or usual
-        return [api.Admit(api.ALL_TABLES, classes, v, tries) for classes, v in levels]
+        return [api.SetAdmission(api.ALL_SLICES, classes, v, tries) for classes, v in levels]
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -86,14 +86,14 @@
 
     @staticmethod
     def _hello(number: int) -> Callable[[], m.Hello]:
-        return lambda: m.Hello(m.VERSION, "client", number)
+        return lambda: m.Hello(m.PROTOCOL_VERSION, "client", number)
 
     def _on(self, number: int) -> Any:
         def message(stream: Stream, message: AnyMessage) -> None:
             match message:
                 case m.Welcome():
                     self.streams[number] = stream
-                case m.Reply():
+                case m.ClientResponse():
                     self._replied(message)
 
         return message
@@ -139,14 +139,14 @@
         ask = self.next_ask
         timer = self.reactor.callLater(left, self._timeout, ask)
         self.open[ask] = (arrival, born, number, timer)
-        stream.send(m.Ask(ask, arrival.request_class, arrival.key, round(left, 6), arrival.work_s))
+        stream.send(m.ClientRequest(ask, arrival.request_class, arrival.key, round(left, 6), arrival.work_s))
 
     def _timeout(self, ask: int) -> None:
         arrival, born, number, _ = self.open.pop(ask)
         self._again(arrival, born, number, 0.0, "gave up", safe=False)
 
-    def _replied(self, reply: m.Reply) -> None:
-        found = self.open.pop(reply.id, None)
+    def _replied(self, reply: m.ClientResponse) -> None:
+        found = self.open.pop(reply.request_id, None)
         if found is None:
             return
         arrival, born, number, timer = found
@@ -155,7 +155,7 @@
             self._end(arrival, born, number, True, "")
         else:
             why = {m.FULL: "refused", m.TIMEOUT: "timeout"}.get(reply.status, f"status {reply.status}")
-            self._again(arrival, born, number, reply.again_s, why, safe=not reply.ran)
+            self._again(arrival, born, number, reply.retry_after_s, why, safe=not reply.may_have_executed)
 
     def _again(
         self, arrival: Arrival, born: float, number: int, again_s: float, why: str, safe: bool
--- a/puffintide/emulators/fleet.py
+++ b/puffintide/emulators/fleet.py
@@ -110,7 +110,7 @@
         server.connections = self.fleet.connections
         factory = Acceptor(
             self.reactor,
-            lambda: m.Welcome(m.VERSION, "server", number, server.life),
+            lambda: m.Welcome(m.PROTOCOL_VERSION, "server", number, server.life),
             lambda stream, message: self._serve(server, stream, message),
             lambda stream, why: server.streams.discard(stream),
             lambda hello: self._judge(server, hello),
@@ -167,24 +167,24 @@
                 server.streams.add(stream)
                 model.offer(now, -1, self.fleet.handshake_s * server.handshake, None, silent=True)
                 self._work(server)
-            case m.Try():
+            case m.AttemptRequest():
                 server.next_job += 1
                 if not model.offer(now, server.next_job, message.work_s, message.key):
-                    stream.send(m.Answer(message.id, m.FULL, server.told))
+                    stream.send(m.AttemptResponse(message.attempt_id, m.FULL, server.told))
                 else:
-                    server.jobs[server.next_job] = (stream, message.id, False)
+                    server.jobs[server.next_job] = (stream, message.attempt_id, False)
                 if model.fallen:
                     self._fall(server)
                 else:
                     self._work(server)
-            case m.Probe():
+            case m.HealthCheckRequest():
                 server.next_job += 1
                 if model.offer(now, server.next_job, self.fleet.probe_s, None):
-                    server.jobs[server.next_job] = (stream, message.id, True)
+                    server.jobs[server.next_job] = (stream, message.check_id, True)
                     self._work(server)
                 else:
-                    stream.send(m.Probed(message.id, m.FULL))
-            case m.Cancel():
+                    stream.send(m.HealthCheckResponse(message.check_id, m.FULL))
+            case m.CancelAttempt():
                 pass  # it stops nothing
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for a server")
@@ -203,9 +203,9 @@
             if server.hang or stream.ended:
                 continue
             if probe:
-                stream.send(m.Probed(message_id, m.OK, server.told))
+                stream.send(m.HealthCheckResponse(message_id, m.OK, server.told))
             else:
-                stream.send(m.Answer(message_id, m.OK, server.told))
+                stream.send(m.AttemptResponse(message_id, m.OK, server.told))
         due = model.next_due()
         if server.timer is not None and server.timer.active():
             server.timer.cancel()
@@ -237,7 +237,10 @@
 
     def _open_list(self) -> None:
         factory = Acceptor(
-            self.reactor, lambda: m.Welcome(m.VERSION, "list", 0), self._list_message, self._list_lost
+            self.reactor,
+            lambda: m.Welcome(m.PROTOCOL_VERSION, "list", 0),
+            self._list_message,
+            self._list_lost,
         )
         self.list_listener = self.reactor.listenTCP(self.list_port, factory, 50, "127.0.0.1")
 
@@ -247,36 +250,36 @@
         self.listed[number] = (state, life, started)
         self.version += 1
         self.changes.append(number)
-        news = m.News("delta", self.version, [self._entry(number)])
+        news = m.WatchEvent("delta", self.version, [self._entry(number)])
         for stream in sorted(self.watchers, key=lambda s: str(s.tag)):
             stream.send(news)
 
-    def _entry(self, number: int) -> m.Entry:
+    def _entry(self, number: int) -> m.EndpointEntry:
         server = self.servers[number]
         state, life, started = self.listed[number]
         age = -1.0 if started < 0 else self.now() - started
         weight = float(server.make.cores)
-        return m.Entry(number, server.zone, server.kind, 0, state, weight, life, age, server.address)
+        return m.EndpointEntry(number, server.zone, server.kind, 0, state, weight, life, age, server.address)
 
     def _list_message(self, stream: Stream, message: AnyMessage) -> None:
         match message:
             case m.Hello():
                 stream.tag = message.id
-            case m.Watch(on=on, since=since):
+            case m.WatchRequest(enabled=on, since_version=since):
                 (self.watchers.add if on else self.watchers.discard)(stream)
                 if on and 0 <= since <= self.version:
                     missed = sorted(set(self.changes[since:]))
-                    stream.send(m.News("delta", self.version, [self._entry(n) for n in missed]))
+                    stream.send(m.WatchEvent("delta", self.version, [self._entry(n) for n in missed]))
                 elif on:
                     self._full(stream)
-            case m.Fetch():
+            case m.SnapshotRequest():
                 self._full(stream)
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for the list")
 
     def _full(self, stream: Stream) -> None:
         entries = [] if self.list_empty else [self._entry(n) for n in sorted(self.listed)]
-        stream.send(m.News("full", self.version, entries))
+        stream.send(m.WatchEvent("full", self.version, entries))
 
     def _list_lost(self, stream: Stream, why: AnyMessage) -> None:
         self.watchers.discard(stream)
--- a/puffintide/interface.py
+++ b/puffintide/interface.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-ALL_TABLES = 0xFFFF  # as Admit.table: the level holds for every slice in this instance's charge
+ALL_SLICES = 0xFFFF  # as Admit.table: the level holds for every slice in this instance's charge
 
 
 # Settings ---------------------------------------------------------------------------------------
@@ -12,50 +12,54 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    effect: str  # "repeatable", "by_key" (a repeat is dropped within window_s) or "once"
-    group: str  # with "by_key": who drops repeats: "all" servers, those of a "zone" or of a "cell"
-    window_s: float
-    aim_s: float
+    repeat_safety: str  # "repeatable", "by_key" (a repeat is dropped within window_s) or "once"
+    deduplication_scope: (
+        str  # with "by_key": who drops repeats: "all" servers, those of a "zone" or of a "cell"
+    )
+    deduplication_window_s: float
+    latency_objective_s: float
     deadline_s: float
-    worth: float
-    own_zone_only: bool
+    priority_weight: float
+    same_zone_only: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    instance: int
-    instances: int
+    assigner_index: int
+    assigner_count: int
     seed: int
     zone: int
-    zones: int
-    classes: tuple[RequestClass, ...]
-    slices: int
-    proxies: int
+    zone_count: int
+    request_classes: tuple[RequestClass, ...]
+    slice_count: int
+    proxy_count: int
     single_writer: bool
-    warm_keys: bool
-    retry_default: int
-    retry_wait_aims: float
-    shun_after: int  # own failures in a row after which a proxy avoids a server for a while; 0: never
-    admit: str
-    channel_lines_per_s: float
-    channel_head_lines: float
-    channel_limit: float
+    caches_keys: bool
+    default_retry_mode: int
+    retry_wait_objectives: float
+    proxy_ejection_failures: (
+        int  # own failures in a row after which a proxy avoids a server for a while; 0: never
+    )
+    admission_mode: str
+    channel_entries_per_s: float
+    channel_header_entries: float
+    channel_capacity_entries: float
     channel_delay_s: float
     channel_delay_max_s: float
-    messages_most: int
-    messages_span_s: float
+    max_messages_per_window: int
+    message_window_s: float
     report_period_s: float
-    report_lines_per_s: float
-    report_names: tuple[str, ...]  # "rif", "q", "busy", "lat_ms", "rate", "fail_rate"
-    probes: bool
-    list_is_asked: bool
+    report_entries_per_s: float
+    load_value_names: tuple[str, ...]  # "rif", "q", "busy", "lat_ms", "rate", "fail_rate"
+    health_checks_enabled: bool
+    watch_on_request: bool
     drain_grace_s: float
-    cold_from: float
-    warm_within_s: float
-    fall_multiple: float
-    fall_s: float
-    bare_s: float
-    tiers: tuple[
+    slow_start_min_fraction: float
+    slow_start_duration_s: float
+    collapse_load_ratio: float
+    collapse_duration_s: float
+    max_unserved_s: float
+    zone_distances: tuple[
         tuple[int, ...], ...
     ] = ()  # by zone, how near each zone is to it (0: nearest); empty: all alike
 
@@ -66,143 +70,143 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
-    id: int
+class Endpoint:
+    server_id: int
     zone: int
-    kind: int
+    server_type: int
     cell: int
-    state: int
+    status: int
     weight: float
-    started: float  # clock time of its last start; 0: long ago
+    started_at_s: float  # clock time of its last start; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
-    kind: str  # "delta", "full", "cached" or "failed"
+class EndpointListUpdate:
+    update_type: str  # "delta", "full", "cached" or "failed"
     version: int
-    servers: tuple[Server, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class LoadReport:
+class ServerLoadReport:
     """What the joined proxies of one zone met at a server, and the server's own report."""
 
-    zone: int
-    server: int
-    tries: int
-    failed: int
-    mean_s: float
-    span_s: float
-    values: tuple[float, ...]
+    proxy_zone: int
+    server_id: int
+    attempts: int
+    failed_attempts: int
+    mean_latency_s: float
+    interval_s: float
+    load_values: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class SliceHeat:
-    slice: int
-    request_class: int
+class SliceLoadReport:
+    slice_id: int
+    class_index: int
     requests: int
     unanswered: int
-    span_s: float
+    interval_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class SliceCharge:
-    slice: int
-    given: bool
+class OwnershipChanged:
+    slice_id: int
+    granted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class StoredLine:
-    slice: int
-    server: int
+class StoredWeight:
+    slice_id: int
+    server_id: int
     weight: float
 
 
 @dataclass(frozen=True, slots=True)
-class ProxyJoined:
-    proxy: int
+class ProxyConnected:
+    proxy_id: int
     zone: int
-    rate: float
-    fresh: bool
+    request_rate: float
+    first_connection: bool
 
 
 @dataclass(frozen=True, slots=True)
-class ProxyLeft:
-    proxy: int
+class ProxyDisconnected:
+    proxy_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    proxy: int
-    number: int
-    took_s: float
+class CheckpointAcknowledged:
+    proxy_id: int
+    checkpoint_id: int
+    elapsed_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
-    server: int
+class HealthCheckResult:
+    server_id: int
     status: int  # 0 answered, 1 error, 2 turned away, 3 timed out, 4 unreachable, 5 broken off
-    took_s: float
-    values: tuple[float, ...]
+    elapsed_s: float
+    load_values: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
-    name: int
+class TimerFired:
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Instances:
+class AssignerCountChanged:
     """How many assigners have charge of slices now, this one among them; until told it is as in the settings."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
-class ServerBound:
+class CapacityLimitChanged:
     """The share of a server's capacity that may be planned with, from the zone plan; 0: only if nothing else is
     left. Until told otherwise it is 1."""
 
-    server: int
-    share: float
+    server_id: int
+    fraction: float
 
 
 @dataclass(frozen=True, slots=True)
-class SecondHand:
+class PeerObservation:
     """What another assigner has found out, as its copy has it: of a server its level (an index; 0 is ejected), or
     that it drains or is gone (false: no longer told so), heard from the list after what our own list told last; of
     the fleet (server -1) the capacity of a server of listed size 1."""
 
-    server: int
-    level: int = -1  # not told
-    capacity: float = 0.0  # a second; 0: not told
-    leaving: bool | None = None  # None: not told
+    server_id: int
+    recovery_level: int = -1  # not told
+    capacity_per_s: float = 0.0  # a second; 0: not told
+    is_leaving: bool | None = None  # None: not told
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneHand:
+class ZoneCommandReceived:
     """An operator's order for a zone, to the zone plan: "drain", "hold" or "return"; pace 1 is the usual."""
 
     zone: int
-    what: str
+    operation: str
     pace: float
 
 
 Event = (
-    ServerList
-    | LoadReport
-    | SliceHeat
-    | SliceCharge
-    | StoredLine
-    | ProxyJoined
-    | ProxyLeft
-    | Applied
-    | ProbeResult
-    | TimerDue
-    | Instances
-    | ServerBound
-    | SecondHand
-    | ZoneHand
+    EndpointListUpdate
+    | ServerLoadReport
+    | SliceLoadReport
+    | OwnershipChanged
+    | StoredWeight
+    | ProxyConnected
+    | ProxyDisconnected
+    | CheckpointAcknowledged
+    | HealthCheckResult
+    | TimerFired
+    | AssignerCountChanged
+    | CapacityLimitChanged
+    | PeerObservation
+    | ZoneCommandReceived
 )
 
 
@@ -210,54 +214,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetLine:
+class SetWeight:
     """Sets one line of a slice's table; weight 0 removes it."""
 
-    table: int
-    server: int
+    slice_id: int
+    server_id: int
     weight: float
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
-    server: int
-    out: bool
+class SetWithdrawn:
+    server_id: int
+    withdrawn: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
+class SetAdmission:
     """How much of the classes is let in, and the way of trying again (0 to 3)."""
 
-    table: int
-    classes: int
-    level: float
-    retry: int
+    slice_id: int
+    class_mask: int
+    fraction: float
+    retry_mode: int
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
-    number: int
+class SendCheckpoint:
+    checkpoint_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    server: int
+class SendHealthCheck:
+    server_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class WatchList:
-    on: bool
+class WatchEndpoints:
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    after_s: float
-    name: int
+    delay_s: float
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogMessage:
     text: str
 
 
-Action = SetLine | Withdraw | Admit | Mark | Probe | WatchList | SetTimer | Log
+Action = (
+    SetWeight
+    | SetWithdrawn
+    | SetAdmission
+    | SendCheckpoint
+    | SendHealthCheck
+    | WatchEndpoints
+    | SetTimer
+    | LogMessage
+)
--- a/puffintide/platform/config.py
+++ b/puffintide/platform/config.py
@@ -86,7 +86,7 @@
     except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
     classes = [str(row.get("name", k)) for k, row in enumerate(settings["classes"])]
-    names = Names(_strings(settings, "zones"), classes, _strings(settings, "kinds"), parsed.report_names)
+    names = Names(_strings(settings, "zones"), classes, _strings(settings, "kinds"), parsed.load_value_names)
     known = tree.get("known")
     return Config(
         name=str(tree.get("name", "")),
--- a/puffintide/platform/messages.py
+++ b/puffintide/platform/messages.py
@@ -13,7 +13,7 @@
 from puffintide import interface as api
 from puffintide.platform.names import Hosts, Names
 from puffintide.protocol.checks import COUNT_MOST, SPAN_MOST
-from puffintide.protocol.messages import Entry
+from puffintide.protocol.messages import EndpointEntry
 
 MS = 1000.0
 
@@ -86,7 +86,7 @@
         raise Invalid(f"window of {window:g} ms")
 
 
-def load_report(m: Heard, names: Names, hosts: Hosts) -> api.LoadReport:
+def load_report(m: Heard, names: Names, hosts: Hosts) -> api.ServerLoadReport:
     """Raises Invalid."""
     _counts(m.n, m.bad, m.window)
     if m.bad > m.n:
@@ -100,10 +100,10 @@
     if not 0 <= m.avg <= SPAN_MOST * MS:
         raise Invalid(f"mean of {m.avg:g} ms")
     mean = m.avg / MS if m.n > m.bad else 0.0
-    return api.LoadReport(zone, server, m.n, m.bad, mean, m.window / MS, names.values(m.report))
+    return api.ServerLoadReport(zone, server, m.n, m.bad, mean, m.window / MS, names.values(m.report))
 
 
-def slice_heat(m: Heat, names: Names, slices: int) -> api.SliceHeat:
+def slice_heat(m: Heat, names: Names, slices: int) -> api.SliceLoadReport:
     """Raises Invalid. What got no answer in a window may have come in an earlier one: bad may be above n."""
     _counts(m.n, m.bad, m.window)
     request_class = names.classes.get(m.kind)
@@ -111,7 +111,7 @@
         raise Invalid(f"class {m.kind[:40]!r} is not in the settings")
     if not 0 <= m.partition < slices:
         raise Invalid(f"slice {m.partition} of {slices}")
-    return api.SliceHeat(m.partition, request_class, m.n, m.bad, m.window / MS)
+    return api.SliceLoadReport(m.partition, request_class, m.n, m.bad, m.window / MS)
 
 
 # News of the relay --------------------------------------------------------------------------------
@@ -200,7 +200,7 @@
 class Members(msgspec.Struct, frozen=True):
     seq: int
     whole: bool
-    entries: list[Entry]
+    entries: list[EndpointEntry]
     bad: list[str]  # reasons of those passed over
 
 
@@ -212,7 +212,7 @@
 def read_members(text: bytes, names: Names, hosts: Hosts, unix_ms: float) -> Members:
     """A list or changes of it. One bad entry does not spoil the others. Raises as above."""
     rows = _decode(_members, text)
-    entries: list[Entry] = []
+    entries: list[EndpointEntry] = []
     bad: list[str] = []
     for raw in rows.hosts:
         try:
@@ -229,6 +229,6 @@
         zone = names.zones.get(m.site, 0)
         state = STATES[m.health]
         entries.append(
-            Entry(hosts.number(m.host), zone, kind, m.block, state, m.share, m.born_ms, age, m.dial)
+            EndpointEntry(hosts.number(m.host), zone, kind, m.block, state, m.share, m.born_ms, age, m.dial)
         )
     return Members(rows.seq, rows.whole, entries, bad)
--- a/puffintide/platform/relay.py
+++ b/puffintide/platform/relay.py
@@ -48,7 +48,7 @@
     slices = frozenset(held)
     for action in actions:
         match action:
-            case api.SetLine(table, server, weight):
+            case api.SetWeight(table, server, weight):
                 name = host(server)
                 if name is None:
                     wrong.append(f"line of slice {table}: server {server} has no name")
@@ -56,23 +56,23 @@
                     text = _text(do="SET", group=table, host=name, share=round(weight, 6))
                     rank = 1 if weight > 0 else 2
                     out.append(Order(("line", table, server), text, rank, (table, name, weight)))
-            case api.Withdraw(server, gone):
+            case api.SetWithdrawn(server, gone):
                 name = host(server)
                 if name is None:
                     wrong.append(f"withdrawal: server {server} has no name")
                 else:
                     text = _text(do="OUT" if gone else "IN", host=name)
                     out.append(Order(("server", server, 0), text, 0 if gone else 3))
-            case api.Admit(table, classes, level, retry):
+            case api.SetAdmission(table, classes, level, retry):
                 fields: dict[str, object] = {"do": "LIMIT"}
-                if table != api.ALL_TABLES:
+                if table != api.ALL_SLICES:
                     fields["group"] = table
                 if classes:
                     fields["for"] = names.classes_of(classes)
                 out.append(
                     Order(("level", table, classes), _text(**fields, gate=round(level, 4), again=retry), 4)
                 )
-            case api.Mark(number):
+            case api.SendCheckpoint(number):
                 out.append(Order(("mark", number, 0), _text(do="SYNC", stamp=number, yes=0), 5))
     return out, wrong
 
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -25,8 +25,8 @@
 from puffintide.platform.probe import Prober
 from puffintide.platform.standing import Changes, read_anew, table_anew
 from puffintide.platform.watch import Watch
-from puffintide.protocol.messages import Charge, Held
-from puffintide.protocol.messages import News as ListNews
+from puffintide.protocol.messages import SliceOwnership, TableEntry
+from puffintide.protocol.messages import WatchEvent as ListNews
 
 EPOCH_S = 1e6  # added to the monotonic clock: times before the machine started are still above 0
 TICK_S = 0.004  # what comes in within so long is one batch
@@ -57,7 +57,7 @@
         self.settings, self.names = config.settings, config.names
         self.hosts = Hosts()
         self.runtime = Runtime(self.settings)
-        self.outbox = relay.Outbox(self.settings.messages_most, self.settings.messages_span_s)
+        self.outbox = relay.Outbox(self.settings.max_messages_per_window, self.settings.message_window_s)
         self.caller = Caller(reactor, config.relay, self.outbox, log)
         tasks = (
             len(config.known["hosts"]) if config.known and isinstance(config.known.get("hosts"), list) else 0
@@ -104,7 +104,7 @@
         self.reactor.callLater(STATS_S, self._stats)
         self.reactor.callLater(FORGET_S, self._forget)
         self._schedule(0.0)
-        self.log("started", listen=f"{host}:{port}", pid=os.getpid(), slices=self.settings.slices)
+        self.log("started", listen=f"{host}:{port}", pid=os.getpid(), slices=self.settings.slice_count)
 
     def _serve(self) -> None:
         if self.lifecycle.ready():
@@ -183,7 +183,7 @@
             self.log("entry_refused", reason=reason)
         for number in sorted(self.probers.keys() - self.runtime.entries.keys()):
             self.probers.pop(number).stop()
-        states = {self.hosts.name(e.id): e.state for e in told.entries if e.state != api.READY}
+        states = {self.hosts.name(e.server_id): e.status for e in told.entries if e.status != api.READY}
         self.log("list", kind=kind, version=told.seq, entries=len(told.entries), states=states)
         self._schedule()
 
@@ -216,7 +216,9 @@
         for number, table in sorted(changes.again.items()):
             self._compare(now, number, table)
         for news in changes.applied:
-            self.runtime.hear(now, api.Applied(news.sidecar, news.version, max(0.0, news.lag_ms / m.MS)))
+            self.runtime.hear(
+                now, api.CheckpointAcknowledged(news.sidecar, news.version, max(0.0, news.lag_ms / m.MS))
+            )
         if changes.taken or changes.given or len(changes.joined) > 1:
             self.log(
                 "standing",
@@ -230,8 +232,8 @@
 
     def _given(self, now: float, number: int, table: dict[str, float]) -> None:
         self.outbox.void(number)
-        lines = [Held(self.hosts.number(host), share) for host, share in sorted(table.items())]
-        self.runtime.charge(now, Charge(number, 1, self.settings.instance, lines))
+        lines = [TableEntry(self.hosts.number(host), share) for host, share in sorted(table.items())]
+        self.runtime.charge(now, SliceOwnership(number, 1, self.settings.assigner_index, lines))
 
     def _ours(self, number: int) -> set[int]:
         """Servers whose lines of a slice are on their way, or were sent so lately that the store may be behind."""
@@ -245,7 +247,7 @@
         ours = self._ours(number)
         told = {self.hosts.number(host): share for host, share in sorted(lines.items())}
         self.log("lines_late", slice=number, lines=len(lines))
-        self.runtime.hear(now, *(api.StoredLine(number, s, w) for s, w in told.items() if s not in ours))
+        self.runtime.hear(now, *(api.StoredWeight(number, s, w) for s, w in told.items() if s not in ours))
 
     def _compare(self, now: float, number: int, table: dict[str, float]) -> None:
         stored = {self.hosts.number(host): share for host, share in table.items() if share > 0}
@@ -255,8 +257,8 @@
         ours = self._ours(number)
         if read_anew(stored, believed, ours):
             self.log("table_differs", slice=number, stored=len(stored), believed=len(believed))
-            lines = [Held(s, share) for s, share in sorted(table_anew(stored, believed, ours).items())]
-            self.runtime.charge(now, Charge(number, 1, self.settings.instance, lines))
+            lines = [TableEntry(s, share) for s, share in sorted(table_anew(stored, believed, ours).items())]
+            self.runtime.charge(now, SliceOwnership(number, 1, self.settings.assigner_index, lines))
 
     # Collectors and probes ----------------------------------------------------------------------
 
@@ -266,7 +268,7 @@
                 event: api.Event = m.load_report(message, self.names, self.hosts)
                 self.reports["heard"] += 1
             elif isinstance(message, m.Heat):
-                event = m.slice_heat(message, self.names, self.settings.slices)
+                event = m.slice_heat(message, self.names, self.settings.slice_count)
                 self.reports["heat"] += 1
             else:
                 return
@@ -285,7 +287,7 @@
         if self._to_probe:
             self.reactor.callLater(self._probe_pause_s, self._probe_next)
         told = self.runtime.addresses.get(server, "")
-        if not told or not self.settings.probes:
+        if not told or not self.settings.health_checks_enabled:
             return
         try:
             dial = address(told, "dial")
@@ -295,11 +297,11 @@
         if prober is None or prober.address != dial:
             if prober is not None:
                 prober.stop()
-            target = "/_load" if self.settings.report_names else "/ping"
+            target = "/_load" if self.settings.load_value_names else "/ping"
 
             def done(status: int, took_s: float, report: dict[str, float]) -> None:
                 self.runtime.hear(
-                    self.now(), api.ProbeResult(server, status, took_s, self.names.values(report))
+                    self.now(), api.HealthCheckResult(server, status, took_s, self.names.values(report))
                 )
                 self._schedule()
 
