--- a/puffintide/protocol/messages.py
+++ b/puffintide/protocol/messages.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-VERSION = 1
-CHARGES_MOST = 1000  # in one message
+PROTOCOL_VERSION = 1
+MAX_OWNERSHIPS_PER_MESSAGE = 1000  # in one message
 
 # Outcomes of a try, and of a probe, as the interface numbers them.
 OK, ERROR, FULL, TIMEOUT, UNREACHABLE, RESET = 0, 1, 2, 3, 4, 5
@@ -22,7 +22,12 @@
 # Every stream ------------------------------------------------------------------------------------
 
 
-class Hello(Message, tag="hello", frozen=True):
+class Hello(
+    Message,
+    tag="hello",
+    frozen=True,
+    rename={"incarnation": "start", "first_connection": "fresh", "highest_token": "token"},
+):
     """First line of whoever dialled: who it is."""
 
     version: int
@@ -30,21 +35,23 @@
     id: int
     zone: int = 0
     deployment: str = ""
-    start: int = 0  # which life of this process; rises at each start
-    fresh: bool = False  # a proxy: its first stream to this peer since it started
-    token: int = 0  # to the store: the highest token seen, by which a store knows that it is an older copy
+    incarnation: int = 0  # which life of this process; rises at each start
+    first_connection: bool = False  # a proxy: its first stream to this peer since it started
+    highest_token: int = (
+        0  # to the store: the highest token seen, by which a store knows that it is an older copy
+    )
 
 
-class Welcome(Message, tag="welcome", frozen=True):
+class Welcome(Message, tag="welcome", frozen=True, rename={"incarnation": "start"}):
     """First line of whoever was dialled. Nothing else is sent to it before."""
 
     version: int
     role: str
     id: int
-    start: int = 0
+    incarnation: int = 0
 
 
-class Refuse(Message, tag="refuse", frozen=True):
+class ConnectionRejected(Message, tag="refuse", frozen=True):
     """The stream is closed after this line; the reason says why."""
 
     reason: str
@@ -61,156 +68,189 @@
 # Assigner and proxy -------------------------------------------------------------------------------
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
+class WeightEntry(msgspec.Struct, frozen=True, array_like=True):
     """One line of a table; weight 0 removes it. The token is that of the slice's charge."""
 
-    table: int
-    server: int
+    slice_id: int
+    server_id: int
     weight: float
-    token: int = 0
+    fencing_token: int = 0
     address: str = ""
     zone: int = -1  # of the server; -1 not told
 
 
-class Level(msgspec.Struct, frozen=True, array_like=True):
+class AdmissionLevel(msgspec.Struct, frozen=True, array_like=True):
     """How much of the classes is let in (classes: sum of 2^k, 0 for all) and the way of trying again."""
 
-    table: int
-    classes: int
-    level: float
-    retry: int
-
-
-class Order(Message, tag="order", frozen=True):
+    slice_id: int
+    class_mask: int
+    fraction: float
+    retry_mode: int
+
+
+class ProxyUpdate(
+    Message,
+    tag="order",
+    frozen=True,
+    rename={
+        "ordered_at_s": "at",
+        "channel_cost": "cost",
+        "weights": "lines",
+        "cleared_slices": "clear",
+        "withdrawn_servers": "out",
+        "readmitted_servers": "back",
+        "admission_levels": "levels",
+        "checkpoint_id": "mark",
+    },
+):
     """What an assigner orders one proxy at one time. All of it takes effect together."""
 
     batch: int  # rises by one with each order of this assigner, the same for all proxies concerned
-    at: float  # when it was ordered, on the assigner's monotonic clock
-    cost: float  # lines it counts in the channel, its head among them
-    lines: list[Line] = []
-    clear: list[int] = []  # tables that lose all lines and levels, before the lines are set
-    out: list[int] = []  # servers withdrawn
-    back: list[int] = []  # servers let in again
-    levels: list[Level] = []
-    mark: int | None = None  # to be answered with Applied
+    ordered_at_s: float  # when it was ordered, on the assigner's monotonic clock
+    channel_cost: float  # lines it counts in the channel, its head among them
+    weights: list[WeightEntry] = []
+    cleared_slices: list[int] = []  # tables that lose all lines and levels, before the lines are set
+    withdrawn_servers: list[int] = []  # servers withdrawn
+    readmitted_servers: list[int] = []  # servers let in again
+    admission_levels: list[AdmissionLevel] = []
+    checkpoint_id: int | None = None  # to be answered with Applied
 
 
-class Applied(Message, tag="applied", frozen=True):
-    mark: int
+class CheckpointReply(Message, tag="applied", frozen=True, rename={"checkpoint_id": "mark"}):
+    checkpoint_id: int
 
 
-class ServerSum(msgspec.Struct, frozen=True, array_like=True):
+class ServerUsage(msgspec.Struct, frozen=True, array_like=True):
     """What a proxy met at a server: tries, those without a good answer, total time of the good ones."""
 
-    server: int
-    tries: int
-    failed: int
-    good_s: float
-    values: list[float] = []  # the newest load report among the answers
+    server_id: int
+    attempts: int
+    failed_attempts: int
+    success_latency_total_s: float
+    load_values: list[float] = []  # the newest load report among the answers
 
 
-class SliceSum(msgspec.Struct, frozen=True, array_like=True):
-    slice: int
-    request_class: int
+class SliceUsage(msgspec.Struct, frozen=True, array_like=True):
+    slice_id: int
+    class_index: int
     requests: int
     unanswered: int
 
 
-class Sums(Message, tag="sums", frozen=True):
+class UsageReport(Message, tag="sums", frozen=True, rename={"interval_s": "span_s"}):
     """Counts since the last Sums on this stream; each request and try is counted once."""
 
-    span_s: float
-    servers: list[ServerSum] = []
-    slices: list[SliceSum] = []  # without slices: slice is the number 0, and it is the proxy's own usage
+    interval_s: float
+    servers: list[ServerUsage] = []
+    slices: list[SliceUsage] = []  # without slices: slice is the number 0, and it is the proxy's own usage
 
 
 # Store --------------------------------------------------------------------------------------------
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True):
+class TableEntry(msgspec.Struct, frozen=True, array_like=True):
     """A line of a table as the store has it."""
 
-    server: int
+    server_id: int
     weight: float
     address: str = ""
     zone: int = -1
 
 
-class Charge(Message, tag="charge", frozen=True):
+class SliceOwnership(
+    Message,
+    tag="charge",
+    frozen=True,
+    rename={
+        "slice_id": "slice",
+        "fencing_token": "token",
+        "owner_id": "assigner",
+        "entries": "lines",
+        "tenure_token": "since",
+    },
+):
     """A slice's table and who may write it, from the store; to an assigner: the slice is given to it."""
 
-    slice: int
-    token: int  # rises with each change of charge; a write with an older one is refused
-    assigner: int  # -1: nobody
-    lines: list[Held] = []
+    slice_id: int
+    fencing_token: int  # rises with each change of charge; a write with an older one is refused
+    owner_id: int  # -1: nobody
+    entries: list[TableEntry] = []
     batch: int = 0  # of the last write in this tenure; a proxy that has a later order keeps its lines
-    since: int = 0  # the first token of this unbroken tenure of one life of the assigner
+    tenure_token: int = 0  # the first token of this unbroken tenure of one life of the assigner
 
 
-class Charges(Message, tag="charges", frozen=True):
+class SliceOwnerships(Message, tag="charges", frozen=True, rename={"ownerships": "charges"}):
     """Several at once: a reading of the store, or all that one event changed. At most CHARGES_MOST of them."""
 
-    charges: list[Charge]
+    ownerships: list[SliceOwnership]
 
 
-class Taken(Message, tag="taken", frozen=True):
+class OwnershipRevoked(
+    Message, tag="taken", frozen=True, rename={"slice_id": "slice", "fencing_token": "token"}
+):
     """The slice is no longer in this assigner's charge."""
 
-    slice: int
-    token: int
+    slice_id: int
+    fencing_token: int
 
 
-class Write(Message, tag="write", frozen=True):
+class WriteRequest(Message, tag="write", frozen=True, rename={"weights": "lines"}):
     """Lines of slices in the writer's charge; weight 0 removes a line. Refused line by line."""
 
     batch: int
-    lines: list[Line]
+    weights: list[WeightEntry]
 
 
-class Refused(Message, tag="refused", frozen=True):
+class WriteRejected(Message, tag="refused", frozen=True, rename={"slice_id": "slice"}):
     """A write that the store did not take."""
 
     batch: int
-    slice: int
+    slice_id: int
     reason: str
 
 
-class Read(Message, tag="read", frozen=True):
+class ReadRequest(
+    Message, tag="read", frozen=True, rename={"since_revision": "since", "store_id": "identity"}
+):
     """Asks the store for tables and charges; answered by Charges, then ReadEnd. With the identity and revision of
     an earlier ReadEnd of the same store only what changed since is told."""
 
-    since: int = -1
-    identity: str = ""
+    since_revision: int = -1
+    store_id: str = ""
 
 
-class ReadEnd(Message, tag="read_end", frozen=True):
-    slices: int  # told before this
+class ReadComplete(
+    Message, tag="read_end", frozen=True, rename={"slice_count": "slices", "store_id": "identity"}
+):
+    slice_count: int  # told before this
     revision: int = 0
-    identity: str = ""  # of the store
+    store_id: str = ""  # of the store
 
 
-class Members(Message, tag="members", frozen=True):
+class AssignerMembership(Message, tag="members", frozen=True, rename={"assigner_ids": "assigners"}):
     """The assigners that have charge of slices, or may have again within the lease; to every assigner."""
 
-    assigners: list[int]
+    assigner_ids: list[int]
 
 
-class Written(Message, tag="written", frozen=True):
+class WriteAcknowledged(Message, tag="written", frozen=True):
     """This writer's writes up to this batch are kept, but for those refused."""
 
     batch: int
     revision: int
 
 
-class Move(Message, tag="move", frozen=True):
+class MigrateSlices(
+    Message, tag="move", frozen=True, rename={"slice_ids": "slices", "assigner_id": "to", "operator": "by"}
+):
     """An operator's order: these slices have their home at that assigner; -1 takes it back."""
 
-    slices: list[int]
-    to: int
-    by: str = ""
+    slice_ids: list[int]
+    assigner_id: int
+    operator: str = ""
 
 
-class Backup(Message, tag="backup", frozen=True):
+class BackupRequest(Message, tag="backup", frozen=True):
     """An operator's order to write a backup under this name, in the store's folder for them."""
 
     name: str
@@ -219,43 +259,47 @@
 # The operator's hand -------------------------------------------------------------------------------
 
 
-class Hand(Message, tag="hand", frozen=True):
+class ZoneCommand(
+    Message, tag="hand", frozen=True, rename={"operation": "what", "operator": "by", "sequence": "number"}
+):
     """An operator's order for a zone, to the store; from there to every assigner, and again when one joins."""
 
     zone: int
-    what: str  # "drain", "hold" or "return"
+    operation: str  # "drain", "hold" or "return"
     pace: float = 1.0  # of steps, as a multiple of the usual
-    by: str = ""  # who ordered it, as told
-    number: int = 0  # given by the store; rises with each
+    operator: str = ""  # who ordered it, as told
+    sequence: int = 0  # given by the store; rises with each
 
 
-class Hands(Message, tag="hands", frozen=True):
+class ZoneCommands(Message, tag="hands", frozen=True, rename={"commands": "hands"}):
     """What stands for each zone."""
 
-    hands: list[Hand]
+    commands: list[ZoneCommand]
 
 
-class AskZones(Message, tag="ask_zones", frozen=True):
+class ZoneStatusRequest(Message, tag="ask_zones", frozen=True):
     """Asks an assigner how it judges the zones."""
 
 
-class ZoneRow(msgspec.Struct, frozen=True, array_like=True):
+class ZoneStatus(msgspec.Struct, frozen=True, array_like=True):
     zone: int
     phase: str
     cause: str
-    share: float  # of its usual servers that is there
-    bound: float  # least and most share of a server's capacity that is planned with
-    bound_most: float
-    held_s: float  # so long it is held out yet
-    flaps: int
-    spill: list[tuple[int, float]]
-    beyond: float
+    available_fraction: float  # of its usual servers that is there
+    min_capacity_fraction: float  # least and most share of a server's capacity that is planned with
+    max_capacity_fraction: float
+    hold_remaining_s: float  # so long it is held out yet
+    flap_count: int
+    spillover: list[tuple[int, float]]
+    unplaced_fraction: float
 
 
-class Zones(Message, tag="zones", frozen=True):
-    assigner: int
-    planned: bool  # False: this assigner has no zone plan
-    zones: list[ZoneRow]
+class ZoneStatusReport(
+    Message, tag="zones", frozen=True, rename={"assigner_id": "assigner", "zone_plan_enabled": "planned"}
+):
+    assigner_id: int
+    zone_plan_enabled: bool  # False: this assigner has no zone plan
+    zones: list[ZoneStatus]
 
 
 # Between assigners --------------------------------------------------------------------------------
@@ -263,197 +307,239 @@
 Value = tuple[float | str, ...]  # as the kind has it: docs/replication.md
 
 
-class Version(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaVersion(msgspec.Struct, frozen=True, array_like=True):
     """Up to where all is held that this assigner wrote."""
 
-    origin: int
-    life: int
-    seq: int
-    floor: int = 0  # nothing is held that was taken back up to here
+    origin_id: int
+    incarnation: int
+    sequence: int
+    compacted_sequence: int = 0  # nothing is held that was taken back up to here
 
 
-class Digest(Message, tag="digest", frozen=True):
+class VersionDigest(Message, tag="digest", frozen=True, rename={"request_missing": "ask"}):
     """What the sender holds of each, or is being sent by others. Whoever holds more sends it, if asked."""
 
-    versions: list[Version]
-    ask: bool = True
+    versions: list[ReplicaVersion]
+    request_missing: bool = True
 
 
-class CopiedRow(msgspec.Struct, frozen=True, array_like=True):
-    kind: str
-    number: int  # of a slice or server; -1 where there is one row of the kind
-    seq: int
+class ReplicatedRow(msgspec.Struct, frozen=True, array_like=True):
+    row_type: str
+    row_id: int  # of a slice or server; -1 where there is one row of the kind
+    sequence: int
     age_s: float  # since its origin observed it, when this was written
     value: Value
 
 
-class Copies(Message, tag="copies", frozen=True):
+class ReplicationDelta(
+    Message,
+    tag="copies",
+    frozen=True,
+    rename={
+        "origin_id": "origin",
+        "incarnation": "life",
+        "after_sequence": "after",
+        "through_sequence": "upto",
+        "latest_sequence": "top",
+        "compacted_sequence": "floor",
+        "deletions": "gone",
+    },
+):
     """All that changed of one origin after one sequence and up to another."""
 
-    origin: int
-    life: int
-    after: int
-    upto: int
-    top: int  # up to here there is more to come
-    floor: int  # what was taken back up to here is forgotten; who may hold some of it starts anew
-    rows: list[CopiedRow] = []
-    gone: list[tuple[str, int, int]] = []  # kind, number, sequence of what was taken back
+    origin_id: int
+    incarnation: int
+    after_sequence: int
+    through_sequence: int
+    latest_sequence: int  # up to here there is more to come
+    compacted_sequence: (
+        int  # what was taken back up to here is forgotten; who may hold some of it starts anew
+    )
+    rows: list[ReplicatedRow] = []
+    deletions: list[tuple[str, int, int]] = []  # kind, number, sequence of what was taken back
 
 
-class Refill(Message, tag="refill", frozen=True):
+class RestoreFromReplicas(Message, tag="refill", frozen=True, rename={"operator": "by"}):
     """An operator's order to an empty store: go on with the tables of the assigners that are there."""
 
-    by: str = ""
+    operator: str = ""
 
 
-class AskCopies(Message, tag="ask_copies", frozen=True):
+class ReplicaRequest(Message, tag="ask_copies", frozen=True, rename={"tables_only": "tables"}):
     """From the store, or an operator: asks an assigner for all the tables it holds, or all copies."""
 
-    tables: bool = True
+    tables_only: bool = True
 
 
 # List of servers ----------------------------------------------------------------------------------
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
+class EndpointEntry(msgspec.Struct, frozen=True, array_like=True):
     """A server in the list. age_s is the time since its start when the news was written; below 0: long ago."""
 
-    id: int
+    server_id: int
     zone: int
-    kind: int
+    server_type: int
     cell: int
-    state: int  # 0 gone, 1 ready, 2 draining
+    status: int  # 0 gone, 1 ready, 2 draining
     weight: float
-    start: int  # which life of the server
+    incarnation: int  # which life of the server
     age_s: float
     address: str = ""
 
 
-class Watch(Message, tag="watch", frozen=True):
-    on: bool
-    since: int = -1  # the version held; the list sends what was missed
+class WatchRequest(Message, tag="watch", frozen=True, rename={"enabled": "on", "since_version": "since"}):
+    enabled: bool
+    since_version: int = -1  # the version held; the list sends what was missed
 
 
-class Fetch(Message, tag="fetch", frozen=True):
+class SnapshotRequest(Message, tag="fetch", frozen=True):
     pass
 
 
-class News(Message, tag="news", frozen=True):
-    kind: str  # "delta", "full", "cached" or "failed"
+class WatchEvent(Message, tag="news", frozen=True, rename={"update_type": "kind"}):
+    update_type: str  # "delta", "full", "cached" or "failed"
     version: int
-    servers: list[Entry] = []
+    servers: list[EndpointEntry] = []
 
 
 # Requests -----------------------------------------------------------------------------------------
 
 
-class Ask(Message, tag="ask", frozen=True):
+class ClientRequest(
+    Message,
+    tag="ask",
+    frozen=True,
+    rename={"request_id": "id", "class_index": "request_class", "remaining_s": "left_s"},
+):
     """A client's request to its proxy."""
 
-    id: int
-    request_class: int
+    request_id: int
+    class_index: int
     key: int
-    left_s: float  # time that the client still waits
+    remaining_s: float  # time that the client still waits
     work_s: float = 0.0  # stand-ins only: virtual work at a core of speed 1
 
 
-class Reply(Message, tag="reply", frozen=True):
+class ClientResponse(
+    Message,
+    tag="reply",
+    frozen=True,
+    rename={"request_id": "id", "retry_after_s": "again_s", "may_have_executed": "ran"},
+):
     """The final answer. status 2 is a refusal, again_s then tells when to come back."""
 
-    id: int
+    request_id: int
     status: int
-    again_s: float = 0.0
-    ran: bool = True  # False: certain that it never ran
-
-
-class Try(Message, tag="try", frozen=True):
+    retry_after_s: float = 0.0
+    may_have_executed: bool = True  # False: certain that it never ran
+
+
+class AttemptRequest(
+    Message,
+    tag="try",
+    frozen=True,
+    rename={
+        "attempt_id": "id",
+        "request_id": "request",
+        "proxy_id": "proxy",
+        "slice_id": "slice",
+        "class_index": "request_class",
+        "attempt_number": "number",
+        "remaining_s": "left_s",
+    },
+):
     """One try of a request at a server."""
 
-    id: int  # of the try, on this stream
-    request: int  # of the client's request; proxy and request name it
-    proxy: int
-    slice: int
-    request_class: int
+    attempt_id: int  # of the try, on this stream
+    request_id: int  # of the client's request; proxy and request name it
+    proxy_id: int
+    slice_id: int
+    class_index: int
     key: int
-    number: int  # 0 for the first try
-    left_s: float
+    attempt_number: int  # 0 for the first try
+    remaining_s: float
     work_s: float = 0.0
 
 
-class Answer(Message, tag="answer", frozen=True):
-    id: int
+class AttemptResponse(
+    Message, tag="answer", frozen=True, rename={"attempt_id": "id", "load_values": "values"}
+):
+    attempt_id: int
     status: int
-    values: list[float] = []
+    load_values: list[float] = []
 
 
-class Cancel(Message, tag="cancel", frozen=True):
+class CancelAttempt(Message, tag="cancel", frozen=True, rename={"attempt_id": "id"}):
     """The try's answer is no longer awaited; work goes on."""
 
-    id: int
+    attempt_id: int
 
 
-class Probe(Message, tag="probe", frozen=True):
-    id: int
+class HealthCheckRequest(Message, tag="probe", frozen=True, rename={"check_id": "id"}):
+    check_id: int
 
 
-class Probed(Message, tag="probed", frozen=True):
-    id: int
+class HealthCheckResponse(
+    Message, tag="probed", frozen=True, rename={"check_id": "id", "load_values": "values"}
+):
+    check_id: int
     status: int
-    values: list[float] = []
+    load_values: list[float] = []
 
 
 # The hand that steers stand-ins --------------------------------------------
 
 
-class Control(Message, tag="control", frozen=True):
+class EmulatorCommand(Message, tag="control", frozen=True, rename={"operation": "what", "arguments": "args"}):
     """Orders a stand-in or relay of a day to change; the names are those of the day's faults."""
 
-    what: str
-    args: dict[str, float | int | str | list[int]] = {}
+    operation: str
+    arguments: dict[str, float | int | str | list[int]] = {}
 
 
-class Done(Message, tag="done", frozen=True):
+class CommandCompleted(Message, tag="done", frozen=True):
     note: str = ""
 
 
 AnyMessage = (
     Hello
     | Welcome
-    | Refuse
+    | ConnectionRejected
     | Ping
     | Pong
-    | Order
-    | Applied
-    | Sums
-    | Charge
-    | Charges
-    | Taken
-    | Write
-    | Refused
-    | Read
-    | ReadEnd
-    | Written
-    | Members
-    | Move
-    | Backup
-    | Hand
-    | Hands
-    | AskZones
-    | Zones
-    | Digest
-    | Copies
-    | AskCopies
-    | Refill
-    | Watch
-    | Fetch
-    | News
-    | Ask
-    | Reply
-    | Try
-    | Answer
-    | Cancel
-    | Probe
-    | Probed
-    | Control
-    | Done
+    | ProxyUpdate
+    | CheckpointReply
+    | UsageReport
+    | SliceOwnership
+    | SliceOwnerships
+    | OwnershipRevoked
+    | WriteRequest
+    | WriteRejected
+    | ReadRequest
+    | ReadComplete
+    | WriteAcknowledged
+    | AssignerMembership
+    | MigrateSlices
+    | BackupRequest
+    | ZoneCommand
+    | ZoneCommands
+    | ZoneStatusRequest
+    | ZoneStatusReport
+    | VersionDigest
+    | ReplicationDelta
+    | ReplicaRequest
+    | RestoreFromReplicas
+    | WatchRequest
+    | SnapshotRequest
+    | WatchEvent
+    | ClientRequest
+    | ClientResponse
+    | AttemptRequest
+    | AttemptResponse
+    | CancelAttempt
+    | HealthCheckRequest
+    | HealthCheckResponse
+    | EmulatorCommand
+    | CommandCompleted
 )
--- a/puffintide/protocol/session.py
+++ b/puffintide/protocol/session.py
@@ -5,7 +5,16 @@
 from collections.abc import Callable
 
 from puffintide.protocol.codec import WireError, decode
-from puffintide.protocol.messages import VERSION, AnyMessage, Hello, Message, Ping, Pong, Refuse, Welcome
+from puffintide.protocol.messages import (
+    PROTOCOL_VERSION,
+    AnyMessage,
+    ConnectionRejected,
+    Hello,
+    Message,
+    Ping,
+    Pong,
+    Welcome,
+)
 
 Greeting = Hello | Welcome
 Judge = Callable[[Greeting], str | None]  # the reason for which a peer is refused, if any
@@ -46,20 +55,20 @@
                 return [], [Pong()]
             case Pong():
                 return [], []
-            case Refuse(reason=reason):
+            case ConnectionRejected(reason=reason):
                 raise WireError(f"refused by {self.peer.role} {self.peer.id}: {reason}")
             case Hello() | Welcome():
                 raise WireError("greeted twice")
         return [message], []
 
     def _greeted(self, message: AnyMessage) -> tuple[list[AnyMessage], list[Message]]:
-        if isinstance(message, Refuse):
+        if isinstance(message, ConnectionRejected):
             raise WireError(f"refused: {message.reason}")
         wanted: type[Greeting] = Welcome if isinstance(self.me, Hello) else Hello
         if not isinstance(message, wanted):
             raise WireError(f"first line must be a {wanted.__name__}, not a {type(message).__name__}")
-        if message.version != VERSION:
-            raise WireError(f"version {message.version} is not spoken here, only {VERSION}")
+        if message.version != PROTOCOL_VERSION:
+            raise WireError(f"version {message.version} is not spoken here, only {PROTOCOL_VERSION}")
         reason = self.judge(message)
         if reason is not None:
             raise WireError(reason)
--- a/puffintide/protocol/stream.py
+++ b/puffintide/protocol/stream.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from puffintide.protocol.codec import LINE_MOST, WireError, encode
-from puffintide.protocol.messages import AnyMessage, Hello, Message, Refuse, Welcome
+from puffintide.protocol.messages import AnyMessage, ConnectionRejected, Hello, Message, Welcome
 from puffintide.protocol.session import Greeting, Judge, Session, any_peer
 from puffintide.tls.context import Contexts, names
 from puffintide.tls.keys import party
@@ -106,7 +106,7 @@
         if not self.ended:
             self.reason = reason
             if not reason.startswith("refused"):
-                self.send(Refuse(reason[:500]))
+                self.send(ConnectionRejected(reason[:500]))
             hang_up(self.transport)
             if not self.writable:
                 self.transport.abortConnection()
@@ -146,7 +146,7 @@
             self._check.cancel()
             self._check = None
         if self.on_lost is not None:
-            self.on_lost(self, Refuse(self.reason or reason.getErrorMessage()))
+            self.on_lost(self, ConnectionRejected(self.reason or reason.getErrorMessage()))
 
 
 class Acceptor(Factory):
@@ -232,7 +232,7 @@
     def _lost(self, stream: Stream, why: AnyMessage) -> None:
         if stream.up:
             self.failures = 0
-        self._failed(why.reason if isinstance(why, Refuse) else "")
+        self._failed(why.reason if isinstance(why, ConnectionRejected) else "")
 
     def _failed(self, why: str) -> None:
         self.failures += 1
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -11,7 +11,17 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass, field
 
-from puffintide.protocol.messages import ERROR, FULL, OK, RESET, TIMEOUT, UNREACHABLE, Charge, Order, Sums
+from puffintide.protocol.messages import (
+    ERROR,
+    FULL,
+    OK,
+    RESET,
+    TIMEOUT,
+    UNREACHABLE,
+    ProxyUpdate,
+    SliceOwnership,
+    UsageReport,
+)
 from puffintide.proxy.admit import Gate
 from puffintide.proxy.sums import Counter
 from puffintide.proxy.tables import FEW, Tables
@@ -153,12 +163,12 @@
 
     # Tables ---------------------------------------------------------------------------------------
 
-    def order(self, now: float, assigner: int, order: Order) -> list[Effect]:
+    def order(self, now: float, assigner: int, order: ProxyUpdate) -> list[Effect]:
         self.tables.order(assigner, order)
         self._writes_until[assigner] = math.inf  # steered by it: its slices take writes
-        return self.look_again(now, order.levels != [])
+        return self.look_again(now, order.admission_levels != [])
 
-    def charges(self, now: float, charges: Iterable[Charge]) -> list[Effect]:
+    def charges(self, now: float, charges: Iterable[SliceOwnership]) -> list[Effect]:
         for charge in charges:
             self.tables.charge(charge)
         return self.look_again(now)
@@ -431,5 +441,5 @@
                 effects.append(Cancel(request.server, key))
         return effects + self._failed_try(now, key, TIMEOUT if sent else UNREACHABLE, proved=not sent)
 
-    def take_sums(self, now: float, assigner: int, least_s: float) -> Sums | None:
+    def take_sums(self, now: float, assigner: int, least_s: float) -> UsageReport | None:
         return self.counter.take(now, assigner, least_s)
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -171,7 +171,13 @@
             self.met.add(assigner)
             token = self.engine.tables.token_most if assigner < 0 else 0
             return m.Hello(
-                m.VERSION, "proxy", self.me.id, self.me.zone, self.deployment, fresh=fresh, token=token
+                m.PROTOCOL_VERSION,
+                "proxy",
+                self.me.id,
+                self.me.zone,
+                self.deployment,
+                first_connection=fresh,
+                highest_token=token,
             )
 
         return made
@@ -185,14 +191,14 @@
                     self.assigners[number] = stream
                     self.engine.tables.joined(number)
                     self._read_store()
-                case m.Order() if (wrong := wrong_order(message)) is not None:
+                case m.ProxyUpdate() if (wrong := wrong_order(message)) is not None:
                     stream.refuse(f"order: {wrong}")
-                case m.Order():
+                case m.ProxyUpdate():
                     self._do(self.engine.order(self.now(), number, message))
                     if self.http is not None:
-                        self.http.do(self.http.engine.look_again(self.now(), message.levels != []))
-                    if message.mark is not None:
-                        self._applied(stream, message.mark, message.clear)
+                        self.http.do(self.http.engine.look_again(self.now(), message.admission_levels != []))
+                    if message.checkpoint_id is not None:
+                        self._applied(stream, message.checkpoint_id, message.cleared_slices)
                 case _:
                     stream.refuse(f"a {type(message).__name__} is not for a proxy")
 
@@ -206,7 +212,7 @@
         if cleared and self.engine.limits.single_writer and any(e.writing(cleared) for e in engines):
             self.reactor.callLater(WRITES_S, self._applied, stream, mark, cleared)
         else:
-            stream.send(m.Applied(mark))
+            stream.send(m.CheckpointReply(mark))
 
     def _assigner_lost(self, number: int) -> Callable[[str], None]:
         def lost(why: str) -> None:
@@ -231,7 +237,7 @@
 
     def _read(self) -> None:
         if self.store is not None:
-            self.store.send(m.Read(*self.read))
+            self.store.send(m.ReadRequest(*self.read))
 
     def _store_lost(self, why: str) -> None:
         self.store = None
@@ -241,16 +247,18 @@
             case m.Welcome():
                 self.store = stream
                 self._read_store()
-            case m.Charges():
-                wrong = next((w for c in message.charges if (w := wrong_lines(c.lines)) is not None), None)
+            case m.SliceOwnerships():
+                wrong = next(
+                    (w for c in message.ownerships if (w := wrong_lines(c.entries)) is not None), None
+                )
                 if wrong is not None:
                     stream.refuse(f"charges: {wrong}")
                     return
-                self._do(self.engine.charges(self.now(), message.charges))
+                self._do(self.engine.charges(self.now(), message.ownerships))
                 if self.http is not None:
                     self.http.do(self.http.engine.look_again(self.now()))
-            case m.ReadEnd():
-                self.read = (message.revision, message.identity)
+            case m.ReadComplete():
+                self.read = (message.revision, message.store_id)
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for a proxy")
 
@@ -276,7 +284,7 @@
 
     def front(self) -> Acceptor:
         def me() -> m.Welcome:
-            return m.Welcome(m.VERSION, "proxy", self.me.id)
+            return m.Welcome(m.PROTOCOL_VERSION, "proxy", self.me.id)
 
         return Acceptor(self.reactor, me, self._from_client, self._client_lost, self._judge)
 
@@ -289,28 +297,30 @@
         match message:
             case m.Hello():
                 self.fronts[id(stream)] = stream
-            case m.Ask() if not 0 <= message.request_class < self.classes:
-                stream.refuse(f"class {message.request_class} is not among the {self.classes}")
-            case m.Ask() if not (0 <= message.key < 2**64 and 0 < message.left_s <= LEFT_MOST_S):
+            case m.ClientRequest() if not 0 <= message.class_index < self.classes:
+                stream.refuse(f"class {message.class_index} is not among the {self.classes}")
+            case m.ClientRequest() if not (
+                0 <= message.key < 2**64 and 0 < message.remaining_s <= LEFT_MOST_S
+            ):
                 stream.refuse(
                     f"a key must be from 0 to 2^64 - 1, the time left above 0, up to {LEFT_MOST_S:g} s"
                 )
-            case m.Ask():
+            case m.ClientRequest():
                 self.ask(stream, message)
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for a proxy's front")
 
-    def ask(self, stream: Stream, ask: m.Ask) -> None:
+    def ask(self, stream: Stream, ask: m.ClientRequest) -> None:
         if self._end is not None:  # nothing of it has run: another proxy can take it
-            stream.send(m.Reply(ask.id, m.FULL, 0.0, False))
+            stream.send(m.ClientResponse(ask.request_id, m.FULL, 0.0, False))
             return
         self.next_ref += 1
         ref = self.next_ref
-        self.asks[ref] = (stream, ask.id)
+        self.asks[ref] = (stream, ask.request_id)
         self.works[ref] = (ask.key, ask.work_s)
         number = slice_of(ask.key, self.slices)
         self.meter.came(self.now(), ref)
-        self._do(self.engine.asked(self.now(), ref, ask.id, number, ask.request_class, ask.left_s))
+        self._do(self.engine.asked(self.now(), ref, ask.request_id, number, ask.class_index, ask.remaining_s))
 
     def _client_lost(self, stream: Stream, why: AnyMessage) -> None:
         self.fronts.pop(id(stream), None)
@@ -331,7 +341,7 @@
                     self._send(effect)
                 case Cancel(server, key):
                     if server in self.streams:
-                        self.streams[server].send(m.Cancel(key))
+                        self.streams[server].send(m.CancelAttempt(key))
                 case Finish(ref, status, again_s, ran):
                     self._finish(ref, status, again_s, ran)
                 case Close(server):
@@ -341,7 +351,9 @@
     def _send(self, e: Send) -> None:
         assert isinstance(e.ref, int)
         key, work_s = self.works.get(e.ref, (0, 0.0))
-        made = m.Try(e.key, e.request, self.me.id, e.slice, e.request_class, key, e.number, e.left_s, work_s)
+        made = m.AttemptRequest(
+            e.key, e.request, self.me.id, e.slice, e.request_class, key, e.number, e.left_s, work_s
+        )
         self.streams[e.server].send(made)
         if e.number == 0:
             self.meter.went(self.now(), e.ref)
@@ -353,17 +365,17 @@
         found = self.asks.pop(ref, None)
         self.works.pop(ref, None)
         if found is not None:
-            found[0].send(m.Reply(found[1], status, again_s, ran))
+            found[0].send(m.ClientResponse(found[1], status, again_s, ran))
 
     def _connect(self, server: int, address: str) -> None:
-        hello = m.Hello(m.VERSION, "proxy", self.me.id, self.me.zone, self.deployment)
+        hello = m.Hello(m.PROTOCOL_VERSION, "proxy", self.me.id, self.me.zone, self.deployment)
 
         def message(stream: Stream, message: AnyMessage) -> None:
             match message:
                 case m.Welcome():
                     self.streams[server] = stream
                     self._do(self.engine.server_up(self.now(), server))
-                case m.Answer(key, status, values):
+                case m.AttemptResponse(key, status, values):
                     self._do(self.engine.answered(self.now(), server, key, status, values))
                 case _:
                     stream.refuse(f"a {type(message).__name__} is not for a proxy")
--- a/puffintide/proxy/sums.py
+++ b/puffintide/proxy/sums.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from puffintide.protocol.messages import ServerSum, SliceSum, Sums
+from puffintide.protocol.messages import ServerUsage, SliceUsage, UsageReport
 
 
 @dataclass(slots=True)
@@ -42,15 +42,15 @@
         if values:
             counts.values[server] = values
 
-    def take(self, now: float, assigner: int, least_s: float) -> Sums | None:
+    def take(self, now: float, assigner: int, least_s: float) -> UsageReport | None:
         counts = self._by_assigner.pop(assigner, None)
         if counts is None:
             return None
-        return Sums(
+        return UsageReport(
             round(max(now - counts.since, least_s), 6),
             [
-                ServerSum(s, int(row[0]), int(row[1]), round(row[2], 6), counts.values.get(s, []))
+                ServerUsage(s, int(row[0]), int(row[1]), round(row[2], 6), counts.values.get(s, []))
                 for s, row in sorted(counts.servers.items())
             ],
-            [SliceSum(n, k, row[0], row[1]) for (n, k), row in sorted(counts.slices.items())],
+            [SliceUsage(n, k, row[0], row[1]) for (n, k), row in sorted(counts.slices.items())],
         )
--- a/puffintide/proxy/tables.py
+++ b/puffintide/proxy/tables.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from puffintide.interface import ALL_TABLES
-from puffintide.protocol.messages import Charge, Held, Level, Order
+from puffintide.interface import ALL_SLICES
+from puffintide.protocol.messages import AdmissionLevel, ProxyUpdate, SliceOwnership, TableEntry
 from puffintide.proxy.choice import Picker, make
 
 FORMAT = 1
@@ -24,9 +24,9 @@
 
     format: int
     at: float  # wall clock
-    charges: list[Charge]
+    charges: list[SliceOwnership]
     withdrawn: dict[int, list[int]]
-    levels: list[tuple[int, list[tuple[int, Level]]]]  # by assigner: (table, level)
+    levels: list[tuple[int, list[tuple[int, AdmissionLevel]]]]  # by assigner: (table, level)
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
         self.addresses: dict[int, str] = {}
         self.zones: dict[int, int] = {}
         self.withdrawn: dict[int, set[int]] = {}  # by assigner
-        self.levels: dict[tuple[int, int], dict[int, Level]] = {}  # (assigner, table): by class
+        self.levels: dict[tuple[int, int], dict[int, AdmissionLevel]] = {}  # (assigner, table): by class
         self.version = 0  # rises with each change
         self.token_most = 0  # the highest seen
         self._room = FEW  # servers remembered before those in no table are forgotten
@@ -69,34 +69,38 @@
 
     # What comes in ------------------------------------------------------------------------------
 
-    def charge(self, charge: Charge) -> None:
-        table = self.tables.get(charge.slice)
-        if table is None or charge.token < table.token:
+    def charge(self, charge: SliceOwnership) -> None:
+        table = self.tables.get(charge.slice_id)
+        if table is None or charge.fencing_token < table.token:
             return
         # Written before our last order: the store was away, or the write is on its way. The lines here are newer.
-        same = charge.token == table.token or 0 < charge.since == table.since
+        same = charge.fencing_token == table.token or 0 < charge.tenure_token == table.since
         if same and charge.batch < table.batch:
-            goes_on = 0 < charge.since == table.since
-            table.assigner, table.token, table.since = charge.assigner, charge.token, charge.since
-            self.token_most = max(self.token_most, charge.token)
+            goes_on = 0 < charge.tenure_token == table.since
+            table.assigner, table.token, table.since = (
+                charge.owner_id,
+                charge.fencing_token,
+                charge.tenure_token,
+            )
+            self.token_most = max(self.token_most, charge.fencing_token)
             if table.ahead is not None and not goes_on:  # the order went by these lines, not by former ones
-                lines = {h.server: h.weight for h in charge.lines} | table.ahead
+                lines = {h.server_id: h.weight for h in charge.entries} | table.ahead
                 table.lines = {s: w for s, w in lines.items() if w > 0}
                 table.stale = True
                 self.version += 1
-                for held in charge.lines:
-                    self._place(held.server, held.address, held.zone)
+                for held in charge.entries:
+                    self._place(held.server_id, held.address, held.zone)
             table.ahead = None
             return
-        self.token_most = max(self.token_most, charge.token)
-        if charge.token != table.token:
-            self.levels.pop((table.assigner, charge.slice), None)
-        table.assigner, table.token, table.batch = charge.assigner, charge.token, charge.batch
-        table.since, table.ahead = charge.since, None
-        table.lines = {h.server: h.weight for h in charge.lines if h.weight > 0}
+        self.token_most = max(self.token_most, charge.fencing_token)
+        if charge.fencing_token != table.token:
+            self.levels.pop((table.assigner, charge.slice_id), None)
+        table.assigner, table.token, table.batch = charge.owner_id, charge.fencing_token, charge.batch
+        table.since, table.ahead = charge.tenure_token, None
+        table.lines = {h.server_id: h.weight for h in charge.entries if h.weight > 0}
         table.stale = True
-        for held in charge.lines:
-            self._place(held.server, held.address, held.zone)
+        for held in charge.entries:
+            self._place(held.server_id, held.address, held.zone)
         self.version += 1
         self._forget()
 
@@ -123,44 +127,44 @@
             table.stale = table.stale or table.assigner == assigner
         self.version += 1
 
-    def order(self, assigner: int, order: Order) -> None:
-        for number in order.clear:
+    def order(self, assigner: int, order: ProxyUpdate) -> None:
+        for number in order.cleared_slices:
             table = self.tables.get(number)
             if table is not None and table.assigner == assigner:
                 table.lines.clear()
                 table.stale = True
                 table.batch = order.batch
                 self.levels.pop((assigner, number), None)
-        for line in order.lines:
-            table = self.tables.get(line.table)
-            if table is None or line.token < table.token:
+        for line in order.weights:
+            table = self.tables.get(line.slice_id)
+            if table is None or line.fencing_token < table.token:
                 self.dropped += 1
                 continue
-            self.token_most = max(self.token_most, line.token)
-            if line.token > table.token:
+            self.token_most = max(self.token_most, line.fencing_token)
+            if line.fencing_token > table.token:
                 table.since = table.since if table.assigner == assigner else -1
-                table.assigner, table.token, table.ahead = assigner, line.token, {}
+                table.assigner, table.token, table.ahead = assigner, line.fencing_token, {}
             table.batch = order.batch
-            self._place(line.server, line.address, line.zone)
+            self._place(line.server_id, line.address, line.zone)
             if table.ahead is not None:
-                table.ahead[line.server] = line.weight
+                table.ahead[line.server_id] = line.weight
             if self.single_writer and line.weight > 0:
                 table.lines.clear()
                 table.ahead = None  # one line is all of the table
             if line.weight > 0:
-                table.lines[line.server] = line.weight
+                table.lines[line.server_id] = line.weight
             else:
-                table.lines.pop(line.server, None)
+                table.lines.pop(line.server_id, None)
             table.stale = True
-        if order.out or order.back:
+        if order.withdrawn_servers or order.readmitted_servers:
             out = self.withdrawn.setdefault(assigner, set())
-            out.update(order.out)
-            out.difference_update(order.back)
+            out.update(order.withdrawn_servers)
+            out.difference_update(order.readmitted_servers)
             for table in self.tables.values():
                 table.stale = table.stale or table.assigner == assigner
-        for level in order.levels:
-            classes = [k for k in range(16) if not level.classes or level.classes >> k & 1]
-            self.levels.setdefault((assigner, level.table), {}).update(dict.fromkeys(classes, level))
+        for level in order.admission_levels:
+            classes = [k for k in range(16) if not level.class_mask or level.class_mask >> k & 1]
+            self.levels.setdefault((assigner, level.slice_id), {}).update(dict.fromkeys(classes, level))
         self.version += 1
         self._forget()
 
@@ -204,7 +208,7 @@
         if not self.levels:
             return 1.0
         found = (self._own(number, request_class), self._every(number, request_class))
-        return min((x.level for x in found if x is not None), default=1.0)
+        return min((x.fraction for x in found if x is not None), default=1.0)
 
     def limited(self, number: int, request_class: int) -> bool:
         return bool(self.levels) and bool(
@@ -216,13 +220,13 @@
         if not self.levels:
             return self.retry_default
         found = self._own(number, request_class) or self._every(number, request_class)
-        return self.retry_default if found is None else found.retry
+        return self.retry_default if found is None else found.retry_mode
 
-    def _own(self, number: int, request_class: int) -> Level | None:
+    def _own(self, number: int, request_class: int) -> AdmissionLevel | None:
         return self.levels.get((self.tables[number].assigner, number), {}).get(request_class)
 
-    def _every(self, number: int, request_class: int) -> Level | None:
-        return self.levels.get((self.tables[number].assigner, ALL_TABLES), {}).get(request_class)
+    def _every(self, number: int, request_class: int) -> AdmissionLevel | None:
+        return self.levels.get((self.tables[number].assigner, ALL_SLICES), {}).get(request_class)
 
     # Kept over a restart ------------------------------------------------------------------------
 
@@ -230,14 +234,14 @@
         charges = []
         for number, table in sorted(self.tables.items()):
             held = [
-                Held(s, w, self.addresses.get(s, ""), self.zones.get(s, -1))
+                TableEntry(s, w, self.addresses.get(s, ""), self.zones.get(s, -1))
                 for s, w in sorted(table.lines.items())
             ]
-            charges.append(Charge(number, table.token, table.assigner, held, table.batch))
-        levels: dict[int, list[tuple[int, Level]]] = {}
+            charges.append(SliceOwnership(number, table.token, table.assigner, held, table.batch))
+        levels: dict[int, list[tuple[int, AdmissionLevel]]] = {}
         for (assigner, number), by_class in sorted(self.levels.items()):
             for k, level in sorted(by_class.items()):
-                one = Level(level.table, 1 << k, level.level, level.retry)
+                one = AdmissionLevel(level.slice_id, 1 << k, level.fraction, level.retry_mode)
                 levels.setdefault(assigner, []).append((number, one))
         withdrawn = {a: sorted(out) for a, out in sorted(self.withdrawn.items()) if out}
         return Saved(FORMAT, wall, charges, withdrawn, sorted(levels.items()))
@@ -249,4 +253,4 @@
             self.withdrawn[assigner] = set(out)
         for assigner, rows in saved.levels:
             for _, level in rows:
-                self.order(assigner, Order(0, 0.0, 0.0, levels=[level]))
+                self.order(assigner, ProxyUpdate(0, 0.0, 0.0, admission_levels=[level]))
--- a/puffintide/replication/joining.py
+++ b/puffintide/replication/joining.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from puffintide.protocol.messages import Copies, Version
+from puffintide.protocol.messages import ReplicationDelta, ReplicaVersion
 from puffintide.replication.replica import PIECE_ROWS, Replica
 
 BURST_ROWS = (
@@ -21,20 +21,22 @@
         self.rows_per_s = rows_per_s
         self.burst = max(1, min(BURST_ROWS, int(rows_per_s)))
         self.left, self.at = float(self.burst), 0.0
-        self.known: dict[int, Version] = {}
-        self.under_way: dict[int, tuple[float, Version]] = {}
+        self.known: dict[int, ReplicaVersion] = {}
+        self.under_way: dict[int, tuple[float, ReplicaVersion]] = {}
 
-    def asked(self, now: float, versions: Iterable[Version]) -> None:
+    def asked(self, now: float, versions: Iterable[ReplicaVersion]) -> None:
         """A digest of the peer's. What is on its way to it, it cannot know of."""
-        self.known = {v.origin: v for v in versions}
+        self.known = {v.origin_id: v for v in versions}
         for origin, (sent, version) in list(self.under_way.items()):
             their = self.known.get(origin)
-            if now - sent > UNDER_WAY_S or (their and (their.life, their.seq) >= (version.life, version.seq)):
+            if now - sent > UNDER_WAY_S or (
+                their and (their.incarnation, their.sequence) >= (version.incarnation, version.sequence)
+            ):
                 del self.under_way[origin]
             else:
                 self.known[origin] = version
 
-    def next(self, now: float, replica: Replica) -> tuple[list[Copies], float | None]:
+    def next(self, now: float, replica: Replica) -> tuple[list[ReplicationDelta], float | None]:
         """(pieces that go now, seconds until there may be more). None: nothing more until the peer asks."""
         self.left = min(float(self.burst), self.left + (now - self.at) * self.rows_per_s)
         self.at = now
@@ -43,10 +45,12 @@
             return [], (least - self.left) / self.rows_per_s
         pieces = replica.differences(now, self.known.values(), int(self.left))
         for piece in pieces:
-            self.left -= max(1, len(piece.rows) + len(piece.gone))
-            version = Version(piece.origin, piece.life, piece.upto, piece.floor)
-            self.known[piece.origin] = version
-            self.under_way[piece.origin] = now, version
+            self.left -= max(1, len(piece.rows) + len(piece.deletions))
+            version = ReplicaVersion(
+                piece.origin_id, piece.incarnation, piece.through_sequence, piece.compacted_sequence
+            )
+            self.known[piece.origin_id] = version
+            self.under_way[piece.origin_id] = now, version
         return pieces, (max(0.0, least - self.left) / self.rows_per_s if pieces else None)
 
 
@@ -58,36 +62,36 @@
 
     def __init__(self, origins: int) -> None:
         self.origins = origins
-        self.told: dict[int, dict[int, Version]] = {}  # by peer, by origin
+        self.told: dict[int, dict[int, ReplicaVersion]] = {}  # by peer, by origin
         self.moved: dict[int, tuple[tuple[int, int], float]] = {}  # by origin: where we stood, since when
 
-    def heard(self, peer: int, versions: Iterable[Version]) -> None:
-        self.told[peer] = {v.origin: v for v in versions if 0 <= v.origin < self.origins}
+    def heard(self, peer: int, versions: Iterable[ReplicaVersion]) -> None:
+        self.told[peer] = {v.origin_id: v for v in versions if 0 <= v.origin_id < self.origins}
 
     def forget(self, peer: int) -> None:
         self.told.pop(peer, None)
 
-    def _best(self, origin: int) -> tuple[int, Version] | None:
+    def _best(self, origin: int) -> tuple[int, ReplicaVersion] | None:
         offers = [
-            (peer == origin, v.life, v.seq, -peer, v)
+            (peer == origin, v.incarnation, v.sequence, -peer, v)
             for peer, told in self.told.items()
             if (v := told.get(origin)) is not None
         ]
         if not offers:
             return None
-        most = max((v for *_, v in offers), key=lambda v: (v.life, v.seq))
-        whole = [o for o in offers if (o[1], o[2]) == (most.life, most.seq)]
+        most = max((v for *_, v in offers), key=lambda v: (v.incarnation, v.sequence))
+        whole = [o for o in offers if (o[1], o[2]) == (most.incarnation, most.sequence)]
         *_, number, _ = max(whole, key=lambda o: o[:4])
         return -number, most
 
-    def digest(self, now: float, peer: int, replica: Replica) -> list[Version]:
-        mine = {v.origin: v for v in replica.digest()}
+    def digest(self, now: float, peer: int, replica: Replica) -> list[ReplicaVersion]:
+        mine = {v.origin_id: v for v in replica.digest()}
         for origin in sorted({o for told in self.told.values() for o in told} - {replica.me}):
-            best, stands = self._best(origin), mine.get(origin, Version(origin, 0, 0))
-            at = stands.life, stands.seq
+            best, stands = self._best(origin), mine.get(origin, ReplicaVersion(origin, 0, 0))
+            at = stands.incarnation, stands.sequence
             if self.moved.get(origin, ((-1, -1), 0.0))[0] != at:
                 self.moved[origin] = at, now
-            if best is None or best[0] == peer or at >= (best[1].life, best[1].seq):
+            if best is None or best[0] == peer or at >= (best[1].incarnation, best[1].sequence):
                 continue
             if now - self.moved[origin][1] <= PATIENCE_S:
                 mine[origin] = best[1]
--- a/puffintide/replication/peers.py
+++ b/puffintide/replication/peers.py
@@ -12,7 +12,7 @@
 from puffintide.assigner.ordered import Ordered
 from puffintide.config.schema import PeersSection
 from puffintide.protocol import messages as m
-from puffintide.protocol.messages import AnyMessage, Version
+from puffintide.protocol.messages import AnyMessage, ReplicaVersion
 from puffintide.protocol.stream import Dialler, Handler, Stream
 from puffintide.replication.findings import Findings, Heard, Shared
 from puffintide.replication.joining import Asking, CatchUp, Outgoing, stays
@@ -34,7 +34,7 @@
     stream: Stream
     life: int
     out: Outgoing
-    heard: Sequence[Version] = ()  # its last digest
+    heard: Sequence[ReplicaVersion] = ()  # its last digest
     serving: bool = False  # more goes to it by itself
 
 
@@ -95,11 +95,11 @@
         match message:
             case m.Welcome() | m.Hello():
                 self._joined(stream, message)
-            case m.Digest() | m.Copies() if stream.reason:
+            case m.VersionDigest() | m.ReplicationDelta() if stream.reason:
                 pass  # it was given up, and this was on its way
-            case m.Digest():
+            case m.VersionDigest():
                 self._asked(self.peers[stream.tag[1]], message)
-            case m.Copies():
+            case m.ReplicationDelta():
                 self._take(stream, message)
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for a peer")
@@ -109,15 +109,17 @@
         old = self.peers.get(number)
         by_lower = (self.me < number) == isinstance(greeting, m.Welcome)
         if old is not None and not old.stream.ended:
-            if stays(old.life, greeting.start, by_lower):
+            if stays(old.life, greeting.incarnation, by_lower):
                 stream.abort("a stream to that assigner stands")
                 return
             old.stream.abort("its assigner dialled anew")
         stream.tag = ("assigner", number)
-        self.peers[number] = Peer(stream, greeting.start, Outgoing(self.section.rows_per_s))
+        self.peers[number] = Peer(stream, greeting.incarnation, Outgoing(self.section.rows_per_s))
         self.catch_up.joined(number)
-        self.log.info("peer_joined", assigner=number, life=greeting.start)
-        stream.send(m.Digest(self.replica.digest(), ask=False))  # it tells where it stands; then it is asked
+        self.log.info("peer_joined", assigner=number, life=greeting.incarnation)
+        stream.send(
+            m.VersionDigest(self.replica.digest(), request_missing=False)
+        )  # it tells where it stands; then it is asked
 
     def _away(self, number: int, why: str) -> None:
         """A dial failed, or its stream broke."""
@@ -135,9 +137,9 @@
 
     def _digest(self, number: int, stream: Stream) -> None:
         if stream.writable:  # who does not read is told nothing more; a digest tells later where it stands
-            stream.send(m.Digest(self.asking.digest(self.reactor.seconds(), number, self.replica)))
+            stream.send(m.VersionDigest(self.asking.digest(self.reactor.seconds(), number, self.replica)))
 
-    def _asked(self, peer: Peer, digest: m.Digest) -> None:
+    def _asked(self, peer: Peer, digest: m.VersionDigest) -> None:
         number, new, peer.heard = peer.stream.tag[1], not peer.heard, digest.versions
         self.asking.heard(number, digest.versions)
         lacking = self.replica.behind(digest.versions)
@@ -145,7 +147,7 @@
         self._outbid()
         if new and lacking:
             self._digest(number, peer.stream)
-        if digest.ask:
+        if digest.request_missing:
             peer.out.asked(self.reactor.seconds(), digest.versions)
             if not peer.serving:
                 self._serve(peer)
@@ -158,18 +160,18 @@
         pieces, wait = peer.out.next(self.reactor.seconds(), self.replica)
         for piece in pieces:
             peer.stream.send(piece)
-            self.sent += len(piece.rows) + len(piece.gone)
+            self.sent += len(piece.rows) + len(piece.deletions)
         if wait is not None:
             peer.serving = True
             self.reactor.callLater(wait, self._serve, peer)
 
-    def _take(self, stream: Stream, piece: m.Copies) -> None:
+    def _take(self, stream: Stream, piece: m.ReplicationDelta) -> None:
         reasons, sound = wrong_copies(piece, self.slices)
         for reason in reasons[:REASONS_MOST]:
-            self.log.warning("copy_refused", origin=piece.origin, by=stream.tag[1], reason=reason)
+            self.log.warning("copy_refused", origin=piece.origin_id, by=stream.tag[1], reason=reason)
         self.refused += len(reasons)
         if sound is not None and self.replica.take(self.reactor.seconds(), sound):
-            self.taken += len(piece.rows) + len(piece.gone)
+            self.taken += len(piece.rows) + len(piece.deletions)
         self._outbid()
         if self.ready is not None:
             for number, peer in sorted(self._here().items()):
--- a/puffintide/replication/replica.py
+++ b/puffintide/replication/replica.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from operator import itemgetter
 
-from puffintide.protocol.messages import CopiedRow, Copies, Value, Version
+from puffintide.protocol.messages import ReplicatedRow, ReplicationDelta, ReplicaVersion, Value
 
 GONE_MOST = 2000  # rows taken back that are remembered of one origin; who knows less is sent all
 PIECE_ROWS = 400  # in one message
@@ -146,26 +146,28 @@
 
     # Between assigners ---------------------------------------------------------------------------
 
-    def digest(self) -> list[Version]:
-        return [Version(o, h.life, h.seq, h.floor) for o, h in sorted(self.held.items())]
+    def digest(self) -> list[ReplicaVersion]:
+        return [ReplicaVersion(o, h.life, h.seq, h.floor) for o, h in sorted(self.held.items())]
 
-    def behind(self, theirs: Iterable[Version]) -> bool:
+    def behind(self, theirs: Iterable[ReplicaVersion]) -> bool:
         """Whether somebody knows more of any origin than we do; our own later life counts as heard of."""
         found = False
         for version in theirs:
-            if 0 <= version.origin < self.origins:
+            if 0 <= version.origin_id < self.origins:
                 self._outbid(version)
-                held = self.held.get(version.origin, Held())
-                found |= version.origin != self.me and (version.life, version.seq) > held.version()
+                held = self.held.get(version.origin_id, Held())
+                found |= (
+                    version.origin_id != self.me and (version.incarnation, version.sequence) > held.version()
+                )
         return found
 
-    def _outbid(self, version: Version) -> None:
+    def _outbid(self, version: ReplicaVersion) -> None:
         """Others remember of us what we did not write: our life's number was used before, and a file was lost. A
         former life never outranks the present one, so ours goes above."""
         mine = self.held[self.me]
-        if version.origin != self.me or (version.life, version.seq) <= mine.version():
+        if version.origin_id != self.me or (version.incarnation, version.sequence) <= mine.version():
             return
-        mine.life = ((version.life >> NONCE_BITS) + 1) << NONCE_BITS | self.nonce
+        mine.life = ((version.incarnation >> NONCE_BITS) + 1) << NONCE_BITS | self.nonce
         rows, mine.floor = mine.rows, 0
         mine.clear()
         for key, row in rows.items():
@@ -173,18 +175,22 @@
             mine.note(key, mine.seq, Row(mine.seq, row.seen, row.value))
         self.reborn += 1
 
-    def differences(self, now: float, theirs: Iterable[Version], rows_most: int) -> list[Copies]:
+    def differences(
+        self, now: float, theirs: Iterable[ReplicaVersion], rows_most: int
+    ) -> list[ReplicationDelta]:
         """What another lacks, by its digest; no more than rows_most rows at once: it asks again."""
-        known = {v.origin: v for v in theirs}
-        found: list[Copies] = []
+        known = {v.origin_id: v for v in theirs}
+        found: list[ReplicationDelta] = []
         for origin, held in sorted(self.held.items()):
-            their = known.get(origin, Version(origin, 0, 0))
-            if (their.life, their.seq) >= held.version() or held.seq < held.top:
+            their = known.get(origin, ReplicaVersion(origin, 0, 0))
+            if (their.incarnation, their.sequence) >= held.version() or held.seq < held.top:
                 continue  # who is not whole yet leaves it to another
-            goes_on = their.life == held.life and max(their.seq, their.floor) >= held.floor
-            if goes_on and held.seq < their.floor:
+            goes_on = (
+                their.incarnation == held.life and max(their.sequence, their.compacted_sequence) >= held.floor
+            )
+            if goes_on and held.seq < their.compacted_sequence:
                 continue
-            after = their.seq if goes_on else 0
+            after = their.sequence if goes_on else 0
             while True:
                 if rows_most <= 0:
                     return found
@@ -202,47 +208,54 @@
     @staticmethod
     def _piece(
         now: float, origin: int, held: Held, part: list[tuple[int, Key]], after: int, upto: int
-    ) -> Copies:
+    ) -> ReplicationDelta:
         rows = [
-            CopiedRow(k, n, seq, round(now - held.rows[k, n].seen, 3), held.rows[k, n].value)
+            ReplicatedRow(k, n, seq, round(now - held.rows[k, n].seen, 3), held.rows[k, n].value)
             for seq, (k, n) in part
             if (k, n) in held.rows
         ]
         gone = [(k, n, seq) for seq, (k, n) in part if (k, n) in held.gone]
-        return Copies(origin, held.life, after, upto, held.seq, held.floor, rows, gone)
+        return ReplicationDelta(origin, held.life, after, upto, held.seq, held.floor, rows, gone)
 
-    def take(self, now: float, piece: Copies) -> bool:
+    def take(self, now: float, piece: ReplicationDelta) -> bool:
         """Whether anything of it was new. A piece that does not follow on what is held changes nothing, and is
         sent again once our digest has told."""
-        if not 0 <= piece.origin < self.origins:
+        if not 0 <= piece.origin_id < self.origins:
             return False
-        if piece.origin == self.me:
-            self.contested += piece.life >= self.held[self.me].life
-            self._outbid(Version(self.me, piece.life, piece.top))
+        if piece.origin_id == self.me:
+            self.contested += piece.incarnation >= self.held[self.me].life
+            self._outbid(ReplicaVersion(self.me, piece.incarnation, piece.latest_sequence))
             return False
-        held = self.held.setdefault(piece.origin, Held())
-        follows = held.follows(piece.life, piece.after, piece.floor, piece.top)
-        if (piece.life, piece.upto if follows else piece.top) <= held.version():
+        held = self.held.setdefault(piece.origin_id, Held())
+        follows = held.follows(
+            piece.incarnation, piece.after_sequence, piece.compacted_sequence, piece.latest_sequence
+        )
+        if (
+            piece.incarnation,
+            piece.through_sequence if follows else piece.latest_sequence,
+        ) <= held.version():
             return False
         if not follows:  # from the beginning, or not at all
-            if piece.after > 0:
+            if piece.after_sequence > 0:
                 return False
-            if piece.life > held.life:
+            if piece.incarnation > held.life:
                 lasting = {k: r for k, r in (held.former | held.rows).items() if k[0] in LASTING}
-                self.orphans |= {k: Orphan(piece.origin, now, r) for k, r in lasting.items()}
+                self.orphans |= {k: Orphan(piece.origin_id, now, r) for k, r in lasting.items()}
             held.former = held.former or held.rows
-            held.life, held.floor, held.top = piece.life, piece.floor, 0
+            held.life, held.floor, held.top = piece.incarnation, piece.compacted_sequence, 0
             held.clear()
-        held.top = max(held.top, piece.top)
-        changes = [((r.kind, r.number), r.seq, Row(r.seq, now - r.age_s, r.value)) for r in piece.rows]
+        held.top = max(held.top, piece.latest_sequence)
+        changes = [
+            ((r.row_type, r.row_id), r.sequence, Row(r.sequence, now - r.age_s, r.value)) for r in piece.rows
+        ]
         told: list[tuple[Key, int, Row | None]] = [
             *changes,
-            *(((k, n), seq, None) for k, n, seq in piece.gone),
+            *(((k, n), seq, None) for k, n, seq in piece.deletions),
         ]
         for key, seq, row in sorted(told, key=itemgetter(1)):
             if seq > held.seq:  # the rest is held already: all up to there is
                 held.note(key, seq, row)
-        held.seq = piece.upto
+        held.seq = piece.through_sequence
         if held.seq >= held.top:
             held.former = {}
         return True
--- a/puffintide/replication/tables.py
+++ b/puffintide/replication/tables.py
@@ -12,7 +12,7 @@
 
 from puffintide.assigner.ordered import Ordered
 from puffintide.protocol.checks import wrong_lines
-from puffintide.protocol.messages import CopiedRow, Copies, Held, Value
+from puffintide.protocol.messages import ReplicatedRow, ReplicationDelta, TableEntry, Value
 from puffintide.replication import settle
 from puffintide.replication.replica import PIECE_ROWS, Reading, Replica
 
@@ -22,16 +22,16 @@
 GAP = 2**32  # between the highest token that was seen and the first of a store that was refilled
 
 
-def packed(token: int, batch: int, lines: Iterable[Held]) -> Value:
+def packed(token: int, batch: int, lines: Iterable[TableEntry]) -> Value:
     flat: list[float | str] = [float(token), float(batch)]
-    for h in sorted(lines, key=lambda h: h.server):
-        flat += [float(h.server), h.weight, h.address, float(h.zone)]
+    for h in sorted(lines, key=lambda h: h.server_id):
+        flat += [float(h.server_id), h.weight, h.address, float(h.zone)]
     return tuple(flat)
 
 
-def lines_of(value: Value) -> list[Held]:
+def lines_of(value: Value) -> list[TableEntry]:
     return [
-        Held(int(value[at]), float(value[at + 1]), str(value[at + 2]), int(value[at + 3]))
+        TableEntry(int(value[at]), float(value[at + 1]), str(value[at + 2]), int(value[at + 3]))
         for at in range(2, len(value), 4)
     ]
 
@@ -55,11 +55,17 @@
 KINDS = {KIND: None, "fleet": 1, "server": 2, "leaving": 1}  # and how many figures each holds
 
 
-def wrong_copies(piece: Copies, slices: int) -> tuple[list[str], Copies | None]:
+def wrong_copies(piece: ReplicationDelta, slices: int) -> tuple[list[str], ReplicationDelta | None]:
     """(reasons, what of it is sound): a row that can't be is refused for itself, and the rest taken. None: nothing
     of it can be used."""
-    if not (0 <= piece.after <= piece.upto <= piece.top and piece.floor >= 0 and piece.life >= 0):
-        return [f"after {piece.after}, upto {piece.upto}, top {piece.top} do not rise"], None
+    if not (
+        0 <= piece.after_sequence <= piece.through_sequence <= piece.latest_sequence
+        and piece.compacted_sequence >= 0
+        and piece.incarnation >= 0
+    ):
+        return [
+            f"after {piece.after_sequence}, upto {piece.through_sequence}, top {piece.latest_sequence} do not rise"
+        ], None
     good, reasons = [], []
     for row in piece.rows:
         wrong = _wrong_row(row, piece, slices)
@@ -67,23 +73,31 @@
             good.append(row)
         else:
             reasons.append(wrong)
-    gone = [row for row in piece.gone if row[0] in KINDS and piece.after < row[2] <= piece.upto]
-    reasons += [f"taken back: {row[0][:20]!r} {row[1]}, {row[2]}" for row in piece.gone if row not in gone]
-    return reasons, msgspec.structs.replace(piece, rows=good, gone=gone)
+    gone = [
+        row
+        for row in piece.deletions
+        if row[0] in KINDS and piece.after_sequence < row[2] <= piece.through_sequence
+    ]
+    reasons += [
+        f"taken back: {row[0][:20]!r} {row[1]}, {row[2]}" for row in piece.deletions if row not in gone
+    ]
+    return reasons, msgspec.structs.replace(piece, rows=good, deletions=gone)
 
 
-def _wrong_row(row: CopiedRow, piece: Copies, slices: int) -> str | None:
-    where = f"{row.kind[:20]!r} {row.number}"
-    if row.kind not in KINDS:
+def _wrong_row(row: ReplicatedRow, piece: ReplicationDelta, slices: int) -> str | None:
+    where = f"{row.row_type[:20]!r} {row.row_id}"
+    if row.row_type not in KINDS:
         return f"{where}: no such kind"
-    if not piece.after < row.seq <= piece.upto:
-        return f"{where}: sequence {row.seq} is not from {piece.after} to {piece.upto}"
+    if not piece.after_sequence < row.sequence <= piece.through_sequence:
+        return (
+            f"{where}: sequence {row.sequence} is not from {piece.after_sequence} to {piece.through_sequence}"
+        )
     if not 0 <= row.age_s < AGE_MOST:
         return f"{where}: age {row.age_s:g} s"
-    if row.kind == KIND:
-        return wrong_table(row.number, row.value, slices)
-    if not -1 <= row.number < 2**31 or len(row.value) != KINDS[row.kind]:
-        return f"{where}: {len(row.value)} figures of {KINDS[row.kind]}"
+    if row.row_type == KIND:
+        return wrong_table(row.row_id, row.value, slices)
+    if not -1 <= row.row_id < 2**31 or len(row.value) != KINDS[row.row_type]:
+        return f"{where}: {len(row.value)} figures of {KINDS[row.row_type]}"
     sound = all(isinstance(v, float | int) and math.isfinite(v) and 0 <= v < 2**53 for v in row.value)
     return None if sound else f"{where}: {row.value!r:.60} can't be"
 
@@ -123,7 +137,7 @@
 
 def newest(
     replica: Replica, clock: Callable[[], float], changed: Iterable[int] | None = None
-) -> Iterator[Copies]:
+) -> Iterator[ReplicationDelta]:
     """For each slice, or these, the table that holds by the rule, as pieces; the last one's upto is its top. Each
     is made when it is asked for, so that no turn of the loop is long."""
     held = {n for h in replica.held.values() for n in h.kinds.get(KIND, {})}
@@ -134,9 +148,9 @@
         readings = replica.readings(clock(), KIND, numbers=part)
         best = [(n, r) for n in part if (r := settle.table(readings.get(n, []))) is not None]
         rows = [
-            CopiedRow(KIND, n, first + k + 1, round(r.age_s, 3), r.value) for k, (n, r) in enumerate(best)
+            ReplicatedRow(KIND, n, first + k + 1, round(r.age_s, 3), r.value) for k, (n, r) in enumerate(best)
         ]
-        yield Copies(replica.me, 0, first, first + len(part), len(numbers), 0, rows)
+        yield ReplicationDelta(replica.me, 0, first, first + len(part), len(numbers), 0, rows)
 
 
 def disputes(views: Mapping[str, Replica]) -> list[str]:
@@ -175,21 +189,21 @@
         self.parts: dict[int, dict[int, Value]] = {}  # of answers that are under way
         self.token = 0  # the highest that was seen, also of tables that lost
 
-    def told(self, now: float, assigner: int, piece: Copies) -> list[str]:
+    def told(self, now: float, assigner: int, piece: ReplicationDelta) -> list[str]:
         """A piece of an answer; gives why rows of it were refused."""
-        if piece.after == 0:
+        if piece.after_sequence == 0:
             self.parts[assigner] = {}
         reasons = []
         part = self.parts.setdefault(assigner, {})
         for row in piece.rows:
-            wrong = f"kind {row.kind[:20]!r} is no table"
-            if row.kind == KIND:
-                wrong = wrong_table(row.number, row.value, self.slices) or ""
+            wrong = f"kind {row.row_type[:20]!r} is no table"
+            if row.row_type == KIND:
+                wrong = wrong_table(row.row_id, row.value, self.slices) or ""
             if not wrong:
-                part[row.number] = row.value
+                part[row.row_id] = row.value
             else:
                 reasons.append(wrong)
-        if piece.upto >= piece.top:
+        if piece.through_sequence >= piece.latest_sequence:
             self.answered.add(assigner)
             self.first = now if self.first is None else self.first
             for number, value in self.parts.pop(assigner).items():
@@ -209,5 +223,5 @@
         """From here on tokens go: far above any that was seen, also by those that did not answer."""
         return max(own, self.token + GAP)
 
-    def tables(self) -> dict[int, Sequence[Held]]:
+    def tables(self) -> dict[int, Sequence[TableEntry]]:
         return {number: lines_of(value) for number, value in sorted(self.best.items())}
--- a/puffintide/store/book.py
+++ b/puffintide/store/book.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from puffintide.protocol.checks import wrong_lines
-from puffintide.protocol.messages import Charge, Held, Line
+from puffintide.protocol.messages import SliceOwnership, TableEntry, WeightEntry
 from puffintide.store.engine import Image, SliceState
 
 BURST_S = 0.25  # of the pace that may be saved up
@@ -24,7 +24,7 @@
     assigner: int = -1
     token: int = 0
     batch: int = 0  # of the last write under this token
-    lines: dict[int, Held] = field(default_factory=dict)
+    lines: dict[int, TableEntry] = field(default_factory=dict)
     pin: int = -1  # the assigner that an operator moved it to
     since: int = 0  # the first token of this unbroken tenure
     life: int = 0  # which life of the assigner has it
@@ -149,10 +149,10 @@
         self.dirty = set()
         return found
 
-    def load(self, tables: Mapping[int, Sequence[Held]]) -> None:
+    def load(self, tables: Mapping[int, Sequence[TableEntry]]) -> None:
         """Tables to start with."""
         for number, lines in tables.items():
-            self.slices[number].lines = {h.server: h for h in lines}
+            self.slices[number].lines = {h.server_id: h for h in lines}
             self.dirty.add(number)
 
     def restore(self, image: Image) -> None:
@@ -161,37 +161,43 @@
         for number, state in image.slices.items():
             if number in self.slices:
                 pin = state.pin if state.pin < self.assigners else -1
-                lines = {h.server: h for h in state.lines}
+                lines = {h.server_id: h for h in state.lines}
                 self.slices[number] = SliceRecord(
                     state.assigner, state.token, state.batch, lines, pin, state.since, state.life
                 )
 
-    def write(self, assigner: int, lines: Sequence[Line], batch: int = 0) -> dict[int, str]:
+    def write(self, assigner: int, lines: Sequence[WeightEntry], batch: int = 0) -> dict[int, str]:
         """Takes lines whose writer has charge; gives the reason for each slice refused."""
         refused: dict[int, str] = {}
         for line in lines:
-            record = self.slices.get(line.table)
+            record = self.slices.get(line.slice_id)
             if record is None:
-                refused[line.table] = "no such slice"
+                refused[line.slice_id] = "no such slice"
             elif record.assigner != assigner:
-                refused[line.table] = f"in charge of assigner {record.assigner}"
-            elif line.token != record.token:
-                refused[line.table] = f"token {line.token} is not the present {record.token}"
+                refused[line.slice_id] = f"in charge of assigner {record.assigner}"
+            elif line.fencing_token != record.token:
+                refused[line.slice_id] = f"token {line.fencing_token} is not the present {record.token}"
             elif (wrong := wrong_lines([line])) is not None:
-                refused[line.table] = wrong
-            elif line.weight > 0 and line.server not in record.lines and len(record.lines) >= self.lines_most:
-                refused[line.table] = f"a table holds {self.lines_most} lines at most"
+                refused[line.slice_id] = wrong
+            elif (
+                line.weight > 0
+                and line.server_id not in record.lines
+                and len(record.lines) >= self.lines_most
+            ):
+                refused[line.slice_id] = f"a table holds {self.lines_most} lines at most"
             else:
                 record.batch = max(record.batch, batch)
-                self.dirty.add(line.table)
+                self.dirty.add(line.slice_id)
                 if line.weight <= 0:
-                    record.lines.pop(line.server, None)
+                    record.lines.pop(line.server_id, None)
                     continue
                 if self.single_writer:
                     record.lines.clear()
-                record.lines[line.server] = Held(line.server, line.weight, line.address, line.zone)
+                record.lines[line.server_id] = TableEntry(
+                    line.server_id, line.weight, line.address, line.zone
+                )
         return refused
 
 
-def charge_of(state: SliceState) -> Charge:
-    return Charge(state.slice, state.token, state.assigner, state.lines, state.batch, state.since)
+def charge_of(state: SliceState) -> SliceOwnership:
+    return SliceOwnership(state.slice, state.token, state.assigner, state.lines, state.batch, state.since)
--- a/puffintide/store/engine.py
+++ b/puffintide/store/engine.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from puffintide.protocol.messages import Hand, Held
+from puffintide.protocol.messages import TableEntry, ZoneCommand
 
 
 class StoreError(Exception):
@@ -29,7 +29,7 @@
     assigner: int
     token: int
     batch: int
-    lines: list[Held]
+    lines: list[TableEntry]
     pin: int = -1  # an operator moved it here; -1: it goes where its number says
     since: int = 0  # the first token of this unbroken tenure of one life of the assigner
     life: int = 0
@@ -42,7 +42,7 @@
     revision: int
     token: int  # the highest ever given
     slices: tuple[SliceState, ...] = ()
-    hands: tuple[Hand, ...] = ()
+    hands: tuple[ZoneCommand, ...] = ()
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     token: int = 0
     slices: dict[int, SliceState] = field(default_factory=dict)
     revisions: dict[int, int] = field(default_factory=dict)  # of each slice's last change
-    hands: dict[int, Hand] = field(default_factory=dict)
+    hands: dict[int, ZoneCommand] = field(default_factory=dict)
 
 
 class Engine(Protocol):
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -20,7 +20,7 @@
 import msgspec
 import xxhash
 
-from puffintide.protocol.messages import Hand
+from puffintide.protocol.messages import ZoneCommand
 from puffintide.store.engine import Change, Image, Overtaken, SliceState, StoreError
 from puffintide.store.etcd import rpc_pb2 as pb
 from puffintide.store.etcd.rpc_pb2_grpc import KVStub, LeaseStub
@@ -53,7 +53,7 @@
 _ROW = msgspec.msgpack.Decoder(Row)
 _ROWS = msgspec.msgpack.Decoder(list[tuple[str, Row]])
 _SLICE = msgspec.msgpack.Decoder(SliceState)
-_HAND = msgspec.msgpack.Decoder(Hand)
+_HAND = msgspec.msgpack.Decoder(ZoneCommand)
 
 
 def _sum(place: str, revision: int, body: bytes) -> int:
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -56,7 +56,7 @@
         self.kept = dict(image.slices)  # as on the disk
         self.revisions = dict(image.revisions)
         self.hands = dict(image.hands)  # by zone, as on the disk
-        self.hand_number = max((h.number for h in self.hands.values()), default=0)
+        self.hand_number = max((h.sequence for h in self.hands.values()), default=0)
         self.streams_most, self.backups = streams_most, backups
         self.refill = refill if self._empty() else None  # until it is done no charge is given
         self.streams = 0
@@ -66,7 +66,7 @@
         self.proxies: set[Stream] = set()
         self._given: dict[int, Change] = {}  # changes of charge that wait to be kept, by slice
         self._written: dict[Stream, int] = {}  # the last batch of each writer that waits
-        self._hands: dict[int, m.Hand] = {}
+        self._hands: dict[int, m.ZoneCommand] = {}
         self._asked: list[Stream] = []  # operators that wait for their order to be kept
         self._views: dict[int, list[bytes]] = {}  # encoded readings of this revision, by where they start
         self._views_of = -1
@@ -76,7 +76,7 @@
 
     def factory(self) -> Acceptor:
         def me() -> m.Welcome:
-            return m.Welcome(m.VERSION, "store", 0)
+            return m.Welcome(m.PROTOCOL_VERSION, "store", 0)
 
         return Acceptor(self.reactor, me, self._message, self._lost, self._judge)
 
@@ -126,7 +126,7 @@
             self.members = members
             self.log.info("members", assigners=members)
             for assigner in sorted(self.assigners):
-                self.assigners[assigner].send(m.Members(members))
+                self.assigners[assigner].send(m.AssignerMembership(members))
         self.reactor.callLater(DUE_S, self._due)
 
     def _stats(self) -> None:
@@ -159,34 +159,36 @@
         match message:
             case m.Hello():
                 self._greeted(stream, message)
-            case m.Read():
+            case m.ReadRequest():
                 self._read(stream, message)
-            case m.Write() if role == "assigner":
-                refused = self.book.write(stream.tag[1], message.lines, message.batch)
+            case m.WriteRequest() if role == "assigner":
+                refused = self.book.write(stream.tag[1], message.weights, message.batch)
                 for number, reason in sorted(refused.items()):
-                    stream.send(m.Refused(message.batch, number, reason))
+                    stream.send(m.WriteRejected(message.batch, number, reason))
                     self.log.warning("write_refused", assigner=stream.tag[1], slice=number, reason=reason)
                 self._written[stream] = message.batch
                 self._keep()
-            case m.Hand() if role == "operator":
+            case m.ZoneCommand() if role == "operator":
                 self._hand(stream, message)
-            case m.Move() if role == "operator":
-                wrong = self.book.move(message.slices, message.to)
+            case m.MigrateSlices() if role == "operator":
+                wrong = self.book.move(message.slice_ids, message.assigner_id)
                 if wrong is not None:
                     stream.refuse(wrong)
                     return
-                self.log.warning("move", slices=message.slices, to=message.to, by=message.by[:100])
+                self.log.warning(
+                    "move", slices=message.slice_ids, to=message.assigner_id, by=message.operator[:100]
+                )
                 self._asked.append(stream)
                 self._changed(self.book.due(self.reactor.seconds()))
-            case m.Backup() if role == "operator":
+            case m.BackupRequest() if role == "operator":
                 self._backup(stream, message.name)
-            case m.Copies() if role == "assigner":
+            case m.ReplicationDelta() if role == "assigner":
                 if self.refill is not None:
                     for reason in self.refill.told(self.reactor.seconds(), stream.tag[1], message)[
                         :REASONS_MOST
                     ]:
                         self.log.warning("copy_refused", assigner=stream.tag[1], reason=reason)
-            case m.Refill() if role == "operator":
+            case m.RestoreFromReplicas() if role == "operator":
                 if self.refill is None or not self.refill.answered:
                     waits = self.refill is not None
                     why = (
@@ -195,22 +197,22 @@
                     stream.refuse(why)
                     return
                 self._asked.append(stream)
-                self._refilled(self.reactor.seconds(), message.by[:100])
+                self._refilled(self.reactor.seconds(), message.operator[:100])
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for the store")
 
     def _greeted(self, stream: Stream, hello: m.Hello) -> None:
         self.streams += 1
         stream.tag = (hello.role, hello.id)
-        if hello.token > self.book.token and self.refill is None:
+        if hello.highest_token > self.book.token and self.refill is None:
             self.log.error(
                 "older_than_its_parties",
                 token=self.book.token,
-                seen=hello.token,
+                seen=hello.highest_token,
                 role=hello.role,
                 id=hello.id,
             )
-            self._changed(self.book.seen(hello.token))
+            self._changed(self.book.seen(hello.highest_token))
         if hello.role == "proxy":
             self.proxies.add(stream)
         elif hello.role == "assigner":
@@ -218,16 +220,16 @@
             if old is not None:
                 old.abort("its assigner dialled anew")
             self.assigners[hello.id] = stream
-            self.lives[hello.id] = hello.start
-            self.log.info("assigner_joined", assigner=hello.id, life=hello.start)
+            self.lives[hello.id] = hello.incarnation
+            self.log.info("assigner_joined", assigner=hello.id, life=hello.incarnation)
             if self.hands:
                 stream.send(self._standing())
             if self.members:
-                stream.send(m.Members(self.members))
+                stream.send(m.AssignerMembership(self.members))
             if self.refill is not None:
-                stream.send(m.AskCopies())
+                stream.send(m.ReplicaRequest())
             else:
-                self._changed(self.book.joined(self.reactor.seconds(), hello.id, hello.start))
+                self._changed(self.book.joined(self.reactor.seconds(), hello.id, hello.incarnation))
 
     def _lost(self, stream: Stream, why: AnyMessage) -> None:
         if not stream.tag:
@@ -242,10 +244,14 @@
                 self.refill.left(stream.tag[1])
             self.log.warning("assigner_left", assigner=stream.tag[1], reason=stream.reason)
 
-    def _read(self, stream: Stream, read: m.Read) -> None:
+    def _read(self, stream: Stream, read: m.ReadRequest) -> None:
         """What is kept, at one revision: all of it, or what changed since the one the reader has, if it has one
         of this very store."""
-        known = read.since if read.identity == self.identity and 0 <= read.since <= self.revision else -1
+        known = (
+            read.since_revision
+            if read.store_id == self.identity and 0 <= read.since_revision <= self.revision
+            else -1
+        )
         lines = iter(self._view(known))
 
         def on() -> None:
@@ -271,29 +277,34 @@
                 n for n in sorted(self.kept) if n in self.book.slices and self.revisions.get(n, 0) > known
             ]
             lines = self._lines([charge_of(self.kept[n]) for n in numbers])
-            self._views[known] = [*lines, encode(m.ReadEnd(len(numbers), self.revision, self.identity))]
+            self._views[known] = [*lines, encode(m.ReadComplete(len(numbers), self.revision, self.identity))]
         return self._views[known]
 
     # Orders by hand -------------------------------------------------------------------------------
 
-    def _standing(self) -> m.Hands:
-        return m.Hands([self.hands[z] for z in sorted(self.hands)])
+    def _standing(self) -> m.ZoneCommands:
+        return m.ZoneCommands([self.hands[z] for z in sorted(self.hands)])
 
-    def _hand(self, stream: Stream, hand: m.Hand) -> None:
-        if not 0 <= hand.zone < self.zones or hand.what not in ("drain", "hold", "return"):
+    def _hand(self, stream: Stream, hand: m.ZoneCommand) -> None:
+        if not 0 <= hand.zone < self.zones or hand.operation not in ("drain", "hold", "return"):
             stream.refuse(
-                f"{hand.what!r} of zone {hand.zone}: there are {self.zones} zones; drain, hold or return"
+                f"{hand.operation!r} of zone {hand.zone}: there are {self.zones} zones; drain, hold or return"
             )
             return
         if not 0.1 <= hand.pace <= 10:
             stream.refuse(f"pace {hand.pace:g} is not from 0.1 to 10")
             return
         self.hand_number += 1
-        kept = m.Hand(hand.zone, hand.what, hand.pace, hand.by[:100], self.hand_number)
+        kept = m.ZoneCommand(hand.zone, hand.operation, hand.pace, hand.operator[:100], self.hand_number)
         self._hands[hand.zone] = kept
         self._asked.append(stream)
         self.log.warning(
-            "hand", zone=kept.zone, what=kept.what, pace=kept.pace, by=kept.by, number=kept.number
+            "hand",
+            zone=kept.zone,
+            what=kept.operation,
+            pace=kept.pace,
+            by=kept.operator,
+            number=kept.sequence,
         )
         self._keep()
 
@@ -310,7 +321,7 @@
 
         def good(revision: int) -> None:
             self.log.info("backup", path=path, revision=revision)
-            stream.send(m.Done(f"{path}: revision {revision}"))
+            stream.send(m.CommandCompleted(f"{path}: revision {revision}"))
 
         done.addCallbacks(good, lambda failure: stream.refuse(failure.getErrorMessage()))
 
@@ -387,19 +398,19 @@
 
     def _tell(
         self,
-        hands: tuple[m.Hand, ...],
+        hands: tuple[m.ZoneCommand, ...],
         given: dict[int, Change],
         waiting: tuple[dict[Stream, int], list[Stream]],
     ) -> None:
         """What has been kept goes out; changes of charge as one message to each party, encoded once."""
-        by_assigner: dict[int, list[m.Charge]] = {}
+        by_assigner: dict[int, list[m.SliceOwnership]] = {}
         for number, change in sorted(given.items()):
             charge = charge_of(self.kept[number])
             if change.old != change.new and change.old in self.assigners:
-                self.assigners[change.old].send(m.Taken(number, charge.token))
-            by_assigner.setdefault(charge.assigner, []).append(charge)
+                self.assigners[change.old].send(m.OwnershipRevoked(number, charge.fencing_token))
+            by_assigner.setdefault(charge.owner_id, []).append(charge)
         for assigner, charges in sorted(by_assigner.items()):
-            self.log.info("charge", assigner=assigner, slices=[c.slice for c in charges])
+            self.log.info("charge", assigner=assigner, slices=[c.slice_id for c in charges])
             for line in self._lines(charges):
                 if assigner in self.assigners:
                     self.assigners[assigner].send_line(line)
@@ -410,7 +421,7 @@
                         proxy.abort("does not read what it is told")
         written, asked = waiting
         for stream, batch in written.items():
-            stream.send(m.Written(batch, self.revision))
+            stream.send(m.WriteAcknowledged(batch, self.revision))
         if hands:
             for assigner in sorted(self.assigners):
                 self.assigners[assigner].send(self._standing())
@@ -418,8 +429,8 @@
             stream.send(self._standing())
 
     @staticmethod
-    def _lines(charges: list[m.Charge]) -> list[bytes]:
+    def _lines(charges: list[m.SliceOwnership]) -> list[bytes]:
         return [
-            encode(m.Charges(charges[first : first + m.CHARGES_MOST]))
-            for first in range(0, len(charges), m.CHARGES_MOST)
+            encode(m.SliceOwnerships(charges[first : first + m.MAX_OWNERSHIPS_PER_MESSAGE]))
+            for first in range(0, len(charges), m.MAX_OWNERSHIPS_PER_MESSAGE)
         ]
--- a/puffintide/store/sqlite.py
+++ b/puffintide/store/sqlite.py
@@ -16,7 +16,7 @@
 import msgspec
 import xxhash
 
-from puffintide.protocol.messages import Hand
+from puffintide.protocol.messages import ZoneCommand
 from puffintide.store.engine import Change, Image, SliceState, StoreError
 
 FORMAT = 1
@@ -24,7 +24,7 @@
 LOG_PAGES = 1000  # of the write-ahead log, before it is folded into the file
 
 _SLICES = msgspec.json.Decoder(SliceState)
-_HANDS = msgspec.json.Decoder(Hand)
+_HANDS = msgspec.json.Decoder(ZoneCommand)
 _SCHEMA = """
 create table meta (name text primary key, value text not null, sum integer not null) without rowid;
 create table slice (number integer primary key, revision integer not null, body blob not null,
--- a/puffintide/zones/director.py
+++ b/puffintide/zones/director.py
@@ -24,13 +24,13 @@
         # A server that went has no bound any more, and must not be met with its old one when it is back.
         lifted = dict.fromkeys(self._told.keys() - bounds.keys(), 1.0)
         now_told = sorted((lifted | bounds).items())
-        changed = [api.ServerBound(s, b) for s, b in now_told if self._told.get(s, 1.0) != b]
+        changed = [api.CapacityLimitChanged(s, b) for s, b in now_told if self._told.get(s, 1.0) != b]
         self._told = bounds
         # Lists first, as a bound concerns a server that is known.
-        lists = [e for e in events if isinstance(e, api.ServerList)]
-        rest = [e for e in events if not isinstance(e, api.ServerList | api.ZoneHand)]
+        lists = [e for e in events if isinstance(e, api.EndpointListUpdate)]
+        rest = [e for e in events if not isinstance(e, api.EndpointListUpdate | api.ZoneCommandReceived)]
         actions = self.director.handle(now, [*lists, *changed, *rest])
-        return actions + [api.Log(line) for line in self.plan.changes()]
+        return actions + [api.LogMessage(line) for line in self.plan.changes()]
 
     def findings(self) -> tuple[float | None, dict[int, int]]:
         return self.director.findings()
--- a/puffintide/zones/plan.py
+++ b/puffintide/zones/plan.py
@@ -95,9 +95,9 @@
 
     def __init__(self, settings: api.Settings, limits: ZoneLimits) -> None:
         self.set, self.limits = settings, limits
-        self.servers: dict[int, api.Server] = {}
+        self.servers: dict[int, api.Endpoint] = {}
         self.vanished: dict[int, tuple[float, float]] = {}  # ready, then gone without a drain: when, weight
-        self.zones = {z: _Zone() for z in range(max(1, settings.zones))}
+        self.zones = {z: _Zone() for z in range(max(1, settings.zone_count))}
         self.growth: dict[int, float] = {}  # of servers in a return, below 1
         self.behind: set[int] = set()  # fell during the return: they grow when the rest is done
         self.ways: dict[tuple[int, int], _Way] = {}
@@ -111,37 +111,39 @@
 
     def observe(self, now: float, event: api.Event) -> None:
         match event:
-            case api.ServerList():
+            case api.EndpointListUpdate():
                 self._list(now, event)
-            case api.LoadReport(zone, server, tries, failed, _, span_s) if 0 <= failed <= tries and tries:
+            case api.ServerLoadReport(zone, server, tries, failed, _, span_s) if (
+                0 <= failed <= tries and tries
+            ):
                 self.reports[zone] = now
                 entry = self.servers.get(server)
                 if entry is not None and span_s > 0:
                     self.ways.setdefault((zone, entry.zone), _Way()).add(now, tries, failed, span_s)
-            case api.ProxyJoined(proxy, zone):
+            case api.ProxyConnected(proxy, zone):
                 self.proxies[proxy] = zone
-            case api.ProxyLeft(proxy):
+            case api.ProxyDisconnected(proxy):
                 self.proxies.pop(proxy, None)
-            case api.ZoneHand(zone, what, pace) if zone in self.zones:
+            case api.ZoneCommandReceived(zone, what, pace) if zone in self.zones:
                 self._hand(now, self.zones[zone], zone, what, pace)
 
-    def _list(self, now: float, event: api.ServerList) -> None:
-        if event.kind == "failed":
+    def _list(self, now: float, event: api.EndpointListUpdate) -> None:
+        if event.update_type == "failed":
             return
-        told = {entry.id: entry for entry in event.servers}
-        if event.kind != "delta":
+        told = {entry.server_id: entry for entry in event.endpoints}
+        if event.update_type != "delta":
             for sid, old in sorted(self.servers.items()):
-                if sid not in told and old.state != api.GONE:
-                    told[sid] = api.Server(
-                        sid, old.zone, old.kind, old.cell, api.GONE, old.weight, old.started
+                if sid not in told and old.status != api.GONE:
+                    told[sid] = api.Endpoint(
+                        sid, old.zone, old.server_type, old.cell, api.GONE, old.weight, old.started_at_s
                     )
         for sid, entry in sorted(told.items()):
             was = self.servers.get(sid)
-            if entry.state == api.GONE and was is not None and was.state == api.READY:
+            if entry.status == api.GONE and was is not None and was.status == api.READY:
                 self.vanished[sid] = (now, was.weight)
                 if sid in self.growth:
                     self.behind.add(sid)
-            elif entry.state != api.GONE:
+            elif entry.status != api.GONE:
                 self.vanished.pop(sid, None)
             self.servers[sid] = entry
 
@@ -158,7 +160,7 @@
 
     def _of(self, zone: int) -> list[int]:
         """Its servers that are listed ready."""
-        return [s for s, e in sorted(self.servers.items()) if e.zone == zone and e.state == api.READY]
+        return [s for s, e in sorted(self.servers.items()) if e.zone == zone and e.status == api.READY]
 
     def _share(self, zone: int, view: Mapping[int, View]) -> float:
         """How much of its usual weight is there. Servers that drained away are no loss."""
@@ -196,7 +198,7 @@
         for sid, (at, _) in sorted(self.vanished.items()):
             if now - at > FORGET_S:
                 del self.vanished[sid]
-        gone = [s for s, e in self.servers.items() if e.state == api.GONE and s not in self.vanished]
+        gone = [s for s, e in self.servers.items() if e.status == api.GONE and s not in self.vanished]
         for sid in gone:  # each machine has an id of its own: what drained away, or is missed no longer
             del self.servers[sid]
             self.growth.pop(sid, None)
@@ -254,7 +256,7 @@
         """A return goes up while the zone stands it, down when it does not. Servers that came later
         begin where all began; those that fell wait until the rest is done."""
         zone = self.zones[number]
-        for sid in [s for s in self.growth if self.servers[s].state == api.GONE]:
+        for sid in [s for s in self.growth if self.servers[s].status == api.GONE]:
             del self.growth[sid]
         if now <= zone.since:
             return
@@ -279,8 +281,8 @@
 
     def _cold(self, now: float, sid: int) -> bool:
         """By the list alone: the module may not have seen yet that the server is a new one."""
-        started = self.servers[sid].started
-        return started > 0 and now - started < self.set.warm_within_s
+        started = self.servers[sid].started_at_s
+        return started > 0 and now - started < self.set.slow_start_duration_s
 
     @staticmethod
     def _mean(servers: list[int], view: Mapping[int, View]) -> float:
@@ -318,7 +320,7 @@
         out = [z for z, s in sorted(self.zones.items()) if s.hand or s.phase in (LOST, HELD, RETURNING)]
         found: dict[int, float] = {}
         for sid, entry in sorted(self.servers.items()):
-            if entry.state == api.GONE:
+            if entry.status == api.GONE:
                 continue
             state = self.zones.get(entry.zone, _Zone())
             if state.hand or state.phase == HELD:
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -23,7 +23,7 @@
 from puffintide.config.schema import AssignerProcess, ProxyProcess
 from puffintide.emulators.clients import Clients
 from puffintide.emulators.fleet import FleetService
-from puffintide.protocol.messages import Held
+from puffintide.protocol.messages import TableEntry
 from puffintide.proxy.service import ProxyService
 from puffintide.replication.tables import GAP, Refill
 from puffintide.scenarios.faults import Step, plan
@@ -380,7 +380,8 @@
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
         rows = {
-            n: [Held(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))] for n in range(d.slices)
+            n: [TableEntry(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))]
+            for n in range(d.slices)
         }
         book = Book(d.slices, d.assigners, 1.0, d.single_writer)
         book.load(rows)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -117,7 +117,7 @@
         self.listener.settimeout(LIMIT_S)
         line = Line(self.listener.accept()[0])
         assert isinstance(line.read(), m.Hello)
-        line.send(m.Welcome(m.VERSION, role, 0))
+        line.send(m.Welcome(m.PROTOCOL_VERSION, role, 0))
         self.lines.append(line)
         return line
 
@@ -168,7 +168,7 @@
         return process(self.tmp, "assigner", self.section, "--life", str(next(self.lives)), **changes)
 
     def proxy(self, number: int, fresh: bool = True) -> Line:
-        line = dial(self.port, m.Hello(m.VERSION, "proxy", number, 0, "t", fresh=fresh))
+        line = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "proxy", number, 0, "t", first_connection=fresh))
         line.until(lambda x: isinstance(x, m.Welcome))
         return line
 
@@ -176,16 +176,16 @@
         return [json.loads(row) for row in (self.tmp / "assigner.log").read_text().splitlines()]
 
 
-def servers(*states: int) -> list[m.Entry]:
+def servers(*states: int) -> list[m.EndpointEntry]:
     return [
-        m.Entry(s, s % 2, 0, 0, state, 2.0, 1, -1.0, f"127.0.0.1:{9000 + s}")
+        m.EndpointEntry(s, s % 2, 0, 0, state, 2.0, 1, -1.0, f"127.0.0.1:{9000 + s}")
         for s, state in enumerate(states)
     ]
 
 
-def charges(slices: int = 8, server: int = 0, token: int = 1) -> m.Charges:
-    held = [m.Held(server, 1.0, f"127.0.0.1:{9000 + server}")]
-    return m.Charges([m.Charge(n, token + n, 0, held) for n in range(slices)])
+def charges(slices: int = 8, server: int = 0, token: int = 1) -> m.SliceOwnerships:
+    held = [m.TableEntry(server, 1.0, f"127.0.0.1:{9000 + server}")]
+    return m.SliceOwnerships([m.SliceOwnership(n, token + n, 0, held) for n in range(slices)])
 
 
 # The platform's parties, played by hand: each answer goes out when the test says so -----------------------------
--- a/tests/records.py
+++ b/tests/records.py
@@ -51,7 +51,7 @@
         for number in range(4):
             self.charge(begin, number, number % 2, number, token=number + 1)
         for p in range(3):
-            self.add(begin, "store", "proxy", p, m.ReadEnd(4), back=True)
+            self.add(begin, "store", "proxy", p, m.ReadComplete(4), back=True)
 
     def add(
         self,
@@ -70,22 +70,22 @@
 
     def dial(self, at: float, link: str, role: str, who: int) -> None:
         self.conns[link, role, who] = len(self.rows) + 1000
-        self.add(at, link, role, who, m.Hello(m.VERSION, role, who, who % 2))
+        self.add(at, link, role, who, m.Hello(m.PROTOCOL_VERSION, role, who, who % 2))
 
     def hang_up(self, at: float, link: str, role: str, who: int) -> None:
         self.add(at, link, role, who, None)
 
-    def entry(self, server: int, state: int = 1, life: int = 1, age: float = -1.0) -> m.Entry:
-        return m.Entry(server, server % 2, 0, 0, state, 2.0, life, age)
+    def entry(self, server: int, state: int = 1, life: int = 1, age: float = -1.0) -> m.EndpointEntry:
+        return m.EndpointEntry(server, server % 2, 0, 0, state, 2.0, life, age)
 
-    def news(self, at: float, assigner: int, *entries: m.Entry, kind: str = "delta") -> None:
-        self.add(at, "list", "assigner", assigner, m.News(kind, 1, list(entries)), back=True)
+    def news(self, at: float, assigner: int, *entries: m.EndpointEntry, kind: str = "delta") -> None:
+        self.add(at, "list", "assigner", assigner, m.WatchEvent(kind, 1, list(entries)), back=True)
 
     def charge(self, at: float, number: int, assigner: int, server: int, token: int) -> None:
-        charge = m.Charge(number, token, assigner, [m.Held(server, 1.0)])
-        self.add(at, "store", "assigner", assigner, m.Charges([charge]), back=True)
+        charge = m.SliceOwnership(number, token, assigner, [m.TableEntry(server, 1.0)])
+        self.add(at, "store", "assigner", assigner, m.SliceOwnerships([charge]), back=True)
         for p in range(3):
-            self.add(at, "store", "proxy", p, m.Charges([charge]), back=True)
+            self.add(at, "store", "proxy", p, m.SliceOwnerships([charge]), back=True)
 
     def order(
         self,
@@ -102,11 +102,11 @@
         token: int | None = None,
     ) -> None:
         self.batch += 1
-        made = [m.Line(t, s, w, t + 1 if token is None else token) for t, s, w in lines]
+        made = [m.WeightEntry(t, s, w, t + 1 if token is None else token) for t, s, w in lines]
         size = len(lines) + len(out) + len(back) + len(clear) + 10
         when = at if ordered is None else ordered
         number = self.batch if batch is None else batch
-        order = m.Order(number, when, cost or size, made, list(clear), list(out), list(back))
+        order = m.ProxyUpdate(number, when, cost or size, made, list(clear), list(out), list(back))
         self.add(at, f"order:{assigner}", "proxy", proxy, order, back=True)
 
     def request(
@@ -128,10 +128,12 @@
             self.requests += 1
             request = self.requests
         key = len(self.rows) + 1
-        t = m.Try(key, request, proxy, number, kind, 5, attempt, 2.0, work)
+        t = m.AttemptRequest(key, request, proxy, number, kind, 5, attempt, 2.0, work)
         self.add(at, f"try:{server}", "proxy", proxy, t, went=went)
         if status is not None and went is not None:
-            self.add(at + answered, f"try:{server}", "proxy", proxy, m.Answer(key, status), back=True)
+            self.add(
+                at + answered, f"try:{server}", "proxy", proxy, m.AttemptResponse(key, status), back=True
+            )
         return request
 
     def judge(self) -> Judgement:
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -28,24 +28,24 @@
     return Tables(slices, 0, "rotate", lambda: 0.5)
 
 
-def line(table: int, sid: int, weight: float, token: int) -> m.Line:
-    return m.Line(table, sid, weight, token, f"127.0.0.1:{5000 + sid}")
+def line(table: int, sid: int, weight: float, token: int) -> m.WeightEntry:
+    return m.WeightEntry(table, sid, weight, token, f"127.0.0.1:{5000 + sid}")
 
 
-def order(batch: int, *lines: m.Line, **more: Any) -> m.Order:
-    return m.Order(batch, 0.0, 13.0, list(lines), **more)
+def order(batch: int, *lines: m.WeightEntry, **more: Any) -> m.ProxyUpdate:
+    return m.ProxyUpdate(batch, 0.0, 13.0, list(lines), **more)
 
 
 @pytest.mark.parametrize("what", ["hold", "drain"])
 def test_a_bound_ends_though_its_server_was_gone_when_it_was_lifted(what: str) -> None:
     world = eight(Zoned)
-    world.tell(api.ZoneHand(0, what, 1.0))
+    world.tell(api.ZoneCommandReceived(0, what, 1.0))
     world.run(6)  # of a drain's 12 s
-    world.tell(api.ServerList("delta", 2, (server(2, api.GONE),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE),)))
     world.run(2)
-    world.tell(api.ZoneHand(0, "return", 1.0))
+    world.tell(api.ZoneCommandReceived(0, "return", 1.0))
     world.run(60)
-    world.tell(api.ServerList("delta", 3, (server(2),)))
+    world.tell(api.EndpointListUpdate("delta", 3, (server(2),)))
     world.run(60)
     assert 2 in world.main(1)  # the first slice whose default it is
     seen = world.director.director
@@ -55,8 +55,16 @@
 def test_a_proxy_that_joins_knows_no_withdrawals_or_levels_of_before() -> None:
     """What was let in again, or taken back, while its stream was down would be shut out for ever."""
     held = tables()
-    held.order(0, order(1, line(0, 5, 1.0, 1), out=[5], levels=[m.Level(api.ALL_TABLES, 0, 0.2, 0)]))
-    held.order(1, order(1, line(1, 5, 1.0, 1), out=[5]))
+    held.order(
+        0,
+        order(
+            1,
+            line(0, 5, 1.0, 1),
+            withdrawn_servers=[5],
+            admission_levels=[m.AdmissionLevel(api.ALL_SLICES, 0, 0.2, 0)],
+        ),
+    )
+    held.order(1, order(1, line(1, 5, 1.0, 1), withdrawn_servers=[5]))
     assert held.open(0) == {} and held.level(0, 0) == 0.2
     held.joined(0)
     assert held.open(0) == {5: 1.0} and held.level(0, 0) == 1.0
@@ -66,19 +74,23 @@
 def test_an_order_that_overtakes_the_charge_it_goes_by_is_laid_on_the_tables_of_that_charge() -> None:
     held = tables()
     held.charge(
-        m.Charge(0, 1, 0, [m.Held(1, 1.0, "127.0.0.1:1")], 0, 1)
+        m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1)
     )  # all that it heard of the old tenure
     held.order(1, order(7, line(0, 4, 1.0, 2), line(0, 3, 0.0, 2)))  # goes by a table that held 2 and 3
-    held.charge(m.Charge(0, 2, 1, [m.Held(2, 1.0, "127.0.0.1:2"), m.Held(3, 1.0, "127.0.0.1:3")], 0, 2))
+    held.charge(
+        m.SliceOwnership(
+            0, 2, 1, [m.TableEntry(2, 1.0, "127.0.0.1:2"), m.TableEntry(3, 1.0, "127.0.0.1:3")], 0, 2
+        )
+    )
     assert held.open(0) == {2: 1.0, 4: 1.0}
 
 
 def test_in_an_unbroken_tenure_a_charge_that_is_behind_undoes_no_order() -> None:
     held = tables()
-    held.charge(m.Charge(0, 1, 0, [m.Held(1, 1.0, "127.0.0.1:1")], 0, 1))
+    held.charge(m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
     held.order(0, order(5, line(0, 2, 1.0, 1), line(0, 1, 0.0, 1)))  # the store is away and has not kept it
     held.order(0, order(6, line(0, 3, 1.0, 2)))  # back, with a new token that the proxy has not heard of
-    held.charge(m.Charge(0, 2, 0, [m.Held(1, 1.0, "127.0.0.1:1")], 0, 1))
+    held.charge(m.SliceOwnership(0, 2, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
     assert held.open(0) == {2: 1.0, 3: 1.0}
 
 
@@ -116,23 +128,29 @@
 
 def test_what_is_gone_is_forgotten() -> None:
     """A machine that is replaced has a new id: a thousand of them must not stay in anybody's memory."""
-    runtime = Runtime(settings(slices=4, report_names=("rif",)), lambda s: ZonedDirector(s, ZoneLimits()))
+    runtime = Runtime(
+        settings(slice_count=4, load_value_names=("rif",)), lambda s: ZonedDirector(s, ZoneLimits())
+    )
     decider: Any = runtime.decider
     held, reports, now = tables(4), Gatherer(300.0), 1000.0
     runtime.joined(now, 0, 0, 0.0, True)
     for first in range(0, 4000, 4):  # four at a time, each 30 s
         ids = range(first, first + 4)
-        listed = [m.Entry(s, s % 2, 0, 0, 1, 2.0, 1, -1.0, at(5000 + s)) for s in ids]
-        runtime.news(now, m.News("full", first, listed))
+        listed = [m.EndpointEntry(s, s % 2, 0, 0, 1, 2.0, 1, -1.0, at(5000 + s)) for s in ids]
+        runtime.news(now, m.WatchEvent("full", first, listed))
         if first == 0:
             for n in range(4):
-                runtime.charge(now, m.Charge(n, n + 1, 0, [m.Held(n, 1.0, at(5000 + n))], 0, n + 1))
+                runtime.charge(
+                    now, m.SliceOwnership(n, n + 1, 0, [m.TableEntry(n, 1.0, at(5000 + n))], 0, n + 1)
+                )
         for step in range(6):
             now += 5.0
-            sums = m.Sums(0.5, [m.ServerSum(s, 9, 0, 0.5, [1.0]) for s in ids], [m.SliceSum(0, 0, 9, 0)])
+            sums = m.UsageReport(
+                0.5, [m.ServerUsage(s, 9, 0, 0.5, [1.0]) for s in ids], [m.SliceUsage(0, 0, 9, 0)]
+            )
             reports.add(now, 0, sums)
-            runtime.hear(now, *reports.take(now), api.ProbeResult(first + step % 4, 0, 0.01, (1.0,)))
-            runtime.hear(now, api.TimerDue(1))
+            runtime.hear(now, *reports.take(now), api.HealthCheckResult(first + step % 4, 0, 0.01, (1.0,)))
+            runtime.hear(now, api.TimerFired(1))
             effects = runtime.tick(now)
             assert effects is not None
             for _, made in effects.orders:
@@ -193,9 +211,9 @@
     found, before = [], dict[int, list[tuple[float, frozenset[int]]]]()
     tables: dict[int, dict[int, float]] = {n: {} for n in world.tables}
     for at_s, actions in world.log:
-        for a in (a for a in actions if isinstance(a, api.SetLine)):
-            tables[a.table][a.server] = a.weight
-        for number in {a.table for a in actions if isinstance(a, api.SetLine)}:
+        for a in (a for a in actions if isinstance(a, api.SetWeight)):
+            tables[a.slice_id][a.server_id] = a.weight
+        for number in {a.slice_id for a in actions if isinstance(a, api.SetWeight)}:
             main = frozenset(s for s, w in tables[number].items() if w >= 1)
             row = before.setdefault(number, [])
             if not row or row[-1][1] != main:
@@ -206,7 +224,7 @@
 
 
 def test_heat_that_comes_and_goes_swings_no_slice_back_and_forth() -> None:
-    world = World(slices=24)
+    world = World(slice_count=24)
     for step in range(40):
         crowded = step % 2
         world.heat = {n: (6.0 if n % 4 == 0 and crowded else 1.0) for n in world.heat}
@@ -216,27 +234,29 @@
 
 
 def test_a_lost_server_is_left_though_its_slice_has_just_come() -> None:
-    world = World(slices=24)
+    world = World(slice_count=24)
     world.heat = {n: (6.0 if n % 4 == 0 else 1.0) for n in world.heat}
     world.run(6)
     fresh = (n for n, v in world.director.slices.items() if v.moved > world.now - REST_S)
     number = next(fresh)
     moved = world.main(number)
-    world.tell(api.ServerList("delta", 2, tuple(server(s, api.DRAINING) for s in moved)))
+    world.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, api.DRAINING) for s in moved)))
     assert not world.main(number) & moved
 
 
 def test_a_hot_slice_that_finds_no_places_is_not_left_whole_on_a_cold_server() -> None:
     """It is planned in parts; with no room for the others, all of it would fall on the one that has a place."""
-    world = World(warm_within_s=20.0)
+    world = World(slow_start_duration_s=20.0)
     world.heat = {n: 1.0 if n % 4 == 0 else 9.5 for n in world.heat}  # servers 2, 3 and 4 at 0.95
     world.run(10)
     world.heat[0] = 25.0
-    world.tell(api.ServerList("delta", 2, (server(1, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
     for _ in range(8):
         world.run(1)
-        cold = 0.25 + 0.75 * (world.now - world.director.servers[1].entry.started) / 20.0
-        assert world.load(1) <= 1.5 * cold * 30.0 or world.now < world.director.servers[1].entry.started + 2
+        cold = 0.25 + 0.75 * (world.now - world.director.servers[1].entry.started_at_s) / 20.0
+        assert (
+            world.load(1) <= 1.5 * cold * 30.0 or world.now < world.director.servers[1].entry.started_at_s + 2
+        )
 
 
 def test_servers_that_are_gone_are_probed_no_more(tmp_path: Path) -> None:
@@ -247,9 +267,9 @@
         assert set(assigner.probers) == set(assigner.listed.entries) == {0, 3, 4, 5, 6, 7}
 
 
-def charge(number: int, token: int, lines: dict[int, float]) -> m.Charge:
-    held = [m.Held(s, w, f"127.0.0.1:{5000 + s}") for s, w in lines.items()]
-    return m.Charge(number, token, 0, held)
+def charge(number: int, token: int, lines: dict[int, float]) -> m.SliceOwnership:
+    held = [m.TableEntry(s, w, f"127.0.0.1:{5000 + s}") for s, w in lines.items()]
+    return m.SliceOwnership(number, token, 0, held)
 
 
 def test_what_the_store_lacks_is_written_again_for_an_unbroken_tenure_alone() -> None:
@@ -260,6 +280,6 @@
     ordered.written(5, [line(0, 1, 0.5, 1), line(0, 4, 0.0, 1), line(2, 1, 1.0, 3)])
     assert ordered.missing(
         [charge(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), charge(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]
-    ) == (5, [line(0, 1, 0.5, 9), m.Line(0, 4, 0.0, 9)])
+    ) == (5, [line(0, 1, 0.5, 9), m.WeightEntry(0, 4, 0.0, 9)])
     ordered.charge(charge(2, 9, {0: 1.0}), goes_on=False)  # another had it since
     assert ordered.missing([charge(2, 9, {0: 1.0})]) == (0, [])
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -50,7 +50,7 @@
     def proxy(self, number: int) -> tuple[Stream, Wire]:
         stream, wire = self.factory.buildProtocol(None), Wire()
         stream.makeConnection(wire)
-        stream.dataReceived(encode(m.Hello(m.VERSION, "proxy", number, 0, "t")) + b"\n")
+        stream.dataReceived(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", number, 0, "t")) + b"\n")
         return stream, wire
 
     def dialled(self, which: int, message: m.Message) -> None:
@@ -60,7 +60,7 @@
             stream = factory.buildProtocol(None)
             stream.makeConnection(Wire())
             setattr(self, f"line{which}", stream)
-            stream.dataReceived(encode(m.Welcome(m.VERSION, "store", 0)) + b"\n")
+            stream.dataReceived(encode(m.Welcome(m.PROTOCOL_VERSION, "store", 0)) + b"\n")
         getattr(self, f"line{which}").dataReceived(encode(message) + b"\n")
 
 
@@ -69,13 +69,13 @@
         stream.dataReceived(encode(m.Pong()) + b"\n")
 
 
-def orders(wire: Wire) -> list[m.Order]:
-    return [x for x in wire.messages() if isinstance(x, m.Order)]
+def orders(wire: Wire) -> list[m.ProxyUpdate]:
+    return [x for x in wire.messages() if isinstance(x, m.ProxyUpdate)]
 
 
 def test_a_proxy_that_does_not_read_delays_no_other_and_has_its_orders_once_it_does() -> None:
     a = Assigner(deployment={"slices": "50"})
-    a.dialled(1, m.News("full", 1, servers(1, 1, 1)))
+    a.dialled(1, m.WatchEvent("full", 1, servers(1, 1, 1)))
     (deaf, deaf_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
     deaf_wire.messages()
     good_wire.messages()
@@ -83,10 +83,10 @@
     a.dialled(0, charges(50))
     a.pass_time(1)
     keep(deaf, good)
-    a.dialled(1, m.News("delta", 2, servers(2)))
+    a.dialled(1, m.WatchEvent("delta", 2, servers(2)))
     a.pass_time(1)
     told = orders(good_wire)
-    assert any(x.server == 0 and x.weight == 0 for order in told for x in order.lines)
+    assert any(x.server_id == 0 and x.weight == 0 for order in told for x in order.weights)
     assert orders(deaf_wire) == []
     assert a.service.channel.waiting() > 0
     deaf_wire.producer.resumeProducing()  # type: ignore[union-attr]
@@ -96,13 +96,15 @@
 
 def test_a_proxy_that_never_reads_is_given_up_before_it_holds_more_than_the_channel() -> None:
     a = Assigner(deployment={"slices": "120"}, channel={"limit": "700"})
-    a.dialled(1, m.News("full", 1, servers(1, 1, 1, 1)))
+    a.dialled(1, m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
     (deaf, deaf_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
     deaf_wire.producer.pauseProducing()  # type: ignore[union-attr]
     a.dialled(0, charges(120))
     most = 0.0
     for version in range(2, 40):
-        a.dialled(1, m.News("delta", version, servers(*[2 if s == version % 4 else 1 for s in range(4)])))
+        a.dialled(
+            1, m.WatchEvent("delta", version, servers(*[2 if s == version % 4 else 1 for s in range(4)]))
+        )
         a.pass_time(1)
         keep(deaf, good)
         most = max(most, a.service.channel.waiting())
@@ -124,13 +126,15 @@
     from puffintide.assigner.cache import load_list, save_list
 
     path = tmp_path / "list.json"
-    news = m.News(
-        "full", 3, [m.Entry(1, 0, 0, 0, 1, 2.0, 4, 5.0, ADDRESS), m.Entry(2, 0, 0, 0, 1, 2.0, 1, -1.0)]
+    news = m.WatchEvent(
+        "full",
+        3,
+        [m.EndpointEntry(1, 0, 0, 0, 1, 2.0, 4, 5.0, ADDRESS), m.EndpointEntry(2, 0, 0, 0, 1, 2.0, 1, -1.0)],
     )
     save_list(str(path), 100.0, news)
     (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # its writer was killed
     loaded = load_list(str(path), 107.5)
-    assert loaded.kind == "cached" and loaded.version == 3
+    assert loaded.update_type == "cached" and loaded.version == 3
     assert [e.age_s for e in loaded.servers] == [12.5, -1.0]
     assert [e.age_s for e in load_list(str(path), 50.0).servers] == [5.0, -1.0]  # the clock was set back
 
@@ -138,7 +142,7 @@
 def test_a_round_that_fails_is_told_and_is_not_the_last() -> None:
     assigner = Assigner()
     assigner.dialled(0, charges(8))
-    assigner.dialled(1, m.News("full", 1, servers(1, 1)))
+    assigner.dialled(1, m.WatchEvent("full", 1, servers(1, 1)))
     stream, wire = assigner.proxy(0)
     all_: list[Any] = [stream, assigner.line0, assigner.line1]  # type: ignore[attr-defined]
     keep(*all_)
@@ -154,6 +158,6 @@
     assert len(assigner.service.runtime._timers) == 1  # its rounds go on at their pace
     keep(*all_)
     wire.clear()
-    assigner.dialled(1, m.News("delta", 2, servers(2)))  # the first drains
+    assigner.dialled(1, m.WatchEvent("delta", 2, servers(2)))  # the first drains
     assigner.pass_time(1.0)
     assert orders(wire)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -75,7 +75,14 @@
             case "out":
                 t.order(140, a, p, out=(0, 1, 2, 3))
             case "charge":
-                t.add(140, "store", "proxy", p, m.Charges([m.Charge(number, 90, a, [])]), back=True)
+                t.add(
+                    140,
+                    "store",
+                    "proxy",
+                    p,
+                    m.SliceOwnerships([m.SliceOwnership(number, 90, a, [])]),
+                    back=True,
+                )
         if until is not None:
             t.order(until, a, p, (number, number, 1.0), back=(0, 1, 2, 3), token=99)
     t.request(150, 3, number=3)
@@ -239,7 +246,7 @@
 def contradicted() -> Tape:
     """An assigner that claims to have ordered as late as each left; its own write to the store says otherwise."""
     t = eventful()
-    t.add(140, "store", "assigner", 0, m.Write(500, []))
+    t.add(140, "store", "assigner", 0, m.WriteRequest(500, []))
     for k in range(9):
         t.order(141 + k * 0.1, 0, k % 3, (0, 0, 1.0), cost=13, batch=500)
     return t
@@ -340,7 +347,7 @@
     """Writes of slice 0 (time, server, time to the answer); epochs: when the assigner gave it to whom."""
     t = Tape(deployment={"single_writer": "yes"})
     for at, server in epochs:
-        t.add(at, "store", "assigner", 0, m.Write(int(at), [m.Line(0, server, 1.0, 1)]))
+        t.add(at, "store", "assigner", 0, m.WriteRequest(int(at), [m.WeightEntry(0, server, 1.0, 1)]))
     for at, server, took in writes:
         t.request(at, server, kind=KEYED, answered=took)
     t.rows.sort(key=lambda r: (r.came, r.number))
@@ -368,7 +375,7 @@
     def tape() -> Tape:
         t = Tape(deployment={"single_writer": "yes"})
         t.request(110, 0, kind=KEYED, status=None)
-        t.add(112, "store", "assigner", 0, m.Write(1, [m.Line(0, 1, 1.0, 1)]))
+        t.add(112, "store", "assigner", 0, m.WriteRequest(1, [m.WeightEntry(0, 1, 1.0, 1)]))
         t.request(113, 1, kind=KEYED)
         return t
 
@@ -389,7 +396,7 @@
 def test_a_whole_file_has_no_gap() -> None:
     capture = read(lines(5), "tap.jsonl")
     assert len(capture.records) == 5 and capture.gaps == []
-    assert capture.records[2].message == m.Cancel(3) and capture.records[2].went is None
+    assert capture.records[2].message == m.CancelAttempt(3) and capture.records[2].went is None
 
 
 @pytest.mark.parametrize(
@@ -414,7 +421,7 @@
         for a in (0, 1):
             t.order(110, a, 0, out=(0, 1, 2, 3))
         if anew:
-            t.add(111, "order:0", "proxy", 0, m.Welcome(m.VERSION, "assigner", 0), back=True)
+            t.add(111, "order:0", "proxy", 0, m.Welcome(m.PROTOCOL_VERSION, "assigner", 0), back=True)
         t.request(140, 1, proxy=1, number=1)
         bare[anew] = {f.who for f in t.judge().findings if f.rule == "nobody left"}
     assert {"proxy 0, slice 0, assigner 0", "proxy 0, slice 1, assigner 1"} <= bare[False]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -14,29 +14,29 @@
 from puffintide.store.book import Book
 from tests.deployment import SECTIONS, Deployment
 
-GOOD = m.Entry(0, 0, 0, 0, 1, 1.0, 1, -1.0, "127.0.0.1:5100")
+GOOD = m.EndpointEntry(0, 0, 0, 0, 1, 1.0, 1, -1.0, "127.0.0.1:5100")
 BAD_ENTRIES = {
-    "twice": [GOOD, msgspec.structs.replace(GOOD, state=0)],
-    "state": [msgspec.structs.replace(GOOD, state=7)],
+    "twice": [GOOD, msgspec.structs.replace(GOOD, status=0)],
+    "state": [msgspec.structs.replace(GOOD, status=7)],
     "zone": [msgspec.structs.replace(GOOD, zone=300)],
     "weight": [msgspec.structs.replace(GOOD, weight=-1.0)],
     "no weight": [msgspec.structs.replace(GOOD, weight=0.0)],
     "address": [msgspec.structs.replace(GOOD, address="nowhere")],
-    "id": [GOOD, msgspec.structs.replace(GOOD, id=-4)],
+    "id": [GOOD, msgspec.structs.replace(GOOD, server_id=-4)],
 }
 BAD_SUMS = {
-    "class": m.Sums(0.5, [], [m.SliceSum(0, 9, 3, 0)]),
-    "slice": m.Sums(0.5, [], [m.SliceSum(999, 0, 3, 0)]),
-    "count": m.Sums(0.5, [], [m.SliceSum(0, 0, -3, 0)]),
-    "failed": m.Sums(0.5, [m.ServerSum(0, 3, 9, 0.0)]),
-    "endless": m.Sums(0.5, [m.ServerSum(0, 10**30, 0, 1.0)]),
-    "span": m.Sums(0.0, [m.ServerSum(0, 3, 0, 1.0)]),
+    "class": m.UsageReport(0.5, [], [m.SliceUsage(0, 9, 3, 0)]),
+    "slice": m.UsageReport(0.5, [], [m.SliceUsage(999, 0, 3, 0)]),
+    "count": m.UsageReport(0.5, [], [m.SliceUsage(0, 0, -3, 0)]),
+    "failed": m.UsageReport(0.5, [m.ServerUsage(0, 3, 9, 0.0)]),
+    "endless": m.UsageReport(0.5, [m.ServerUsage(0, 10**30, 0, 1.0)]),
+    "span": m.UsageReport(0.0, [m.ServerUsage(0, 3, 0, 1.0)]),
 }
 BAD_ORDERS = {
-    "retry": m.Order(9, 0.0, 13.0, levels=[m.Level(0xFFFF, 0, 1.0, 9)]),
-    "level": m.Order(9, 0.0, 13.0, levels=[m.Level(0xFFFF, 0, -1.0, 0)]),
-    "weight": m.Order(9, 0.0, 13.0, lines=[m.Line(0, 1, -2.0, 99)]),
-    "address": m.Order(9, 0.0, 13.0, lines=[m.Line(0, 1, 1.0, 99, "127.0.0.1:http")]),
+    "retry": m.ProxyUpdate(9, 0.0, 13.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, 9)]),
+    "level": m.ProxyUpdate(9, 0.0, 13.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, -1.0, 0)]),
+    "weight": m.ProxyUpdate(9, 0.0, 13.0, weights=[m.WeightEntry(0, 1, -2.0, 99)]),
+    "address": m.ProxyUpdate(9, 0.0, 13.0, weights=[m.WeightEntry(0, 1, 1.0, 99, "127.0.0.1:http")]),
 }
 
 
@@ -59,17 +59,17 @@
     def put(d: Deployment) -> None:
         rest = [d.fleet._entry(n) for n in sorted(d.fleet.listed) if n] if kind == "full" else []
         for stream in d.fleet.watchers:
-            stream.send(m.News(kind, d.fleet.version, [*BAD_ENTRIES[name], *rest]))
+            stream.send(m.WatchEvent(kind, d.fleet.version, [*BAD_ENTRIES[name], *rest]))
 
     deployment = play(tmp_path, put)
     for number, assigner in deployment.assigners.items():
         seen = assigner.runtime.decider.director.servers  # type: ignore[attr-defined]
-        assert seen[0].entry.state == 1 and seen[0].entry.weight == 1.0 and len(seen) == 8
+        assert seen[0].entry.status == 1 and seen[0].entry.weight == 1.0 and len(seen) == 8
         assert any(e == "entry_refused" for e, _ in deployment.log[f"assigner:{number}"].rows)
 
 
 def test_news_of_an_unknown_kind_empties_nothing(tmp_path: Path) -> None:
-    play(tmp_path, lambda d: [s.send(m.News("all", 9, [])) for s in d.fleet.watchers])
+    play(tmp_path, lambda d: [s.send(m.WatchEvent("all", 9, [])) for s in d.fleet.watchers])
 
 
 @pytest.mark.parametrize("name", BAD_SUMS)
@@ -98,7 +98,7 @@
 
     def put(d: Deployment) -> None:
         asked.append(d.clients.streams[0])
-        asked[0].send_line(encode(m.Ask(10**6, 0, 1, 1e300, 0.05)))
+        asked[0].send_line(encode(m.ClientRequest(10**6, 0, 1, 1e300, 0.05)))
 
     deployment = play(tmp_path, put)
     assert asked[0].ended and "time left" in asked[0].reason
@@ -108,22 +108,22 @@
 @pytest.mark.parametrize(
     ("line", "reason"),
     [
-        (m.Line(0, 1, -1.0, 1), "weight"),
-        (m.Line(0, 1, 1e300, 1), "weight"),
-        (m.Line(0, 1, 1.0, 1, "nowhere"), "address"),
-        (m.Line(0, 1, 1.0, 0), "token"),
-        (m.Line(99, 1, 1.0, 1), "no such slice"),
+        (m.WeightEntry(0, 1, -1.0, 1), "weight"),
+        (m.WeightEntry(0, 1, 1e300, 1), "weight"),
+        (m.WeightEntry(0, 1, 1.0, 1, "nowhere"), "address"),
+        (m.WeightEntry(0, 1, 1.0, 0), "token"),
+        (m.WeightEntry(99, 1, 1.0, 1), "no such slice"),
     ],
 )
-def test_the_store_refuses_a_line_that_cannot_be_and_takes_the_rest(line: m.Line, reason: str) -> None:
+def test_the_store_refuses_a_line_that_cannot_be_and_takes_the_rest(line: m.WeightEntry, reason: str) -> None:
     book = Book(2, 1, 1.0, False)
     book.joined(0.0, 0)
     tokens = {n: book.slices[n].token for n in (0, 1)}
     line = replace_token(line, tokens) if reason != "token" else line
-    refused = book.write(0, [line, m.Line(1, 5, 1.0, tokens[1], "127.0.0.1:5")], 3)
-    assert list(refused) == [line.table] and reason in refused[line.table]
+    refused = book.write(0, [line, m.WeightEntry(1, 5, 1.0, tokens[1], "127.0.0.1:5")], 3)
+    assert list(refused) == [line.slice_id] and reason in refused[line.slice_id]
     assert not book.slices[0].lines and set(book.slices[1].lines) == {5}
 
 
-def replace_token(line: m.Line, tokens: dict[int, int]) -> m.Line:
-    return msgspec.structs.replace(line, token=tokens.get(line.table, 1))
+def replace_token(line: m.WeightEntry, tokens: dict[int, int]) -> m.WeightEntry:
+    return msgspec.structs.replace(line, fencing_token=tokens.get(line.slice_id, 1))
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -25,7 +25,7 @@
             rows = service.peers.replica.readings(now, "table")
             views[k] = {n: best.value for n, r in rows.items() if (best := settle.table(r)) is not None}
     for number, record in sorted(d.store.book.slices.items()):
-        wanted = [(h.server, h.weight) for _, h in sorted(record.lines.items())]
+        wanted = [(h.server_id, h.weight) for _, h in sorted(record.lines.items())]
         for k, view in views.items():
             value = view.get(number, ())
             held = [(value[at], value[at + 1]) for at in range(2, len(value), 4)]
@@ -154,11 +154,11 @@
         assert peers is not None
         mine = peers.replica.held[1]
         rows = [
-            m.CopiedRow("server", 3, mine.seq + 1, 0.0, (1.0, float("1e300"))),
-            m.CopiedRow("server", 4, mine.seq + 2, 0.0, (1.0, 0.0)),
+            m.ReplicatedRow("server", 3, mine.seq + 1, 0.0, (1.0, float("1e300"))),
+            m.ReplicatedRow("server", 4, mine.seq + 2, 0.0, (1.0, 0.0)),
         ]
         top = mine.seq + 2
-        peers.peers[0].stream.send(m.Copies(1, mine.life, mine.seq, top, top, 0, rows))
+        peers.peers[0].stream.send(m.ReplicationDelta(1, mine.life, mine.seq, top, top, 0, rows))
 
     d = Deployment(tmp_path, steps=[(5.0, lie)], **PEERS)
     verdict = d.play()
--- a/tests/test_copies_processes.py
+++ b/tests/test_copies_processes.py
@@ -102,19 +102,19 @@
         empty = c.command("charge", "show")  # nobody is given anything on one assigner's word
         assert str(SLICES) not in empty.stdout, empty.stdout
         c.until(lambda got: got.returncode == 0, "store", "refill")
-        reader = dial(c.store, m.Hello(m.VERSION, "proxy", 0, 0, "t"))
+        reader = dial(c.store, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
         reader.until(lambda x: isinstance(x, m.Welcome))
-        found: dict[int, m.Charge] = {}
+        found: dict[int, m.SliceOwnership] = {}
         end = time.monotonic() + LIMIT_S
-        while len(found) < SLICES or any(x.assigner != 0 for x in found.values()):
+        while len(found) < SLICES or any(x.owner_id != 0 for x in found.values()):
             assert time.monotonic() < end, found
-            reader.send(m.Read())
-            got = reader.until(lambda x: isinstance(x, m.Charges | m.ReadEnd))
-            found |= {x.slice: x for x in got.charges} if isinstance(got, m.Charges) else {}
-        assert {n: [h.server for h in x.lines] for n, x in found.items()} == {
+            reader.send(m.ReadRequest())
+            got = reader.until(lambda x: isinstance(x, m.SliceOwnerships | m.ReadComplete))
+            found |= {x.slice_id: x for x in got.ownerships} if isinstance(got, m.SliceOwnerships) else {}
+        assert {n: [h.server_id for h in x.entries] for n, x in found.items()} == {
             n: [n % 4] for n in range(SLICES)
         }
-        assert min(x.token for x in found.values()) > 2**32
+        assert min(x.fencing_token for x in found.values()) > 2**32
 
 
 def test_a_peer_that_never_reads_or_stands_still_holds_nobody_up(tmp_path: Path) -> None:
@@ -126,8 +126,8 @@
         for port in c.ports[:2]:  # greets, asks for all that there is again and again, and reads nothing
             deaf = stack.enter_context(socket.create_connection(("127.0.0.1", port), 2))
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            hello = m.Hello(m.VERSION, "assigner", 2, 0, "t", start=1)
-            deaf.sendall(encode(hello) + b"\n" + (encode(m.Digest([])) + b"\n") * 2000)
+            hello = m.Hello(m.PROTOCOL_VERSION, "assigner", 2, 0, "t", incarnation=1)
+            deaf.sendall(encode(hello) + b"\n" + (encode(m.VersionDigest([])) + b"\n") * 2000)
         c.running["1"].send_signal(signal.SIGSTOP)
         shown = c.until(
             lambda got: f" {SLICES} " in got.stdout, "copies", "show"
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -367,16 +367,18 @@
 
 def test_a_dispatcher_picks_by_weight_and_obeys_withdrawals_tokens_and_levels() -> None:
     tables = Tables(4, 0, "rotate", lambda: 0.5)
-    tables.charge(m.Charge(1, 5, 0, [m.Held(1, 3.0), m.Held(2, 1.0)]))
+    tables.charge(m.SliceOwnership(1, 5, 0, [m.TableEntry(1, 3.0), m.TableEntry(2, 1.0)]))
     picks = [tables.pick(1) for _ in range(400)]
     assert (picks.count(1), picks.count(2)) == (300, 100)
-    tables.order(0, m.Order(1, 0.0, 1.0, out=[1]))
+    tables.order(0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[1]))
     assert {tables.pick(1) for _ in range(9)} == {2}
-    tables.order(1, m.Order(1, 0.0, 1.0, [m.Line(1, 3, 1.0, 4)]))  # an owner from before
+    tables.order(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 4)]))  # an owner from before
     assert tables.dropped == 1 and {tables.pick(1) for _ in range(9)} == {2}
-    tables.order(1, m.Order(1, 0.0, 1.0, [m.Line(1, 3, 1.0, 6)]))  # the next one: its own withdrawals hold
+    tables.order(
+        1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 6)])
+    )  # the next one: its own withdrawals hold
     assert tables.tables[1].assigner == 1 and {1, 2, 3} == {tables.pick(1) for _ in range(30)}
-    tables.order(1, m.Order(2, 0.0, 1.0, levels=[m.Level(0xFFFF, 0, 0.25, 2)]))
+    tables.order(1, m.ProxyUpdate(2, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 0.25, 2)]))
     assert tables.level(1, 0) == 0.25 and tables.retry(1, 0) == 2
 
 
@@ -390,10 +392,10 @@
     assert book.due(21.9) == []
     assert {c.slice for c in book.due(22.0)} == {1, 4}
     assert all(book.slices[n].assigner in (0, 2) for n in (1, 4))
-    assert book.write(1, [m.Line(1, 5, 1.0, token)]) != {}
-    assert book.write(book.slices[1].assigner, [m.Line(1, 5, 1.0, token)]) != {}
+    assert book.write(1, [m.WeightEntry(1, 5, 1.0, token)]) != {}
+    assert book.write(book.slices[1].assigner, [m.WeightEntry(1, 5, 1.0, token)]) != {}
     assert {c.slice for c in book.joined(30.0, 1)} == {1, 4} and book.slices[1].assigner == 1
-    assert book.write(1, [m.Line(1, 5, 1.0, book.slices[1].token)]) == {}
+    assert book.write(1, [m.WeightEntry(1, 5, 1.0, book.slices[1].token)]) == {}
     before = {n: r.token for n, r in book.slices.items()}
     book.left(40.0, 0)
     book.left(40.0, 1)
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -63,17 +63,17 @@
     )
     ((who, event),) = Decoder().events(digest)
     assert who == 3
-    assert isinstance(event, api.LoadReport)
-    assert (event.tries, event.failed, event.values) == (14, 1, (7.0,))
+    assert isinstance(event, api.ServerLoadReport)
+    assert (event.attempts, event.failed_attempts, event.load_values) == (14, 1, (7.0,))
     ((_, news),) = Decoder().events(listed)
-    assert isinstance(news, api.ServerList)
-    assert [s.weight for s in news.servers] == [1.0, 1.5]
+    assert isinstance(news, api.EndpointListUpdate)
+    assert [s.weight for s in news.endpoints] == [1.0, 1.5]
 
 
 def test_documented_actions_are_written() -> None:
-    assert encode_action(3, api.SetLine(0x75, 0x2C9011F2, 0.75)).hex() == "4703007500f211902c0000403f"
+    assert encode_action(3, api.SetWeight(0x75, 0x2C9011F2, 0.75)).hex() == "4703007500f211902c0000403f"
     assert encode_action(3, api.SetTimer(0.5, 77)).hex() == "400300000000000000e03f4d000000"
-    assert encode_action(3, api.Admit(0x75, 2, 0.75, 1)).hex() == "4b0300750002000000403f01"
+    assert encode_action(3, api.SetAdmission(0x75, 2, 0.75, 1)).hex() == "4b0300750002000000403f01"
     assert frame([]) == bytes(8)
 
 
@@ -111,7 +111,7 @@
 
 
 def test_unknown_keys_are_skipped() -> None:
-    assert parse_settings(json.dumps(CONF).encode(), 1).slices == 4
+    assert parse_settings(json.dumps(CONF).encode(), 1).slice_count == 4
 
 
 @pytest.mark.parametrize(
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -48,7 +48,9 @@
 
 
 def states(numbers: range, token: int) -> tuple[SliceState, ...]:
-    return tuple(SliceState(n, 0, token, token, [m.Held(token % 9, 1.0, "127.0.0.1:1")]) for n in numbers)
+    return tuple(
+        SliceState(n, 0, token, token, [m.TableEntry(token % 9, 1.0, "127.0.0.1:1")]) for n in numbers
+    )
 
 
 def test_what_is_kept_is_there_again(opened: Open) -> None:
@@ -56,14 +58,14 @@
     image = engine.load()
     assert (image.revision, image.slices, image.hands) == (0, {}, {})
     engine.commit(Change(1, 5, states(range(30), 1)))
-    engine.commit(Change(2, 6, states(range(3), 2), (m.Hand(1, "hold", 1.0, "me", 1),)))
+    engine.commit(Change(2, 6, states(range(3), 2), (m.ZoneCommand(1, "hold", 1.0, "me", 1),)))
     engine.beat()
     engine.close()
     again = opened()
     found = again.load()
     assert found.identity == image.identity and (found.revision, found.token) == (2, 6)
     assert found.slices == {s.slice: s for s in states(range(30), 1) + states(range(3), 2)}
-    assert found.revisions == {n: 2 if n < 3 else 1 for n in range(30)} and found.hands[1].by == "me"
+    assert found.revisions == {n: 2 if n < 3 else 1 for n in range(30)} and found.hands[1].operator == "me"
     again.commit(Change(3, 7, states(range(1), 3)))
     again.close()
 
@@ -220,17 +222,21 @@
     section = {"listen": f"127.0.0.1:{PORTS.take()}", "etcd": f"127.0.0.1:{etcd.port}"}  # type: ignore[attr-defined]
     with process(tmp_path, "store", section) as first:
         port = int(section["listen"].split(":")[1])
-        line = dial(port, m.Hello(m.VERSION, "assigner", 0, 0, "t", start=1))
-        given = line.until(lambda x: isinstance(x, m.Charges)).charges
-        mine = next(c for c in given if c.assigner == 0)
-        line.send(m.Write(1, [m.Line(mine.slice, 4, 1.0, mine.token, "127.0.0.1:9")]))
-        line.until(lambda x: isinstance(x, m.Written))
+        line = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 0, 0, "t", incarnation=1))
+        given = line.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships
+        mine = next(c for c in given if c.owner_id == 0)
+        line.send(
+            m.WriteRequest(1, [m.WeightEntry(mine.slice_id, 4, 1.0, mine.fencing_token, "127.0.0.1:9")])
+        )
+        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
         etcd.faults.no_leader = True
-        line.send(m.Write(2, [m.Line(mine.slice, 5, 1.0, mine.token, "127.0.0.1:9")]))
+        line.send(
+            m.WriteRequest(2, [m.WeightEntry(mine.slice_id, 5, 1.0, mine.fencing_token, "127.0.0.1:9")])
+        )
         with pytest.raises(TimeoutError):
-            line.until(lambda x: isinstance(x, m.Written), 1.0)  # not kept, so not told
+            line.until(lambda x: isinstance(x, m.WriteAcknowledged), 1.0)  # not kept, so not told
         etcd.faults.no_leader = False
-        line.until(lambda x: isinstance(x, m.Written))
+        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
         first.send_signal(
             signal.SIGSTOP
         )  # else its next beat may take the lease anew before the second is up
@@ -242,8 +248,8 @@
         with process(folder, "store", second):
             first.send_signal(signal.SIGCONT)
             assert first.wait(max(1.0, end - time.monotonic())) == 2
-            other = dial(int(second["listen"].split(":")[1]), m.Hello(m.VERSION, "proxy", 0, 0, "t"))
+            other = dial(int(second["listen"].split(":")[1]), m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
             other.until(lambda x: isinstance(x, m.Welcome))
-            other.send(m.Read())
-            kept = other.until(lambda x: isinstance(x, m.Charges)).charges
-            assert {h.server for c in kept if c.slice == mine.slice for h in c.lines} == {4, 5}
+            other.send(m.ReadRequest())
+            kept = other.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships
+            assert {h.server_id for c in kept if c.slice_id == mine.slice_id for h in c.entries} == {4, 5}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,19 +8,26 @@
 import pytest
 
 from puffintide.assigner.handover import FIRST_MARK, Handover, Steps
-from puffintide.protocol.messages import Line, Order
+from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
 LEASE, LONGEST = 1.0, 2.0
 
 
-def line(number: int, server: int, token: int = 1) -> Line:
-    return Line(number, server, 1.0, token)
+def line(number: int, server: int, token: int = 1) -> WeightEntry:
+    return WeightEntry(number, server, 1.0, token)
 
 
 def batch(
-    number: int, lines: list[Line], proxies: list[int], out: list[int] | None = None
-) -> tuple[int, list[Line], list[tuple[int, Order]]]:
-    return number, lines, [(p, Order(number, 0.0, 9.0, lines, out=out or [], mark=7)) for p in proxies]
+    number: int, lines: list[WeightEntry], proxies: list[int], out: list[int] | None = None
+) -> tuple[int, list[WeightEntry], list[tuple[int, ProxyUpdate]]]:
+    return (
+        number,
+        lines,
+        [
+            (p, ProxyUpdate(number, 0.0, 9.0, lines, withdrawn_servers=out or [], checkpoint_id=7))
+            for p in proxies
+        ],
+    )
 
 
 def made(patience_s: float = 10.0) -> Handover:
@@ -31,17 +38,19 @@
 
 
 def lines_of(steps: Steps) -> dict[int, list[int]]:
-    return {p: [x.server for x in o.lines] for p, o in steps.orders if o.lines}
+    return {p: [x.server_id for x in o.weights] for p, o in steps.orders if o.weights}
 
 
 def test_stop_then_keep_then_go() -> None:
     h = made()
     steps = h.put(1.0, *batch(5, [line(3, 8)], [0, 1], out=[4]))
-    stops = {p: o for p, o in steps.orders if o.clear}
-    assert set(stops) == {0, 1} and all(o.clear == [3] and not o.lines for o in stops.values())
-    assert len(steps.orders) == 2 and all(o.out == [4] for o in stops.values())  # withdrawals don't wait
+    stops = {p: o for p, o in steps.orders if o.cleared_slices}
+    assert set(stops) == {0, 1} and all(o.cleared_slices == [3] and not o.weights for o in stops.values())
+    assert len(steps.orders) == 2 and all(
+        o.withdrawn_servers == [4] for o in stops.values()
+    )  # withdrawals don't wait
     assert steps.writes == []
-    mark = stops[0].mark
+    mark = stops[0].checkpoint_id
     assert mark is not None and mark >= FIRST_MARK
     assert h.applied(1.2, 0, mark) == Steps()
     kept = h.applied(1.4, 1, mark)
@@ -58,30 +67,32 @@
         len(h.put(1.1, *batch(7, [line(3, 9)], [0, 1], out=[2])).orders) == 2
     )  # what is beside goes at once
     for proxy in (0, 1):
-        h.applied(1.2, proxy, first.orders[0][1].mark or 0)
+        h.applied(1.2, proxy, first.orders[0][1].checkpoint_id or 0)
     after = h.written(1.3, 5)
     assert lines_of(after) == {0: [8], 1: [8]}
-    stops = [o for _, o in after.orders if o.clear]
-    assert [o.clear for o in stops] == [[3, 4], [3, 4]]
+    stops = [o for _, o in after.orders if o.cleared_slices]
+    assert [o.cleared_slices for o in stops] == [[3, 4], [3, 4]]
     for proxy in (0, 1):
-        h.applied(1.4, proxy, stops[0].mark or 0)
+        h.applied(1.4, proxy, stops[0].checkpoint_id or 0)
     went = h.written(1.5, 7)
-    assert [sorted((x.table, x.server) for x in o.lines) for _, o in went.orders] == [[(3, 9), (4, 9)]] * 2
+    assert [sorted((x.slice_id, x.server_id) for x in o.weights) for _, o in went.orders] == [
+        [(3, 9), (4, 9)]
+    ] * 2
 
 
 def test_a_slice_that_is_anothers_by_now_goes_to_nobody() -> None:
     h = made()
     steps = h.put(1.0, *batch(5, [line(3, 8), line(4, 8)], [0, 1]))
     for proxy in (0, 1):
-        h.applied(1.2, proxy, steps.orders[0][1].mark or 0)
+        h.applied(1.2, proxy, steps.orders[0][1].checkpoint_id or 0)
     h.refused(3)
-    assert all([x.table for x in o.lines] == [4] for _, o in h.written(1.3, 5).orders)
+    assert all([x.slice_id for x in o.weights] == [4] for _, o in h.written(1.3, 5).orders)
 
 
 def test_who_went_away_is_waited_out_and_who_comes_gets_the_lines_first() -> None:
     h = made()
     steps = h.put(1.0, *batch(5, [line(3, 8)], [0, 1]))
-    h.applied(1.1, 0, steps.orders[0][1].mark or 0)
+    h.applied(1.1, 0, steps.orders[0][1].checkpoint_id or 0)
     assert h.left(1.2, 1).writes == []
     assert h.joined(1.5, 1).orders == []  # back: its first order comes with the lines
     assert h.due(1.2 + LEASE + LONGEST - 0.01).writes == []
@@ -97,7 +108,7 @@
     assert h.due(900.0) == Steps() and h.again() == [(5, [line(3, 8)])]
     h.token(3, 44)
     assert h.again() == [(5, [line(3, 8, 44)])]
-    assert all(x.token == 44 for _, o in h.written(901.0, 5).orders for x in o.lines)
+    assert all(x.fencing_token == 44 for _, o in h.written(901.0, 5).orders for x in o.weights)
 
 
 class Site:
@@ -126,7 +137,7 @@
             at = max(last, self.now + self.rng.uniform(0.01, 0.4)) + 1e-6  # in order on one stream
             self.post.append((at, self.order, "order", (proxy, self.life.get(proxy, 0), order)))
         for number, lines in steps.writes:
-            self.send("write", (number, lines[0].server if lines else None))
+            self.send("write", (number, lines[0].server_id if lines else None))
 
     life: dict[int, int]
 
@@ -158,7 +169,7 @@
                         self.now,
                         moves,
                         [line(0, new)],
-                        [(p, Order(moves, 0.0, 3.0, [line(0, new)])) for p in self.up],
+                        [(p, ProxyUpdate(moves, 0.0, 3.0, [line(0, new)])) for p in self.up],
                     )
                 )
             if self.rng.random() < 0.004 and self.up:
@@ -203,12 +214,12 @@
             if self.life[proxy] != life:
                 return
             self.steered[proxy] = 1e9
-            if order.clear:
+            if order.cleared_slices:
                 self.table[proxy] = None
-            for x in order.lines:
-                self.table[proxy] = x.server
-            if order.mark is not None and order.mark >= FIRST_MARK:
-                self.send("applied", (proxy, life, order.mark), 0.05)
+            for x in order.weights:
+                self.table[proxy] = x.server_id
+            if order.checkpoint_id is not None and order.checkpoint_id >= FIRST_MARK:
+                self.send("applied", (proxy, life, order.checkpoint_id), 0.05)
 
 
 @pytest.mark.parametrize("seed", range(25))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -40,26 +40,26 @@
 
 
 def test_lost_probes_of_a_server_that_still_answers_eject_nobody() -> None:
-    world = World(probes=True)
+    world = World(health_checks_enabled=True)
     for _ in range(40):
         world.run(0.25)
-        world.tell(api.ProbeResult(1, 3, 0.4, ()))
+        world.tell(api.HealthCheckResult(1, 3, 0.4, ()))
     assert world.director.servers[1].level == 3
 
 
 def test_new_server_with_nothing_to_do_is_not_suspected() -> None:
-    world = World(probes=True)
+    world = World(health_checks_enabled=True)
     world.run(5)
-    world.tell(api.ServerList("delta", 2, (server(9, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(9, started=world.now),)))
     world.run(15)
     assert world.director.servers[9].level == 3
 
 
 def test_idle_server_with_a_tiny_service_time_is_not_taken_for_a_fast_one() -> None:
-    world = World(instances=2, report_names=("busy", "rif", "lat_ms"))
+    world = World(assigner_count=2, load_value_names=("busy", "rif", "lat_ms"))
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(9, started=world.now),)))
-    world.tell(*(api.LoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(9, started=world.now),)))
+    world.tell(*(api.ServerLoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
     world.run(5)
     fleet = max(world.director.capacity(s) for s in (1, 2, 3, 4))
     assert world.director.capacity(9) <= 1.1 * fleet
@@ -70,13 +70,13 @@
     world.run(10)
     before = {s: v.capacity for s, v in world.director.servers.items()}
     world.tell(
-        api.LoadReport(0, 1, 5, 0, 0.2, 0.0, (0.5,)),
-        api.LoadReport(0, 1, 5, 9, 0.2, 1.0, (0.5,)),
-        api.LoadReport(0, 77, 5, 0, 0.2, 1.0, (0.5,)),
-        api.LoadReport(0, 1, 0, 0, 0.0, 1.0, (float("nan"),)),
-        api.SliceHeat(3, 0, 10, 0, 0.0),
-        api.SliceHeat(999, 0, 10, 0, 1.0),
-        api.ProbeResult(77, 0, 0.1, ()),
+        api.ServerLoadReport(0, 1, 5, 0, 0.2, 0.0, (0.5,)),
+        api.ServerLoadReport(0, 1, 5, 9, 0.2, 1.0, (0.5,)),
+        api.ServerLoadReport(0, 77, 5, 0, 0.2, 1.0, (0.5,)),
+        api.ServerLoadReport(0, 1, 0, 0, 0.0, 1.0, (float("nan"),)),
+        api.SliceLoadReport(3, 0, 10, 0, 0.0),
+        api.SliceLoadReport(999, 0, 10, 0, 1.0),
+        api.HealthCheckResult(77, 0, 0.1, ()),
     )
     assert {s: v.capacity for s, v in world.director.servers.items()} == before
 
@@ -84,23 +84,23 @@
 def test_restarted_assigner_takes_the_store_for_its_default_map() -> None:
     world = World()
     fresh = Director(world.settings)
-    events: list[api.Event] = [api.ServerList("cached", 1, tuple(server(s) for s in (1, 2, 3, 4)))]
+    events: list[api.Event] = [api.EndpointListUpdate("cached", 1, tuple(server(s) for s in (1, 2, 3, 4)))]
     for number, home in ((0, 3), (1, 2)):
-        standby = api.StoredLine(number, 1, struct.unpack("f", struct.pack("f", 0.004))[0])
-        events += [api.SliceCharge(number, True), standby, api.StoredLine(number, home, 1.0)]
+        standby = api.StoredWeight(number, 1, struct.unpack("f", struct.pack("f", 0.004))[0])
+        events += [api.OwnershipChanged(number, True), standby, api.StoredWeight(number, home, 1.0)]
     fresh.handle(world.now, events)
     assert [view.default for _, view in sorted(fresh.slices.items())] == [3, 2]
     assert [view.places for _, view in sorted(fresh.slices.items())] == [[3], [2]]
-    orders = fresh.handle(world.now + 1, [api.TimerDue(1)])
-    assert not [a for a in orders if isinstance(a, api.SetLine) and a.weight >= 1]
+    orders = fresh.handle(world.now + 1, [api.TimerFired(1)])
+    assert not [a for a in orders if isinstance(a, api.SetWeight) and a.weight >= 1]
 
 
 def test_failed_list_call_is_asked_again() -> None:
-    world = World(list_is_asked=True)
-    world.tell(api.ServerList("failed", 0, ()))
+    world = World(watch_on_request=True)
+    world.tell(api.EndpointListUpdate("failed", 0, ()))
     mark = len(world.log)
     world.run(2)
-    assert any(isinstance(a, api.WatchList) for _, acts in world.log[mark:] for a in acts)
+    assert any(isinstance(a, api.WatchEndpoints) for _, acts in world.log[mark:] for a in acts)
 
 
 def test_slices_stay_on_an_ejected_server_when_moving_them_would_crowd_the_next() -> None:
@@ -112,24 +112,24 @@
     world.run(4)
     assert world.director.servers[1].level == 0
     assert all(world.load(s) <= 1.25 * world.capacity[s] for s in (2, 3, 4))
-    world.tell(api.ServerList("delta", 2, (server(1, api.GONE),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
     world.run(1)
     assert all(1 not in t for t in world.tables.values())
 
 
 def test_reports_late_for_all_eject_nobody() -> None:
-    world = World(probes=True)
+    world = World(health_checks_enabled=True)
     world.run(10)
-    world.tell(api.LoadReport(0, 1, 50, 50, 0.0, 5.0, ()))
+    world.tell(api.ServerLoadReport(0, 1, 50, 50, 0.0, 5.0, ()))
     world.silent_reports = True
     for _ in range(30):
         world.run(0.25)
-        world.tell(api.ProbeResult(1, 3, 0.4, ()))
+        world.tell(api.HealthCheckResult(1, 3, 0.4, ()))
     assert world.director.servers[1].level == 3
 
 
 def test_refused_requests_are_no_load() -> None:
-    world = World(admit="fraction")
+    world = World(admission_mode="fraction")
     for number in world.heat:
         world.heat[number] = 16.0
     world.run(15)
@@ -141,11 +141,13 @@
 def probed(world: World, lost: set[int], seconds: float) -> None:
     for _ in range(round(seconds * 4)):
         world.run(0.25)
-        world.tell(*(api.ProbeResult(s, 3 if s in lost else 0, 0.02, ()) for s in sorted(world.capacity)))
+        world.tell(
+            *(api.HealthCheckResult(s, 3 if s in lost else 0, 0.02, ()) for s in sorted(world.capacity))
+        )
 
 
 def test_lost_probes_of_one_whole_zone_are_the_links_doing() -> None:
-    world = World(servers=tuple(range(1, 9)), probes=True, report_names=("rif",))
+    world = World(servers=tuple(range(1, 9)), health_checks_enabled=True, load_value_names=("rif",))
     probed(world, set(), 5)
     for number in world.heat:
         world.heat[number] = 0.0  # no answers to tell otherwise
@@ -155,7 +157,7 @@
 
 
 def test_lost_probes_of_a_part_of_a_zone_are_the_servers_doing() -> None:
-    world = World(servers=tuple(range(1, 9)), probes=True)
+    world = World(servers=tuple(range(1, 9)), health_checks_enabled=True)
     probed(world, set(), 5)
     world.mute.update({2, 4})
     probed(world, {2, 4}, 8)
@@ -166,7 +168,7 @@
 @pytest.mark.parametrize("shown", [0.0, 0.05, 0.4, 0.7])
 def test_server_with_more_of_our_requests_than_it_reports_loses_slices(instances: int, shown: float) -> None:
     """It runs slower and reports an idle, a low or an old load: answers tell otherwise."""
-    world = World(slices=40, instances=instances, report_names=("busy", "rif", "lat_ms"))
+    world = World(slice_count=40, assigner_count=instances, load_value_names=("busy", "rif", "lat_ms"))
     world.heat = {n: 2.2 if n % 4 == 0 else 0.8 for n in world.heat}
     world.run(10)
     before = len([n for n in world.tables if 1 in world.main(n)])
@@ -174,5 +176,5 @@
     for _ in range(120):
         world.run(0.25)
         tries = round(world.load(1) * 5)
-        world.tell(api.LoadReport(0, 1, tries, 0, 2.0, 5.0, (shown, shown * 4, 100.0)))
+        world.tell(api.ServerLoadReport(0, 1, tries, 0, 2.0, 5.0, (shown, shown * 4, 100.0)))
     assert len([n for n in world.tables if 1 in world.main(n)]) < before
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -178,9 +178,9 @@
             if getattr(later.func, "__self__", None) is self.service:
                 later.cancel()  # type: ignore[misc]
 
-    def saw(self, charge: m.Charge) -> None:
+    def saw(self, charge: m.SliceOwnership) -> None:
         now = self.clock.seconds()
-        self.gives.setdefault((charge.slice, charge.token), now)
+        self.gives.setdefault((charge.slice_id, charge.fencing_token), now)
 
     def pass_time(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.02)):
@@ -208,7 +208,7 @@
 
     def dial(self) -> None:
         self.world.life += 1
-        hello = m.Hello(m.VERSION, "assigner", self.number, 0, "t", start=self.number + 1)
+        hello = m.Hello(m.PROTOCOL_VERSION, "assigner", self.number, 0, "t", incarnation=self.number + 1)
         self.connection = Connection(self.world, hello, self.heard)
 
     def hear(self) -> None:
@@ -224,14 +224,14 @@
             return
         now = self.world.clock.seconds()
         match message:
-            case m.Charges():
-                for charge in message.charges:
-                    if charge.assigner == self.number:
+            case m.SliceOwnerships():
+                for charge in message.ownerships:
+                    if charge.owner_id == self.number:
                         self.world.saw(charge)
-                        self.tokens[charge.slice] = charge.token
-            case m.Refused(batch, number, _):
+                        self.tokens[charge.slice_id] = charge.fencing_token
+            case m.WriteRejected(batch, number, _):
                 self.waiting[batch] = [w for w in self.waiting.get(batch, []) if w[0] != number]
-            case m.Written(batch):
+            case m.WriteAcknowledged(batch):
                 for done in sorted(b for b in self.waiting if b <= batch):
                     for number, token, value, asked in self.waiting.pop(done):
                         self.world.history[number].append(Operation(WRITE, token, value, asked, now))
@@ -246,8 +246,8 @@
             self.world.values += 1
             rows.append((number, self.tokens[number], self.world.values, now))
         self.waiting[self.batch] = rows
-        lines = [m.Line(number, 1, float(value), token) for number, token, value, _ in rows]
-        self.connection.send(m.Write(self.batch, lines))
+        lines = [m.WeightEntry(number, 1, float(value), token) for number, token, value, _ in rows]
+        self.connection.send(m.WriteRequest(self.batch, lines))
 
     def lose(self) -> None:
         """Its stream is gone: of what it waits for nothing will be heard."""
@@ -264,28 +264,30 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.asked = 0.0
-        self.got: list[m.Charge] = []
+        self.got: list[m.SliceOwnership] = []
         self.connection: Connection | None = None
 
     def read(self) -> None:
         if self.connection is None or not self.connection.open:
-            self.connection = Connection(self.world, m.Hello(m.VERSION, "proxy", 0, 0, "t"), self.heard)
+            self.connection = Connection(
+                self.world, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"), self.heard
+            )
             self.asked = 0.0
         if not self.asked:
             self.asked, self.got = self.world.clock.seconds(), []
-            self.connection.send(m.Read())
+            self.connection.send(m.ReadRequest())
 
     def heard(self, message: m.AnyMessage) -> None:
         match message:
-            case m.Charges():
-                self.got += message.charges
-            case m.ReadEnd():
+            case m.SliceOwnerships():
+                self.got += message.ownerships
+            case m.ReadComplete():
                 now = self.world.clock.seconds()
-                for charge in {c.slice: c for c in self.got if c.token}.values():
+                for charge in {c.slice_id: c for c in self.got if c.fencing_token}.values():
                     self.world.saw(charge)
-                    value = round(charge.lines[0].weight) if charge.lines else 0
-                    self.world.history[charge.slice].append(
-                        Operation(READ, charge.token, value, self.asked, now)
+                    value = round(charge.entries[0].weight) if charge.entries else 0
+                    self.world.history[charge.slice_id].append(
+                        Operation(READ, charge.fencing_token, value, self.asked, now)
                     )
                 self.asked = 0.0
 
@@ -369,7 +371,7 @@
     """As if writers were told at once."""
     service = world.service
     for stream, batch in list(service._written.items()):
-        stream.send(m.Written(batch, 0))
+        stream.send(m.WriteAcknowledged(batch, 0))
 
 
 def takes_any_token(world: World) -> None:
@@ -377,10 +379,10 @@
     book, write = world.service.book, Book.write
 
     def unfenced(assigner: int, lines: Any, batch: int = 0) -> dict[int, str]:
-        now = [m.Line(x.table, x.server, x.weight, book.slices[x.table].token) for x in lines]
+        now = [m.WeightEntry(x.slice_id, x.server_id, x.weight, book.slices[x.slice_id].token) for x in lines]
         found: dict[int, str] = {}
         for line in now:
-            found |= write(book, book.slices[line.table].assigner, [line], batch)
+            found |= write(book, book.slices[line.slice_id].assigner, [line], batch)
         return found
 
     book.write = unfenced  # type: ignore[method-assign]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -77,9 +77,13 @@
 class Proxy:
     def __init__(self, tmp: Path, *ports: int, retry: int = 0) -> None:
         self.tmp, self.port, self.nobody = tmp, PORTS.take(), PORTS.take()
-        held = [m.Held(s, 1.0, f"127.0.0.1:{p}") for s, p in enumerate(ports)]
+        held = [m.TableEntry(s, 1.0, f"127.0.0.1:{p}") for s, p in enumerate(ports)]
         saved = Saved(
-            1, 0.0, [m.Charge(0, 1, 0, held)], {}, [(0, [(0xFFFF, m.Level(0xFFFF, 0, 1.0, retry))])]
+            1,
+            0.0,
+            [m.SliceOwnership(0, 1, 0, held)],
+            {},
+            [(0, [(0xFFFF, m.AdmissionLevel(0xFFFF, 0, 1.0, retry))])],
         )
         save_state(str(tmp / "tables.json"), saved)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -20,7 +20,7 @@
 from puffintide.platform.names import Hosts, Names, draw, parse_text_report, probe_end
 from puffintide.platform.relay import BYTES_MOST, Order, Outbox, orders, read_answer
 from puffintide.platform.standing import Changes, Standing, read_anew, table_anew
-from puffintide.protocol.messages import Entry
+from puffintide.protocol.messages import EndpointEntry
 from tests.test_drill import CONF
 
 NAMES = Names(["a", "b"], ["status", "start"], ["m1", "m2"], ["rif", "busy"])
@@ -159,7 +159,7 @@
 }
 
 
-def heard(**changes: Any) -> api.LoadReport:
+def heard(**changes: Any) -> api.ServerLoadReport:
     hosts = Hosts()
     hosts.number("s-1")
     row = {k: v for k, v in (GOOD | changes).items() if v is not ...}
@@ -169,11 +169,13 @@
 
 
 def test_reports_in_seconds_and_numbers() -> None:
-    assert heard() == api.LoadReport(0, draw("s-1"), 4, 1, 0.05, 0.5, (3.0, 0.5))
-    assert heard(report=..., avg=...).values == ()
+    assert heard() == api.ServerLoadReport(0, draw("s-1"), 4, 1, 0.05, 0.5, (3.0, 0.5))
+    assert heard(report=..., avg=...).load_values == ()
     heat = m.read_line(b'{"msg":"heat","partition":3,"kind":"start","n":2,"bad":5,"window":500}')
     assert isinstance(heat, m.Heat)
-    assert m.slice_heat(heat, NAMES, 4) == api.SliceHeat(3, 1, 2, 5, 0.5)  # unanswered ones came earlier
+    assert m.slice_heat(heat, NAMES, 4) == api.SliceLoadReport(
+        3, 1, 2, 5, 0.5
+    )  # unanswered ones came earlier
     with pytest.raises(m.Invalid):
         m.slice_heat(heat, NAMES, 3)
 
@@ -247,25 +249,35 @@
     )
     assert (told.seq, told.whole, len(told.bad)) == (9, True, 4)
     first, gone, young = told.entries
-    assert (first.zone, first.kind, first.state, first.weight, first.age_s) == (0, 1, api.READY, 1.5, -1.0)
-    assert gone.state == api.GONE and (young.state, young.age_s, young.start) == (api.DRAINING, 2.5, 60_000)
+    assert (first.zone, first.server_type, first.status, first.weight, first.age_s) == (
+        0,
+        1,
+        api.READY,
+        1.5,
+        -1.0,
+    )
+    assert gone.status == api.GONE and (young.status, young.age_s, young.incarnation) == (
+        api.DRAINING,
+        2.5,
+        60_000,
+    )
 
 
 def test_orders_by_the_platforms_words() -> None:
     hosts = Hosts()
     s = hosts.number("s-1")
     actions: list[api.Action] = [
-        api.Withdraw(s, True),
-        api.Withdraw(s, False),
-        api.SetLine(2, s, 1.5),
-        api.SetLine(2, s, 0.0),
-        api.SetLine(3, s, 1.0),
-        api.SetLine(2, 99, 1.0),
-        api.Admit(api.ALL_TABLES, 0, 1.0, 1),
-        api.Admit(2, 2, 0.25, 0),
-        api.Mark(77),
-        api.Probe(s),
-        api.Log("x"),
+        api.SetWithdrawn(s, True),
+        api.SetWithdrawn(s, False),
+        api.SetWeight(2, s, 1.5),
+        api.SetWeight(2, s, 0.0),
+        api.SetWeight(3, s, 1.0),
+        api.SetWeight(2, 99, 1.0),
+        api.SetAdmission(api.ALL_SLICES, 0, 1.0, 1),
+        api.SetAdmission(2, 2, 0.25, 0),
+        api.SendCheckpoint(77),
+        api.SendHealthCheck(s),
+        api.LogMessage("x"),
     ]
     made, wrong = orders(actions, NAMES, hosts.name, [2])
     assert [json.loads(o.text) for o in made] == [
@@ -584,7 +596,9 @@
 
 
 def members(seq: int, whole: bool, entries: int, bad: int = 0) -> m.Members:
-    return m.Members(seq, whole, [Entry(k, 0, 0, 0, 1, 1.0, 0, -1.0) for k in range(entries)], ["x"] * bad)
+    return m.Members(
+        seq, whole, [EndpointEntry(k, 0, 0, 0, 1, 1.0, 0, -1.0) for k in range(entries)], ["x"] * bad
+    )
 
 
 def test_an_older_whole_list_undoes_nothing_unless_discovery_stays_with_it() -> None:
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -450,7 +450,7 @@
     platform.break_watches()
     platform.go(3.0)
     told = {type(e).__name__ for e in heard}
-    assert not told & {"ProxyJoined", "ProxyLeft", "SliceCharge", "StoredLine"}
+    assert not told & {"ProxyConnected", "ProxyDisconnected", "OwnershipChanged", "StoredWeight"}
     assert platform.node.runtime.proxies.keys() == {0, 1, 2} and platform.believed() == before
     assert platform.relay.watchers() and platform.discovery.watchers() and platform.node.rounds > rounds
     assert [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"] == []
@@ -469,7 +469,7 @@
     platform.relay.silent = False
     platform.relay.tell({})  # the sign of life ends what stands
     platform.go(0.01)
-    assert [e.proxy for e in heard if type(e).__name__ == "ProxyJoined"] == [2, 4]
+    assert [e.proxy_id for e in heard if type(e).__name__ == "ProxyConnected"] == [2, 4]
     assert platform.node.runtime.proxies.keys() == {0, 2, 4} and 5 not in platform.node.runtime.tokens
     assert platform.believed() == platform.relay.tables
 
@@ -512,11 +512,11 @@
 
 
 def test_a_list_by_versions(platform: Platform) -> None:
-    states = {e.state for e in platform.node.runtime.entries.values()}
+    states = {e.status for e in platform.node.runtime.entries.values()}
     platform.discovery.seq = 2
     platform.discovery.change(entry(1, "leaving"))  # version 3, older than ours: passed over
     platform.go(0.1)
-    assert {e.state for e in platform.node.runtime.entries.values()} == states
+    assert {e.status for e in platform.node.runtime.entries.values()} == states
     platform.discovery.tell({"seq": 8, "whole": True, "hosts": [entry(0), entry(1), {"host": 5}]})
     platform.go(0.1)
     assert (
@@ -534,10 +534,10 @@
     platform.break_watches()
     platform.go(BEHIND_S - 0.5)
     number = platform.node.hosts.number("s-1")
-    assert platform.node.runtime.entries[number].state == 2 and platform.logged("list_behind")
+    assert platform.node.runtime.entries[number].status == 2 and platform.logged("list_behind")
     assert "s-1" not in platform.relay.named()
     platform.go(1.0)
-    assert platform.node.runtime.entries[number].state == 1 and platform.node.listing.version == 2
+    assert platform.node.runtime.entries[number].status == 1 and platform.node.listing.version == 2
 
 
 def test_a_start_is_placed_on_our_clock_once_for_each_life(platform: Platform) -> None:
@@ -548,7 +548,7 @@
     platform.discovery.change(entry(1, born_ms=born, share=2.5))
     platform.go(0.1)
     number = platform.node.hosts.number("s-1")
-    started = platform.node.runtime.decider.servers[number].entry.started  # type: ignore[attr-defined]
+    started = platform.node.runtime.decider.servers[number].entry.started_at_s  # type: ignore[attr-defined]
     assert platform.node.now() - started == pytest.approx(2.2, abs=0.2)
 
 
@@ -591,7 +591,7 @@
         platform.tasks[0].party.kill()
     platform.go(3.0)
     number = platform.node.hosts.number("s-0")
-    results = [e for e in heard if type(e).__name__ == "ProbeResult" and e.server == number]
+    results = [e for e in heard if type(e).__name__ == "HealthCheckResult" and e.server_id == number]
     assert len(results) >= 2 and {e.status for e in results[1:]} == {status}
     if status == 0:
         assert results[0].values == (2.0,) and results[0].took_s == pytest.approx(0.005, abs=0.002)
@@ -604,13 +604,13 @@
         for c in [c for c in task.connections if c.open]:
             c.transport.abortConnection()
     platform.go(1.0)
-    assert {e.status for e in heard if type(e).__name__ == "ProbeResult"} == {0}
+    assert {e.status for e in heard if type(e).__name__ == "HealthCheckResult"} == {0}
     task = platform.tasks[0]
     for c in [c for c in task.connections if c.open]:
         c.dataReceived = lambda data, c=c: c.transport.abortConnection()
     platform.go(2.0)
     number = platform.node.hosts.number("s-0")
-    results = [e for e in heard if type(e).__name__ == "ProbeResult" and e.server == number]
+    results = [e for e in heard if type(e).__name__ == "HealthCheckResult" and e.server_id == number]
     assert len(results) >= 2 and {e.status for e in results} == {0} and len(task.connections) == 3
 
 
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -31,13 +31,13 @@
 def test_every_table_gets_a_standby_line_once() -> None:
     world = World()
     world.run(10)
-    lines = [a for _, acts in world.log for a in acts if isinstance(a, api.SetLine)]
-    assert len(lines) == world.settings.slices
+    lines = [a for _, acts in world.log for a in acts if isinstance(a, api.SetWeight)]
+    assert len(lines) == world.settings.slice_count
     assert all(len(t) == 2 for t in world.tables.values())
 
 
 def test_overloaded_server_sheds_to_alternates_with_room() -> None:
-    world = World(slices=40)
+    world = World(slice_count=40)
     busy_first(world)
     assert world.load(1) <= 0.95 * world.capacity[1]
     assert all(world.load(s) <= world.capacity[s] for s in world.capacity)
@@ -46,24 +46,24 @@
 @pytest.mark.parametrize("sign", ["none", "slowed", "lost", "failing", "some lost on the way"])
 def test_a_server_whose_probes_are_quick_sheds_only_at_a_sign_of_a_queue(sign: str) -> None:
     """The reading of its load says 0.95 of its capacity, and swings."""
-    world = World(slices=40, probes=True)
+    world = World(slice_count=40, health_checks_enabled=True)
     for number in world.heat:
         world.heat[number] = 2.85 if number in HOME else 1.2
     usual = world.reports
     losses = {"failing": (2, 10.0), "some lost on the way": (100, 500.0)}.get(sign)  # one of so many, in s
-    failed = [api.LoadReport(1, 1, losses[0], 1, 0.2, losses[1], ())] if losses else []
+    failed = [api.ServerLoadReport(1, 1, losses[0], 1, 0.2, losses[1], ())] if losses else []
     world.reports = lambda: [*usual(), *failed]  # type: ignore[method-assign]
     for step in range(40):
         took = 0.02 if sign == "slowed" and step > 8 else 0.01
-        world.tell(*(api.ProbeResult(s, 0, 0.01, ()) for s in (2, 3, 4)))
-        world.tell(api.ProbeResult(1, 3 if sign == "lost" and step % 2 else 0, took, ()))
+        world.tell(*(api.HealthCheckResult(s, 0, 0.01, ()) for s in (2, 3, 4)))
+        world.tell(api.HealthCheckResult(1, 3 if sign == "lost" and step % 2 else 0, took, ()))
         world.run(0.25)
     assert all(world.main(n) == {1} for n in HOME) == (sign == "none")
 
 
 def test_a_sinking_server_sheds_past_the_usual_room_but_no_other_above_its_capacity() -> None:
     """All others are above ROOM: one that gets over twice what it can do must not be left so for that."""
-    world = World(slices=80)
+    world = World(slice_count=80)
     home = range(0, 80, 4)
     for number in world.heat:
         world.heat[number] = 1.14
@@ -81,7 +81,9 @@
     def reports(self) -> list[api.Event]:
         events = super().reports()
         return [
-            replace(e, tries=e.tries - e.failed, failed=0) if isinstance(e, api.LoadReport) else e
+            replace(e, attempts=e.attempts - e.failed_attempts, failed_attempts=0)
+            if isinstance(e, api.ServerLoadReport)
+            else e
             for e in events
         ]
 
@@ -91,7 +93,7 @@
     make: type[World], heat: float
 ) -> None:
     """Less than twice what it can do, or nothing that fails: moves would cost caches for little."""
-    world = make(slices=80)
+    world = make(slice_count=80)
     for number in world.heat:
         world.heat[number] = 1.14
     world.run(5)
@@ -103,7 +105,7 @@
 
 
 def test_detoured_slices_go_home_when_the_default_has_room_again() -> None:
-    world = World(slices=40)
+    world = World(slice_count=40)
     busy_first(world)
     assert any(world.main(n) != {1} for n in HOME)
     for number in HOME:
@@ -148,7 +150,7 @@
     before = len(world.log)
     world.heat[0] = 40.0
     world.run(10)
-    late = [a for _, acts in world.log[before:] for a in acts if isinstance(a, api.SetLine)]
+    late = [a for _, acts in world.log[before:] for a in acts if isinstance(a, api.SetWeight)]
     assert not late
 
 
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -27,7 +27,7 @@
     tick = Runtime._carry_out
 
     def carry(self: Runtime, now: float, actions: tuple[api.Action, ...], out: Any) -> None:
-        empty = [replace(a, weight=0.0) if isinstance(a, api.SetLine) else a for a in actions]
+        empty = [replace(a, weight=0.0) if isinstance(a, api.SetWeight) else a for a in actions]
         tick(self, now, tuple(empty), out)
 
     patch.setattr(Runtime, "_carry_out", carry)
@@ -43,7 +43,7 @@
     """No list is taken in after the first."""
     see = Director.see_list
 
-    def once(self: Director, event: api.ServerList) -> None:
+    def once(self: Director, event: api.EndpointListUpdate) -> None:
         if not self.servers:
             see(self, event)
 
@@ -56,7 +56,8 @@
     def newest(self: Director, plan: dict[int, list[int]]) -> dict[int, list[int]]:
         ready = self.ready_views()
         return {
-            n: [max(ready, key=lambda v: v.entry.started).entry.id] if ready else p for n, p in plan.items()
+            n: [max(ready, key=lambda v: v.entry.started_at_s).entry.server_id] if ready else p
+            for n, p in plan.items()
         }
 
     patch.setattr(ServerModel, "_push", lambda self, now, work: None)  # it stands what would end it
@@ -70,7 +71,7 @@
 
     def often(self: Director, plan: Any) -> None:
         publish(self, plan)
-        self.actions += [api.SetLine(n, s, 1.0) for n, view in self.slices.items() for s in view.lines]
+        self.actions += [api.SetWeight(n, s, 1.0) for n, view in self.slices.items() for s in view.lines]
 
     patch.setattr(Director, "publish", often)
 
@@ -104,13 +105,21 @@
 FURTHER = {0: 0, 1: 1, 2: 1, 3: 2}
 
 
-def sends(out: Path) -> Iterator[tuple[tuple[int, int], m.Try, int]]:
+def sends(out: Path) -> Iterator[tuple[tuple[int, int], m.AttemptRequest, int]]:
     with (out / "tap.jsonl").open("rb") as lines:
         records = read(lines, "tap").records
-    answers = {(r.conn, r.message.id): r.message.status for r in records if isinstance(r.message, m.Answer)}
+    answers = {
+        (r.conn, r.message.attempt_id): r.message.status
+        for r in records
+        if isinstance(r.message, m.AttemptResponse)
+    }
     for r in records:
-        if isinstance(r.message, m.Try):
-            yield (r.message.proxy, r.message.request), r.message, answers.get((r.conn, r.message.id), -1)
+        if isinstance(r.message, m.AttemptRequest):
+            yield (
+                (r.message.proxy_id, r.message.request_id),
+                r.message,
+                answers.get((r.conn, r.message.attempt_id), -1),
+            )
 
 
 @pytest.mark.parametrize("mode", [0, 1, 2, 3])
@@ -139,7 +148,7 @@
     ran: dict[tuple[int, int], int] = defaultdict(int)
     for who, made, status in sends(tmp_path):
         tries[who] += 1
-        ran[who] += made.request_class == 2 and status != m.FULL  # once: it may have run
+        ran[who] += made.class_index == 2 and status != m.FULL  # once: it may have run
     assert tries and max(tries.values()) <= 1 + FURTHER[mode]
     assert max(ran.values()) <= 1
     asked = verdict.service.asked
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -155,8 +155,8 @@
 
 def engine(servers: int = 3, **changes: Any) -> Engine:
     made = Engine(replace(LIMITS, **changes), random.Random(1).random)
-    held = [m.Held(s, 1.0, f"127.0.0.1:{s}", s % 2) for s in range(servers)]
-    made.charges(0.0, [m.Charge(n, n + 1, 0, held) for n in range(4)])
+    held = [m.TableEntry(s, 1.0, f"127.0.0.1:{s}", s % 2) for s in range(servers)]
+    made.charges(0.0, [m.SliceOwnership(n, n + 1, 0, held) for n in range(4)])
     return made
 
 
@@ -164,8 +164,8 @@
     return [e for e in effects if isinstance(e, kind)]
 
 
-def mode(way: int, level: float = 1.0, classes: int = 0) -> m.Order:
-    return m.Order(1, 0.0, 1.0, levels=[m.Level(0xFFFF, classes, level, way)])
+def mode(way: int, level: float = 1.0, classes: int = 0) -> m.ProxyUpdate:
+    return m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, classes, level, way)])
 
 
 def start(e: Engine, now: float, ref: int = 1, kind: int = READ, left_s: float = 4.0) -> Send:
@@ -188,8 +188,8 @@
     assert e.answered(1.3, send.server, send.key, m.OK, [3.0]) == [Finish("a", m.OK, 0.0, True)]
     assert e.answered(1.4, send.server, send.key, m.OK, []) == [] and e.late_answers == 1  # a second answer
     sums = e.take_sums(2.0, 0, 0.5)
-    assert sums is not None and sums.servers == [m.ServerSum(send.server, 1, 0, 0.2, [3.0])]
-    assert sums.slices == [m.SliceSum(0, READ, 1, 0)] and e.take_sums(2.5, 0, 0.5) is None
+    assert sums is not None and sums.servers == [m.ServerUsage(send.server, 1, 0, 0.2, [3.0])]
+    assert sums.slices == [m.SliceUsage(0, READ, 1, 0)] and e.take_sums(2.5, 0, 0.5) is None
 
 
 def test_without_an_order_no_further_try_is_made_whatever_happens() -> None:
@@ -262,22 +262,22 @@
 
 def test_a_request_without_a_server_waits_and_is_refused_or_served() -> None:
     e = engine()
-    e.order(0.5, 0, m.Order(1, 0.0, 1.0, out=[0, 1, 2]))
+    e.order(0.5, 0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[0, 1, 2]))
     assert e.asked(1.0, 1, 1, 0, READ, 4.0) == []
     assert e.asked(1.1, 2, 2, 0, READ, 4.0) == []
     assert e.due(1.21) == [Finish(1, m.FULL, 0.5, False)]
-    effects = e.order(1.25, 0, m.Order(2, 0.0, 1.0, back=[1]))
+    effects = e.order(1.25, 0, m.ProxyUpdate(2, 0.0, 1.0, readmitted_servers=[1]))
     assert [c.server for c in only(effects, Connect)] == [1]
     e.asked(1.3, 3, 3, 1, READ, 4.0)
     few = engine(held_most=1)
-    few.order(0.5, 0, m.Order(1, 0.0, 1.0, out=[0, 1, 2]))
+    few.order(0.5, 0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[0, 1, 2]))
     few.asked(1.0, 1, 1, 0, READ, 4.0)
     assert few.asked(1.0, 2, 2, 0, READ, 4.0) == [Finish(2, m.FULL, 0.5, False)]
 
 
 def test_a_level_of_0_stops_what_is_held_and_refuses_at_once() -> None:
     e = engine()
-    e.order(0.5, 0, m.Order(1, 0.0, 1.0, out=[0, 1, 2]))
+    e.order(0.5, 0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[0, 1, 2]))
     e.asked(1.0, 1, 1, 0, READ, 4.0)
     e.asked(1.0, 2, 2, 0, ONCE, 4.0)
     assert e.order(1.1, 0, mode(0, 0.0, classes=1)) == [Finish(1, m.FULL, 0.5, False)]
@@ -288,7 +288,13 @@
 def test_a_table_that_changes_concerns_the_next_request() -> None:
     e = engine(servers=1)
     send = start(e, 1.0)
-    e.order(1.1, 0, m.Order(1, 0.0, 1.0, lines=[m.Line(0, 5, 1.0, 1, "127.0.0.1:5"), m.Line(0, 0, 0.0, 1)]))
+    e.order(
+        1.1,
+        0,
+        m.ProxyUpdate(
+            1, 0.0, 1.0, weights=[m.WeightEntry(0, 5, 1.0, 1, "127.0.0.1:5"), m.WeightEntry(0, 0, 0.0, 1)]
+        ),
+    )
     second = start(e, 1.2, ref=2)
     assert (send.server, second.server) == (0, 5)
     assert e.answered(1.3, 0, send.key, m.OK, []) == [Finish(1, m.OK, 0.0, True)]
@@ -297,16 +303,16 @@
 def test_writes_stop_a_lease_after_the_assigner_is_lost_until_it_orders_again() -> None:
     e = engine(single_writer=True, write_lease_s=1.0, hold_s=0.1)
     assert only(e.asked(9.0, 9, 9, 0, KEYED, 0.05), Connect) == []  # none before its first order
-    e.order(9.5, 0, m.Order(1, 0.0, 1.0))
+    e.order(9.5, 0, m.ProxyUpdate(1, 0.0, 1.0))
     e.assigner_lost(10.0, 0)
     assert only(e.asked(10.9, 1, 1, 0, KEYED, 4.0), Connect)
     assert e.asked(11.1, 2, 2, 0, KEYED, 4.0) == []  # held, then refused
     assert e.asked(11.1, 3, 3, 0, READ, 4.0) != [] or e.requests
     assert Finish(2, m.FULL, 0.5, False) in e.due(11.3)
-    e.charges(11.4, [m.Charge(0, 9, 0, [m.Held(1, 1.0, "127.0.0.1:1")])])
+    e.charges(11.4, [m.SliceOwnership(0, 9, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")])])
     assert e.asked(11.4, 5, 5, 0, KEYED, 4.0) == []  # the store knows of no move that is under way
     e.due(11.6)
-    e.order(11.7, 0, m.Order(2, 0.0, 1.0))
+    e.order(11.7, 0, m.ProxyUpdate(2, 0.0, 1.0))
     assert 4 not in [f.ref for f in only(e.asked(11.8, 4, 4, 0, KEYED, 4.0), Finish)] and not e.held
 
 
@@ -404,18 +410,26 @@
                 way, level = rng.randrange(4), rng.choice((1.0, 1.0, 0.5, 0.0))
                 ways = dict.fromkeys(range(3), way)
                 lines = [
-                    m.Line(rng.randrange(4), s, rng.choice((0.0, 1.0)), 9, f"127.0.0.1:{s}", s % 2)
+                    m.WeightEntry(rng.randrange(4), s, rng.choice((0.0, 1.0)), 9, f"127.0.0.1:{s}", s % 2)
                     for s in range(4)
                 ]
                 take(
                     e.order(
-                        now, 0, m.Order(1, now, 1.0, lines=lines, levels=[m.Level(0xFFFF, 0, level, way)])
+                        now,
+                        0,
+                        m.ProxyUpdate(
+                            1,
+                            now,
+                            1.0,
+                            weights=lines,
+                            admission_levels=[m.AdmissionLevel(0xFFFF, 0, level, way)],
+                        ),
                     )
                 )
             case 8:
                 sums = e.take_sums(now, 0, 0.1)
                 if sums is not None:
-                    tries_sum += sum(s.tries for s in sums.servers)
+                    tries_sum += sum(s.attempts for s in sums.servers)
                     unanswered_sum += sum(s.unanswered for s in sums.slices)
                     asked_sum -= sum(s.requests for s in sums.slices)
     while (due := e.next_due()) is not None:
@@ -424,7 +438,7 @@
     assert ended.keys() == asked.keys() and not e.requests and not e.held
     sums = e.take_sums(now, 0, 0.1)
     if sums is not None:
-        tries_sum += sum(s.tries for s in sums.servers)
+        tries_sum += sum(s.attempts for s in sums.servers)
         unanswered_sum += sum(s.unanswered for s in sums.slices)
         asked_sum -= sum(s.requests for s in sums.slices)
     assert asked_sum == 0 and len(ways) == 3
@@ -438,7 +452,15 @@
 def test_tables_come_back_from_their_file_and_a_damaged_one_is_told(tmp_path: Path) -> None:
     e = engine()
     e.order(
-        1.0, 0, m.Order(1, 0.0, 1.0, out=[2], levels=[m.Level(0xFFFF, 1, 0.5, 1), m.Level(2, 2, 0.25, 3)])
+        1.0,
+        0,
+        m.ProxyUpdate(
+            1,
+            0.0,
+            1.0,
+            withdrawn_servers=[2],
+            admission_levels=[m.AdmissionLevel(0xFFFF, 1, 0.5, 1), m.AdmissionLevel(2, 2, 0.25, 3)],
+        ),
     )
     path = str(tmp_path / "tables.json")
     save_state(path, e.tables.saved(5.0))
@@ -492,18 +514,23 @@
 
 def test_where_a_slice_has_one_writer_a_new_line_takes_the_old_ones_place() -> None:
     e = engine(servers=1, single_writer=True)
-    e.order(1.0, 0, m.Order(1, 0.0, 1.0, lines=[m.Line(0, 5, 1.0, 1, "127.0.0.1:5")]))
+    e.order(1.0, 0, m.ProxyUpdate(1, 0.0, 1.0, weights=[m.WeightEntry(0, 5, 1.0, 1, "127.0.0.1:5")]))
     assert e.tables.open(0) == {5: 1.0}
     assert {start(e, 1.2, ref=k).server for k in range(5)} == {5}
 
 
 def test_an_older_reading_of_the_store_undoes_no_order_and_a_newer_one_holds() -> None:
     tables = engine(servers=1).tables
-    old = m.Charge(0, 1, 0, [m.Held(0, 1.0, "127.0.0.1:0")], 4)
-    tables.order(0, m.Order(5, 0.0, 1.0, lines=[m.Line(0, 1, 1.0, 1, "127.0.0.1:1"), m.Line(0, 0, 0.0, 1)]))
+    old = m.SliceOwnership(0, 1, 0, [m.TableEntry(0, 1.0, "127.0.0.1:0")], 4)
+    tables.order(
+        0,
+        m.ProxyUpdate(
+            5, 0.0, 1.0, weights=[m.WeightEntry(0, 1, 1.0, 1, "127.0.0.1:1"), m.WeightEntry(0, 0, 0.0, 1)]
+        ),
+    )
     tables.charge(old)
     assert tables.open(0) == {1: 1.0}
-    tables.charge(m.Charge(0, 1, 0, old.lines, 6))
+    tables.charge(m.SliceOwnership(0, 1, 0, old.entries, 6))
     assert tables.open(0) == {0: 1.0}
 
 
@@ -550,7 +577,7 @@
 
 def test_a_write_in_hand_is_told_as_such_and_a_reading_is_not() -> None:
     e = engine(single_writer=True)
-    e.order(9.5, 0, m.Order(1, 0.0, 1.0))
+    e.order(9.5, 0, m.ProxyUpdate(1, 0.0, 1.0))
     for ref, kind in ((1, READ), (2, KEYED)):
         for c in only(e.asked(10.0, ref, ref, 0, kind, 4.0), Connect):
             e.server_up(10.0, c.server)
