--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -47,15 +47,15 @@
 
     def steer(self) -> tuple[Line, Line]:
         assigner, store = self.order.accept("assigner"), self.store.accept("store")
-        store.until(lambda x: isinstance(x, m.Read))
+        store.until(lambda x: isinstance(x, m.ReadRequest))
         return assigner, store
 
-    def charge(self, *servers: int) -> m.Charges:
-        held = [m.Held(s, 1.0, f"127.0.0.1:{self.servers[s].port}") for s in servers]
-        return m.Charges([m.Charge(0, next(self.tokens), 0, held)])
+    def charge(self, *servers: int) -> m.SliceOwnerships:
+        held = [m.TableEntry(s, 1.0, f"127.0.0.1:{self.servers[s].port}") for s in servers]
+        return m.SliceOwnerships([m.SliceOwnership(0, next(self.tokens), 0, held)])
 
     def client(self) -> Line:
-        line = dial(self.port, m.Hello(m.VERSION, "client", 0))
+        line = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "client", 0))
         line.until(lambda x: isinstance(x, m.Welcome))
         return line
 
@@ -65,9 +65,9 @@
     return Setting(tmp_path)
 
 
-def reply(client: Line, number: int) -> m.Reply:
-    found = client.until(lambda x: isinstance(x, m.Reply) and x.id == number)
-    assert isinstance(found, m.Reply)
+def reply(client: Line, number: int) -> m.ClientResponse:
+    found = client.until(lambda x: isinstance(x, m.ClientResponse) and x.request_id == number)
+    assert isinstance(found, m.ClientResponse)
     return found
 
 
@@ -76,33 +76,38 @@
         assigner, store = setting.steer()
         store.send(setting.charge(0))
         client = setting.client()
-        client.send(m.Ask(1, 0, 77, 2.0))
+        client.send(m.ClientRequest(1, 0, 77, 2.0))
         server = setting.servers[0].accept("server")
-        tried = server.until(lambda x: isinstance(x, m.Try))
-        assert (tried.request, tried.slice, tried.key, tried.number) == (1, 0, 77, 0) and tried.left_s < 2.0
-        server.send(m.Answer(tried.id, m.OK, [4.0]))
-        assert reply(client, 1) == m.Reply(1, m.OK)
-        sums = assigner.until(lambda x: isinstance(x, m.Sums))
-        assert sums.servers[0].tries == 1 and sums.servers[0].values == [4.0]
-        assert sums.slices == [m.SliceSum(0, 0, 1, 0)]
-        assigner.send(m.Order(1, 0.0, 5.0, mark=9))
-        assert assigner.until(lambda x: isinstance(x, m.Applied)) == m.Applied(9)
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
+        assert (tried.request_id, tried.slice_id, tried.key, tried.attempt_number) == (1, 0, 77, 0)
+        assert tried.remaining_s < 2.0
+        server.send(m.AttemptResponse(tried.attempt_id, m.OK, [4.0]))
+        assert reply(client, 1) == m.ClientResponse(1, m.OK)
+        sums = assigner.until(lambda x: isinstance(x, m.UsageReport))
+        assert sums.servers[0].attempts == 1 and sums.servers[0].load_values == [4.0]
+        assert sums.slices == [m.SliceUsage(0, 0, 1, 0)]
+        assigner.send(m.ProxyUpdate(1, 0.0, 5.0, checkpoint_id=9))
+        assert assigner.until(lambda x: isinstance(x, m.CheckpointReply)) == m.CheckpointReply(9)
 
 
 def test_a_server_that_accepts_and_stays_silent_is_left_for_another_as_nothing_ran(setting: Setting) -> None:
     with setting.running(connect_s="0.4"):
         assigner, store = setting.steer()
         store.send(setting.charge(0, 1))
-        assigner.send(m.Order(1, 0.0, 5.0, levels=[m.Level(0xFFFF, 0, 1.0, 1)], mark=1))
-        assigner.until(lambda x: isinstance(x, m.Applied))
+        assigner.send(
+            m.ProxyUpdate(
+                1, 0.0, 5.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, 1)], checkpoint_id=1
+            )
+        )
+        assigner.until(lambda x: isinstance(x, m.CheckpointReply))
         client = setting.client()
         for number in (1, 2):  # by turns: one of them meets the silent server first
-            client.send(m.Ask(number, 0, 5, 3.0))
+            client.send(m.ClientRequest(number, 0, 5, 3.0))
         server = setting.servers[1].accept("server")  # server 0's kernel accepts, and nobody greets
         for _ in (1, 2):
-            tried = server.until(lambda x: isinstance(x, m.Try))
-            server.send(m.Answer(tried.id, m.OK))
-        assert {client.until(lambda x: isinstance(x, m.Reply)).status for _ in (1, 2)} == {m.OK}
+            tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
+            server.send(m.AttemptResponse(tried.attempt_id, m.OK))
+        assert {client.until(lambda x: isinstance(x, m.ClientResponse)).status for _ in (1, 2)} == {m.OK}
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "byte by byte", "nothing", "rubbish"])
@@ -112,12 +117,16 @@
     with setting.running():
         assigner, store = setting.steer()
         store.send(setting.charge(0))
-        assigner.send(m.Order(1, 0.0, 5.0, levels=[m.Level(0xFFFF, 0, 1.0, 1)], mark=1))
-        assigner.until(lambda x: isinstance(x, m.Applied))
+        assigner.send(
+            m.ProxyUpdate(
+                1, 0.0, 5.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, 1)], checkpoint_id=1
+            )
+        )
+        assigner.until(lambda x: isinstance(x, m.CheckpointReply))
         store.send(setting.charge(0, 1))
         client = setting.client()
         began = time.monotonic()
-        client.send(m.Ask(1, 0, 5, 2.0))
+        client.send(m.ClientRequest(1, 0, 5, 2.0))
         doors = list(setting.servers)
         server = None
         while server is None and time.monotonic() < began + 5:
@@ -129,8 +138,8 @@
                 server = Line(door.listener.accept()[0])
         assert server is not None
         server.until(lambda x: isinstance(x, m.Hello))
-        server.send(m.Welcome(m.VERSION, "server", 0))
-        tried = server.until(lambda x: isinstance(x, m.Try))
+        server.send(m.Welcome(m.PROTOCOL_VERSION, "server", 0))
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
         match how:
             case "close":
                 server.close()
@@ -146,11 +155,11 @@
             case "rubbish":
                 server.raw(b'{"t":"answer","id":"no"}\n')
         found = reply(client, 1)
-        assert found.status in (m.RESET, m.TIMEOUT) and found.ran
+        assert found.status in (m.RESET, m.TIMEOUT) and found.may_have_executed
         assert time.monotonic() - began < 5
         if how in ("byte by byte", "nothing"):
-            assert server.until(lambda x: isinstance(x, m.Cancel)) == m.Cancel(tried.id)
-            server.send(m.Answer(tried.id, m.OK))  # too late: it counts for nothing
+            assert server.until(lambda x: isinstance(x, m.CancelAttempt)) == m.CancelAttempt(tried.attempt_id)
+            server.send(m.AttemptResponse(tried.attempt_id, m.OK))  # too late: it counts for nothing
             with pytest.raises(TimeoutError):
                 client.read(0.2)
 
@@ -167,10 +176,10 @@
     setting.order.close()
     with setting.running():
         client = setting.client()
-        client.send(m.Ask(1, 0, 5, 2.0))
+        client.send(m.ClientRequest(1, 0, 5, 2.0))
         server = setting.servers[0].accept("server")
-        tried = server.until(lambda x: isinstance(x, m.Try))
-        server.send(m.Answer(tried.id, m.OK))
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
+        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
         assert reply(client, 1).status == m.OK
 
 
@@ -179,21 +188,21 @@
         setting.steer()
         good = setting.client()
         for message, words in [
-            (m.Ask(1, 9, 5, 1.0), "class 9"),
-            (m.Ask(1, 0, -5, 1.0), "key"),
-            (m.Ask(1, 0, 5, 0.0), "time left"),
-            (m.Sums(0.5), "not for a proxy"),
+            (m.ClientRequest(1, 9, 5, 1.0), "class 9"),
+            (m.ClientRequest(1, 0, -5, 1.0), "key"),
+            (m.ClientRequest(1, 0, 5, 0.0), "time left"),
+            (m.UsageReport(0.5), "not for a proxy"),
         ]:
             bad = setting.client()
             bad.send(message)
-            assert words in bad.until(lambda x: isinstance(x, m.Refuse)).reason
+            assert words in bad.until(lambda x: isinstance(x, m.ConnectionRejected)).reason
             assert bad.read() is None
         half = setting.client()
         half.raw(b'{"t":"ask","id":1')  # and waits
-        crowd = [dial(setting.port, m.Hello(m.VERSION, "client", k)) for k in range(30)]
+        crowd = [dial(setting.port, m.Hello(m.PROTOCOL_VERSION, "client", k)) for k in range(30)]
         met = [line.read() for line in crowd]
-        assert sum(isinstance(x, m.Refuse) for x in met) >= 10
-        good.send(m.Ask(1, 0, 5, 1.0))
+        assert sum(isinstance(x, m.ConnectionRejected) for x in met) >= 10
+        good.send(m.ClientRequest(1, 0, 5, 1.0))
         assert reply(good, 1).status == m.FULL  # no table yet: refused at once after the hold
 
 
@@ -212,10 +221,10 @@
         for sock in crowd:
             sock.close()
         resource.prlimit(running.pid, resource.RLIMIT_NOFILE, (used + 40, 4096))
-        first.send(m.Ask(1, 0, 5, 3.0))
+        first.send(m.ClientRequest(1, 0, 5, 3.0))
         server = setting.servers[0].accept("server")
-        tried = server.until(lambda x: isinstance(x, m.Try))
-        server.send(m.Answer(tried.id, m.OK))
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
+        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
         assert reply(first, 1).status == m.OK
         assert setting.client()
 
@@ -228,7 +237,7 @@
     with setting.running(shared_port="yes"), other.running(shared_port="yes", id="4"):
         who = set()
         for _ in range(60):
-            line = dial(setting.port, m.Hello(m.VERSION, "client", 0))
+            line = dial(setting.port, m.Hello(m.PROTOCOL_VERSION, "client", 0))
             who.add(line.until(lambda x: isinstance(x, m.Welcome)).id)
             line.close()
         assert who == {3, 4}
@@ -239,25 +248,30 @@
 ) -> None:
     with setting.running():
         assigner, store = setting.steer()
-        held = [m.Held(0, 1.0, f"127.0.0.1:{setting.servers[0].port}")]
-        store.send(m.Charges([m.Charge(0, 1, 0, held, 4)]))
+        held = [m.TableEntry(0, 1.0, f"127.0.0.1:{setting.servers[0].port}")]
+        store.send(m.SliceOwnerships([m.SliceOwnership(0, 1, 0, held, 4)]))
         assigner.send(
-            m.Order(
+            m.ProxyUpdate(
                 5,
                 0.0,
                 5.0,
-                [m.Line(0, 1, 1.0, 1, f"127.0.0.1:{setting.servers[1].port}"), m.Line(0, 0, 0.0, 1)],
-                mark=1,
+                [
+                    m.WeightEntry(0, 1, 1.0, 1, f"127.0.0.1:{setting.servers[1].port}"),
+                    m.WeightEntry(0, 0, 0.0, 1),
+                ],
+                checkpoint_id=1,
             )
         )
-        assigner.until(lambda x: isinstance(x, m.Applied))
-        store.send(m.Charges([m.Charge(0, 1, 0, held, 4)]))  # read before the order had been written
+        assigner.until(lambda x: isinstance(x, m.CheckpointReply))
+        store.send(
+            m.SliceOwnerships([m.SliceOwnership(0, 1, 0, held, 4)])
+        )  # read before the order had been written
         time.sleep(0.3)  # it has come by now
         client = setting.client()
-        client.send(m.Ask(1, 0, 5, 3.0))
+        client.send(m.ClientRequest(1, 0, 5, 3.0))
         server = setting.servers[1].accept("server")
-        tried = server.until(lambda x: isinstance(x, m.Try))
-        server.send(m.Answer(tried.id, m.OK))
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
+        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
         assert reply(client, 1).status == m.OK
         time.sleep(1.1)
         while True:  # readings of the start
@@ -268,11 +282,11 @@
         assigner.close()
         setting.order.accept("assigner")
         for _ in (1, 2):  # at once, and again for what was still on its way
-            assert store.until(lambda x: isinstance(x, m.Read))
-        store.send(m.Charges([m.Charge(0, 1, 0, held, 6)]))  # moved back while it was away
-        client.send(m.Ask(2, 0, 5, 3.0))
-        tried = setting.servers[0].accept("server").until(lambda x: isinstance(x, m.Try))
-        assert tried.request == 2
+            assert store.until(lambda x: isinstance(x, m.ReadRequest))
+        store.send(m.SliceOwnerships([m.SliceOwnership(0, 1, 0, held, 6)]))  # moved back while it was away
+        client.send(m.ClientRequest(2, 0, 5, 3.0))
+        tried = setting.servers[0].accept("server").until(lambda x: isinstance(x, m.AttemptRequest))
+        assert tried.request_id == 2
 
 
 def test_with_one_writer_a_stop_is_answered_once_the_write_has_ended(setting: Setting) -> None:
@@ -281,19 +295,19 @@
         store.send(setting.charge(0))
         time.sleep(0.3)
         client = setting.client()
-        client.send(m.Ask(1, 1, 5, 3.0))
+        client.send(m.ClientRequest(1, 1, 5, 3.0))
         assert reply(client, 1).status == m.FULL  # no write before the assigner's first order
-        assigner.send(m.Order(1, 0.0, 1.0))
+        assigner.send(m.ProxyUpdate(1, 0.0, 1.0))
         time.sleep(0.2)
-        client.send(m.Ask(2, 1, 5, 3.0))
+        client.send(m.ClientRequest(2, 1, 5, 3.0))
         server = setting.servers[0].accept("server")
-        tried = server.until(lambda x: isinstance(x, m.Try))
-        assigner.send(m.Order(2, 0.0, 1.0, clear=[0], mark=1 << 20))
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
+        assigner.send(m.ProxyUpdate(2, 0.0, 1.0, cleared_slices=[0], checkpoint_id=1 << 20))
         with pytest.raises(TimeoutError):
-            assigner.until(lambda x: isinstance(x, m.Applied), 0.5)
-        server.send(m.Answer(tried.id, m.OK))
+            assigner.until(lambda x: isinstance(x, m.CheckpointReply), 0.5)
+        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
         assert reply(client, 2).status == m.OK
-        assert assigner.until(lambda x: isinstance(x, m.Applied)).mark == 1 << 20
+        assert assigner.until(lambda x: isinstance(x, m.CheckpointReply)).checkpoint_id == 1 << 20
 
 
 def test_sigterm_lets_requests_under_way_end_and_refuses_new_ones(setting: Setting) -> None:
@@ -301,15 +315,17 @@
         _, store = setting.steer()
         store.send(setting.charge(0))
         client = setting.client()
-        client.send(m.Ask(1, 0, 77, 3.0))
+        client.send(m.ClientRequest(1, 0, 77, 3.0))
         server = setting.servers[0].accept("server")
-        tried = server.until(lambda x: isinstance(x, m.Try))
+        tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
         running.send_signal(signal.SIGTERM)
         with pytest.raises(ConnectionError):  # once it has heard the signal
             while True:
                 socket.create_connection(("127.0.0.1", setting.port), 5).close()
-        client.send(m.Ask(2, 0, 77, 3.0))
-        assert reply(client, 2) == m.Reply(2, m.FULL, 0.0, False)  # proved: another proxy can take it
-        server.send(m.Answer(tried.id, m.OK))
-        assert reply(client, 1) == m.Reply(1, m.OK)
+        client.send(m.ClientRequest(2, 0, 77, 3.0))
+        assert reply(client, 2) == m.ClientResponse(
+            2, m.FULL, 0.0, False
+        )  # proved: another proxy can take it
+        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
+        assert reply(client, 1) == m.ClientResponse(1, m.OK)
         assert client.read() is None and running.wait(15) == 0
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -11,7 +11,14 @@
 from twisted.internet.task import Clock
 
 from puffintide.config.schema import PeersSection
-from puffintide.protocol.messages import CopiedRow, Copies, Digest, Held, Hello, Version
+from puffintide.protocol.messages import (
+    Hello,
+    ReplicatedRow,
+    ReplicationDelta,
+    ReplicaVersion,
+    TableEntry,
+    VersionDigest,
+)
 from puffintide.replication import replica as core
 from puffintide.replication import settle
 from puffintide.replication.joining import BURST_ROWS, Asking, CatchUp, Outgoing, stays
@@ -30,7 +37,7 @@
         self.draw = random.Random(seed)
         self.now = 0.0
         self.nodes = [self.new(k) for k in range(COUNT)]
-        self.bag: list[tuple[int, Copies]] = []
+        self.bag: list[tuple[int, ReplicationDelta]] = []
 
     def new(self, k: int) -> Replica:
         return Replica(k, 1, COUNT, self.draw.getrandbits(core.NONCE_BITS))
@@ -190,10 +197,10 @@
     assert [s for s in said if settle.server(said[s], trusted) == (1, 0)] == [0, 1, 2]
 
 
-def answer(assigner: int, tables: dict[int, tuple[int, int]], whole: bool = True) -> Copies:
-    held = [Held(assigner, 1.0, "127.0.0.1:1", 0)]
-    rows = [CopiedRow(KIND, n, k + 1, 0.0, packed(*tables[n], held)) for k, n in enumerate(tables)]
-    return Copies(assigner, 0, 0, len(rows), len(rows) + (not whole), 0, rows)
+def answer(assigner: int, tables: dict[int, tuple[int, int]], whole: bool = True) -> ReplicationDelta:
+    held = [TableEntry(assigner, 1.0, "127.0.0.1:1", 0)]
+    rows = [ReplicatedRow(KIND, n, k + 1, 0.0, packed(*tables[n], held)) for k, n in enumerate(tables)]
+    return ReplicationDelta(assigner, 0, 0, len(rows), len(rows) + (not whole), 0, rows)
 
 
 def test_a_store_is_refilled_from_the_newest_of_enough_answers() -> None:
@@ -206,37 +213,39 @@
     refill.left(1)
     refill.told(12.0, 1, answer(1, {0: (4, 9), 1: (6, 3), 2: (9, 1)}))
     assert not refill.ready(14.9) and refill.ready(15.0)
-    assert {n: held[0].server for n, held in refill.tables().items()} == {0: 0, 1: 1, 2: 1}
+    assert {n: held[0].server_id for n, held in refill.tables().items()} == {0: 0, 1: 1, 2: 1}
     assert refill.first_token(0) == 9 + 2**32 and refill.first_token(2**40) == 2**40
     refill.told(12.5, 2, answer(2, {}))
     assert refill.ready(12.5)  # all there are have answered
 
 
-GOOD = CopiedRow("server", 3, 2, 1.0, (1.0, 0.0))
+GOOD = ReplicatedRow("server", 3, 2, 1.0, (1.0, 0.0))
 ROWS = [
-    (CopiedRow("colour", 3, 2, 1.0, (1.0,)), "no such kind"),
-    (CopiedRow("server", 3, 9, 1.0, (1.0, 0.0)), "sequence 9 is not from 0 to 5"),
-    (CopiedRow("server", 3, 2, -1.0, (1.0, 0.0)), "age -1 s"),
-    (CopiedRow("server", 3, 2, 1.0, (1.0,)), "1 figures of 2"),
-    (CopiedRow("fleet", -1, 2, 1.0, (float("inf"),)), "can't be"),
-    (CopiedRow("fleet", -1, 2, 1.0, ("5",)), "can't be"),
-    (CopiedRow(KIND, 4, 2, 1.0, packed(1, 1, [])), "table 4 is not among the 4"),
-    (CopiedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0)), "no token, batch and lines of four"),
-    (CopiedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)), "value 4 is of the wrong kind"),
-    (CopiedRow(KIND, 1, 2, 1.0, packed(1, 1, [Held(7, -1.0)])), "weight -1"),
-    (CopiedRow(KIND, 1, 2, 1.0, packed(-1, 1, [])), "below 0"),
+    (ReplicatedRow("colour", 3, 2, 1.0, (1.0,)), "no such kind"),
+    (ReplicatedRow("server", 3, 9, 1.0, (1.0, 0.0)), "sequence 9 is not from 0 to 5"),
+    (ReplicatedRow("server", 3, 2, -1.0, (1.0, 0.0)), "age -1 s"),
+    (ReplicatedRow("server", 3, 2, 1.0, (1.0,)), "1 figures of 2"),
+    (ReplicatedRow("fleet", -1, 2, 1.0, (float("inf"),)), "can't be"),
+    (ReplicatedRow("fleet", -1, 2, 1.0, ("5",)), "can't be"),
+    (ReplicatedRow(KIND, 4, 2, 1.0, packed(1, 1, [])), "table 4 is not among the 4"),
+    (ReplicatedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0)), "no token, batch and lines of four"),
+    (ReplicatedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)), "value 4 is of the wrong kind"),
+    (ReplicatedRow(KIND, 1, 2, 1.0, packed(1, 1, [TableEntry(7, -1.0)])), "weight -1"),
+    (ReplicatedRow(KIND, 1, 2, 1.0, packed(-1, 1, [])), "below 0"),
 ]
 
 
 @pytest.mark.parametrize(("row", "words"), ROWS, ids=[words for _, words in ROWS])
-def test_a_row_that_cannot_be_is_refused_for_itself(row: CopiedRow, words: str) -> None:
-    reasons, sound = wrong_copies(Copies(1, 1, 0, 5, 5, 0, [GOOD, row], [("server", 2, 1), ("x", 2, 1)]), 4)
+def test_a_row_that_cannot_be_is_refused_for_itself(row: ReplicatedRow, words: str) -> None:
+    reasons, sound = wrong_copies(
+        ReplicationDelta(1, 1, 0, 5, 5, 0, [GOOD, row], [("server", 2, 1), ("x", 2, 1)]), 4
+    )
     assert len(reasons) == 2 and words in reasons[0] and "taken back" in reasons[1]
-    assert sound is not None and sound.rows == [GOOD] and sound.gone == [("server", 2, 1)]
+    assert sound is not None and sound.rows == [GOOD] and sound.deletions == [("server", 2, 1)]
 
 
 def test_a_piece_whose_bounds_do_not_rise_is_refused_whole() -> None:
-    assert wrong_copies(Copies(1, 1, 6, 5, 5, 0, [GOOD]), 4)[1] is None
+    assert wrong_copies(ReplicationDelta(1, 1, 6, 5, 5, 0, [GOOD]), 4)[1] is None
 
 
 def test_a_late_piece_of_a_former_life_changes_nothing() -> None:
@@ -274,7 +283,7 @@
         self.most = 0  # rows in one message
 
     def send(self, a: int, b: int, message: Any) -> None:
-        if isinstance(message, Copies):
+        if isinstance(message, ReplicationDelta):
             self.sent[a] += len(message.rows)
             self.most = max(self.most, len(message.rows))
         if (a, b) not in self.mute:
@@ -291,7 +300,7 @@
             for row in [r for r in self.wire if r[0] <= self.now]:
                 self.wire.remove(row)
                 _, a, b, message = row
-                if isinstance(message, Copies):
+                if isinstance(message, ReplicationDelta):
                     self.nodes[b].take(self.now, message)
                 else:
                     self.asking[b].heard(a, message)
@@ -339,18 +348,21 @@
         lost += pieces  # none arrives
         out.asked(now, new.digest())
         now += wait if wait is not None else 0.1
-    seqs = [row.seq for piece in lost for row in piece.rows]
+    seqs = [row.sequence for piece in lost for row in piece.rows]
     assert len(seqs) == len(set(seqs)) > 2000 and new.count() == 0
     now += 2.5
     out.asked(now, new.digest())  # it still has nothing
-    assert out.next(now, full)[0][0].after == 0
+    assert out.next(now, full)[0][0].after_sequence == 0
 
 
 def test_what_a_peer_claims_of_nobody_is_told_to_nobody() -> None:
     asking, node = Asking(3), Replica(0, 1, 3)
-    asking.heard(1, [Version(99, 1, 7), Version(2, 1, 7)])
-    assert {v.origin: v.seq for v in asking.digest(0.0, 2, node)} == {0: 0, 2: 7}  # asked of 1, so not of 2
-    assert {v.origin for v in asking.digest(0.0, 1, node)} == {0}
+    asking.heard(1, [ReplicaVersion(99, 1, 7), ReplicaVersion(2, 1, 7)])
+    assert {v.origin_id: v.sequence for v in asking.digest(0.0, 2, node)} == {
+        0: 0,
+        2: 7,
+    }  # asked of 1, so not of 2
+    assert {v.origin_id for v in asking.digest(0.0, 1, node)} == {0}
 
 
 class Ear:
@@ -373,16 +385,16 @@
     dial: Any = lambda *_, **__: None  # noqa: E731
     peers.start(dial)
     stream: Any = ear
-    peers.heard(stream, Hello(1, "assigner", 1, 0, "t", start=1))
+    peers.heard(stream, Hello(1, "assigner", 1, 0, "t", incarnation=1))
     ear.writable, ear.sent = False, []
-    peers.heard(stream, Digest([]))
+    peers.heard(stream, VersionDigest([]))
     clock.pump([0.5] * 10)
     assert ear.sent == []
     ear.writable = True
-    peers.heard(stream, Digest([]))
+    peers.heard(stream, VersionDigest([]))
     clock.pump([0.5])
-    assert [len(x.rows) for x in ear.sent if isinstance(x, Copies)] == [3]
-    assert any(isinstance(x, Digest) for x in ear.sent)
+    assert [len(x.rows) for x in ear.sent if isinstance(x, ReplicationDelta)] == [3]
+    assert any(isinstance(x, VersionDigest) for x in ear.sent)
 
 
 CATCHING: list[tuple[str, list[tuple[Any, ...]], bool]] = [
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,7 +16,7 @@
 def test_drained_server_leaves_every_table_within_a_round(state: int) -> None:
     world = World()
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(1, state),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, state),)))
     world.run(0.5)
     assert used(world, 1) == []
     assert all(world.tables.values())
@@ -25,7 +25,7 @@
 def test_server_missing_from_a_full_list_is_gone() -> None:
     world = World()
     world.run(5)
-    world.tell(api.ServerList("full", 9, (server(2), server(3), server(4))))
+    world.tell(api.EndpointListUpdate("full", 9, (server(2), server(3), server(4))))
     world.run(0.5)
     assert used(world, 1) == []
 
@@ -33,11 +33,11 @@
 def test_slice_given_later_with_a_drained_server_is_moved_at_once() -> None:
     world = World()
     world.run(5)
-    world.tell(api.ServerList("delta", 2, (server(1, api.DRAINING),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.DRAINING),)))
     world.run(2)
-    world.tell(api.SliceCharge(5, False))
+    world.tell(api.OwnershipChanged(5, False))
     world.tables[5] = {1: 1.0}
-    world.tell(api.SliceCharge(5, True), api.StoredLine(5, 1, 1.0))
+    world.tell(api.OwnershipChanged(5, True), api.StoredWeight(5, 1, 1.0))
     world.run(0.5)
     assert world.open(5) and 1 not in world.open(5)
 
@@ -46,8 +46,8 @@
     world = World()
     world.run(5)
     world.tables[5] = {}
-    world.tell(api.SliceCharge(5, False))
-    world.tell(api.SliceCharge(5, True))
+    world.tell(api.OwnershipChanged(5, False))
+    world.tell(api.OwnershipChanged(5, True))
     world.run(0.5)
     assert world.tables[5]
 
@@ -55,19 +55,19 @@
 def test_nothing_is_ordered_for_a_slice_taken_back() -> None:
     world = World()
     world.run(5)
-    world.tell(api.SliceCharge(5, False))
+    world.tell(api.OwnershipChanged(5, False))
     mark = len(world.log)
-    world.tell(api.ServerList("delta", 2, (server(2, api.GONE),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE),)))
     world.run(3)
-    later = [a for _, acts in world.log[mark:] for a in acts if isinstance(a, api.SetLine)]
-    assert later and all(a.table != 5 for a in later)
+    later = [a for _, acts in world.log[mark:] for a in acts if isinstance(a, api.SetWeight)]
+    assert later and all(a.slice_id != 5 for a in later)
 
 
 def test_no_table_is_left_empty_while_a_server_is_ready() -> None:
     world = World()
     world.run(5)
     for sid in (1, 2, 3):
-        world.tell(api.ServerList("delta", 2, (server(sid, api.GONE),)))
+        world.tell(api.EndpointListUpdate("delta", 2, (server(sid, api.GONE),)))
         world.run(1)
         assert all(world.tables.values())
 
@@ -75,32 +75,32 @@
 def test_added_lines_come_before_removed_ones() -> None:
     world = World()
     world.run(5)
-    world.tell(api.ServerList("delta", 2, (server(1, api.GONE),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
     world.run(1)
     for _, actions in world.log:
         seen_removal: set[int] = set()
         for action in actions:
-            if isinstance(action, api.SetLine) and action.weight == 0:
-                seen_removal.add(action.table)
-            elif isinstance(action, api.SetLine):
-                assert action.table not in seen_removal
+            if isinstance(action, api.SetWeight) and action.weight == 0:
+                seen_removal.add(action.slice_id)
+            elif isinstance(action, api.SetWeight):
+                assert action.slice_id not in seen_removal
 
 
 @pytest.mark.parametrize("default", [0, 1])
 def test_retries_never_go_past_proof_for_once(default: int) -> None:
-    world = World(retry_default=default)
+    world = World(default_retry_mode=default)
     world.run(10)
-    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.Admit)]
+    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission)]
     for order in orders:
-        assert order.retry <= 1 or not (order.classes == 0 or order.classes & 0b10)
+        assert order.retry_mode <= 1 or not (order.class_mask == 0 or order.class_mask & 0b10)
 
 
 def test_returning_server_is_filled_by_its_present_capacity() -> None:
     world = World()
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(1, api.GONE),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
     world.run(10)
-    world.tell(api.ServerList("delta", 3, (server(1, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 3, (server(1, started=world.now),)))
     born = world.now
     for _ in range(16):
         world.run(0.5)
@@ -113,16 +113,16 @@
     for number in (0, 4, 8):
         world.heat[number] = 7.0
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(1, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
     world.run(1.5)
     assert world.load(1) <= 0.5 * 30.0
 
 
 @pytest.mark.parametrize("instances", [1, 3])
 def test_cold_part_is_one_of_all_assigners(instances: int) -> None:
-    world = World(instances=instances, slices=12)
+    world = World(assigner_count=instances, slice_count=12)
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(9, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(9, started=world.now),)))
     for number in world.heat:
         world.heat[number] = 12.0
     world.capacity[9] = 30.0
@@ -132,24 +132,30 @@
 
 @pytest.mark.parametrize("pace", [1.0, 0.5, 0.25])
 def test_no_more_lines_wait_than_the_limit_however_slow_the_channel(pace: float) -> None:
-    world = World(slices=60, admit="fraction", channel_limit=400.0, channel_lines_per_s=260.0)
+    world = World(
+        slice_count=60, admission_mode="fraction", channel_capacity_entries=400.0, channel_entries_per_s=260.0
+    )
     world.pace = pace
     for step in range(40):
         sid = 1 + step // 2 % 4
-        world.tell(api.ServerList("delta", step, (server(sid, api.READY if step % 2 else api.DRAINING),)))
+        world.tell(
+            api.EndpointListUpdate("delta", step, (server(sid, api.READY if step % 2 else api.DRAINING),))
+        )
         world.heat = dict.fromkeys(world.heat, 0.5 if step % 6 < 3 else 6.0)
         world.run(1)
     assert 100.0 < world.most_waiting <= 400.0
 
 
 def test_messages_per_proxy_stay_under_the_limit() -> None:
-    world = World(messages_most=6, messages_span_s=10.0)
+    world = World(max_messages_per_window=6, message_window_s=10.0)
     for step in range(40):
         sid = 1 + step % 4
         state = api.GONE if step % 2 else api.READY
-        world.tell(api.ServerList("delta", step, (server(sid, state),)))
+        world.tell(api.EndpointListUpdate("delta", step, (server(sid, state),)))
         world.run(0.5)
-    sent = [at for at, acts in world.log if any(isinstance(a, api.SetLine | api.Admit) for a in acts)]
+    sent = [
+        at for at, acts in world.log if any(isinstance(a, api.SetWeight | api.SetAdmission) for a in acts)
+    ]
     for first in sent:
         assert sum(first <= at < first + 10.0 for at in sent) <= 6
 
@@ -160,7 +166,7 @@
     for step in range(20):
         world.heat[step % 3] = 1.0 + 30.0 * (step // 3 % 2)
         world.run(0.5)
-    sent = [at for at, acts in world.log if any(isinstance(a, api.SetLine) for a in acts)]
+    sent = [at for at, acts in world.log if any(isinstance(a, api.SetWeight) for a in acts)]
     assert len(sent) > 3
     assert all(later - earlier >= 0.99 for earlier, later in pairwise(sent[1:]))
 
@@ -171,21 +177,21 @@
     world.mute.add(1)
     world.run(3)
     assert world.director.servers[1].level == 0
-    world.tell(api.ServerList("delta", 2, (server(2, api.GONE), server(3, api.GONE))))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE), server(3, api.GONE))))
     world.run(1)
     assert all(set(t) == {1} for t in world.tables.values())
 
 
 def test_fleet_short_of_capacity_lets_in_less_of_the_cheapest_class() -> None:
-    world = World(admit="fraction")
+    world = World(admission_mode="fraction")
     world.run(5)
     for number in world.heat:
         world.heat[number] = 16.0
     world.run(15)
     levels = world.director.levels
     assert min(levels.values()) < 0.9
-    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.Admit) and a.level < 1]
-    assert orders and all(a.table == api.ALL_TABLES for a in orders)
+    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission) and a.fraction < 1]
+    assert orders and all(a.slice_id == api.ALL_SLICES for a in orders)
     for number in world.heat:
         world.heat[number] = 3.0
     world.run(20)
@@ -193,36 +199,38 @@
 
 
 def test_one_crowded_server_in_a_light_fleet_refuses_nobody() -> None:
-    world = World(admit="fraction", slices=40)
+    world = World(admission_mode="fraction", slice_count=40)
     for number in world.heat:
         world.heat[number] = 1.0 if number % 4 else 3.6
     world.run(20)
-    assert not [a for _, acts in world.log for a in acts if isinstance(a, api.Admit) and a.level < 1]
+    assert not [
+        a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission) and a.fraction < 1
+    ]
 
 
 @pytest.mark.parametrize(("default", "most"), [(0, 0), (1, 1), (3, 1)])
 def test_further_tries_stay_within_proof_and_the_sites_own_way(default: int, most: int) -> None:
-    world = World(retry_default=default, admit="fraction")
+    world = World(default_retry_mode=default, admission_mode="fraction")
     for rate in (5.0, 14.0, 3.0):
         world.heat = dict.fromkeys(world.heat, rate)
         world.run(10)
-    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.Admit)]
-    assert orders and all(a.retry == most for a in orders)
-    assert default <= 1 or orders[0] == api.Admit(api.ALL_TABLES, 0, 1.0, 1)
+    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission)]
+    assert orders and all(a.retry_mode == most for a in orders)
+    assert default <= 1 or orders[0] == api.SetAdmission(api.ALL_SLICES, 0, 1.0, 1)
 
 
 def test_many_cold_servers_alone_get_no_more_than_a_safe_part() -> None:
     """The only warm servers are lost while the others are cold: nobody warm is left to move to."""
-    world = World(warm_within_s=20.0)
+    world = World(slow_start_duration_s=20.0)
     world.run(10)
     born = world.now
-    world.tell(api.ServerList("delta", 2, tuple(server(s, started=born) for s in (1, 2))))
+    world.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, started=born) for s in (1, 2))))
     for step in range(40):
         share = 0.25 + 0.75 * (world.now - born) / 20.0
         world.capacity.update({1: 30.0 * share, 2: 30.0 * share})
         world.run(0.25)
         if step == 15:
-            world.tell(api.ServerList("delta", 3, tuple(server(s, api.GONE) for s in (3, 4))))
+            world.tell(api.EndpointListUpdate("delta", 3, tuple(server(s, api.GONE) for s in (3, 4))))
         if step == 3:
             world.heat = dict.fromkeys(world.heat, 9.0)
         assert step < 22 or max(world.load(1), world.load(2)) <= 0.7 * 3.0 * share * 30.0
@@ -235,7 +243,7 @@
     world.run(10)
     world.silent_reports = True
     world.run(8)
-    world.tell(api.ServerList("delta", 2, (server(1, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
     world.run(0.5)
     assert world.load(1) <= 0.5 * 30.0
 
@@ -245,14 +253,14 @@
     for number in world.heat:
         world.heat[number] = 9.0
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(1, api.GONE),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
     world.run(3)
     world.mute.add(1)
-    world.tell(api.ServerList("delta", 3, (server(1, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 3, (server(1, started=world.now),)))
     for _ in range(40):
         world.run(0.25)
         view = world.director.servers[1]
-        share = 0.25 + 0.75 * min(1.0, (world.now - view.entry.started) / 10.0)
+        share = 0.25 + 0.75 * min(1.0, (world.now - view.entry.started_at_s) / 10.0)
         assert world.load(1) <= 1.5 * share * 30.0
         assert view.level > 0 or world.load(1) <= 9.0
 
@@ -262,28 +270,40 @@
     world.heat = dict.fromkeys(world.heat, 40.0 / len(world.heat))
     world.run(5)
     mark = len(world.log)
-    world.tell(api.ServerList("delta", 2, tuple(server(s, api.DRAINING) for s in (1, 2))))
+    world.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, api.DRAINING) for s in (1, 2))))
     world.run(1)
     return [acts for _, acts in world.log[mark:]]
 
 
 def test_wave_that_outlasts_the_channel_is_shut_out_at_once() -> None:
-    world = World(slices=60, channel_lines_per_s=100.0, channel_limit=150.0, channel_head_lines=2.0)
+    world = World(
+        slice_count=60,
+        channel_entries_per_s=100.0,
+        channel_capacity_entries=150.0,
+        channel_header_entries=2.0,
+    )
     orders = big_wave(world)
-    assert {a.server for acts in orders for a in acts if isinstance(a, api.Withdraw) and a.out} == {1, 2}
+    assert {
+        a.server_id for acts in orders for a in acts if isinstance(a, api.SetWithdrawn) and a.withdrawn
+    } == {1, 2}
     assert used(world, 1) == [] and used(world, 2) == []
 
 
 def test_small_drain_is_answered_by_tables_alone() -> None:
     world = World()
-    assert not any(isinstance(a, api.Withdraw) for acts in big_wave(world) for a in acts)
+    assert not any(isinstance(a, api.SetWithdrawn) for acts in big_wave(world) for a in acts)
     assert used(world, 1) == []
 
 
 def test_server_shut_out_comes_back_only_when_no_table_holds_it_against_the_plan() -> None:
-    world = World(slices=60, channel_lines_per_s=100.0, channel_limit=150.0, channel_head_lines=2.0)
+    world = World(
+        slice_count=60,
+        channel_entries_per_s=100.0,
+        channel_capacity_entries=150.0,
+        channel_header_entries=2.0,
+    )
     big_wave(world)
-    world.tell(api.ServerList("delta", 3, tuple(server(s) for s in (1, 2))))
+    world.tell(api.EndpointListUpdate("delta", 3, tuple(server(s) for s in (1, 2))))
     for _ in range(240):
         shut, before = set(world.withdrawn), [set(table) for table in world.tables.values()]
         world.run(0.25)
@@ -292,12 +312,22 @@
 
 
 def test_proxies_that_join_later_hear_of_servers_shut_out() -> None:
-    world = World(slices=60, channel_lines_per_s=100.0, channel_limit=150.0, channel_head_lines=2.0)
+    world = World(
+        slice_count=60,
+        channel_entries_per_s=100.0,
+        channel_capacity_entries=150.0,
+        channel_header_entries=2.0,
+    )
     big_wave(world)
     mark = len(world.log)
-    world.tell(api.ProxyJoined(3, 0, 5.0, True))
+    world.tell(api.ProxyConnected(3, 0, 5.0, True))
     world.run(2)
-    again = {a.server for _, acts in world.log[mark:] for a in acts if isinstance(a, api.Withdraw) and a.out}
+    again = {
+        a.server_id
+        for _, acts in world.log[mark:]
+        for a in acts
+        if isinstance(a, api.SetWithdrawn) and a.withdrawn
+    }
     held = {s for t in world.tables.values() for s in t}
     assert again == {1, 2} & held != set()
 
@@ -305,7 +335,7 @@
 @pytest.mark.parametrize(("room", "sent"), [(1, 0), (2, 0), (3, 3), (9, 3)])
 def test_withdrawals_are_not_sent_one_by_one(room: int, sent: int) -> None:
     """Every message has a head for each proxy, so a wave's withdrawals wait for room for all of them."""
-    world = World(servers=(1, 2, 3, 4, 5), slices=20)
+    world = World(servers=(1, 2, 3, 4, 5), slice_count=20)
     world.run(5)
     director = world.director
     for sid in (1, 2, 3):
@@ -313,15 +343,17 @@
         director.servers[sid].lost_since = world.now
     plan = {n: [4] for n in world.tables}
     orders = director.shut_out(plan, sorted(plan), room * 3.0, -1.0)
-    assert [a for a in orders if isinstance(a, api.Withdraw) and a.out] == orders and len(orders) == sent
+    assert [a for a in orders if isinstance(a, api.SetWithdrawn) and a.withdrawn] == orders and len(
+        orders
+    ) == sent
     assert director.urgent == (sent < 3)
 
 
 def test_new_places_of_a_slice_on_a_cold_server_are_urgent() -> None:
-    world = World(slices=40, warm_within_s=60.0)
+    world = World(slice_count=40, slow_start_duration_s=60.0)
     world.heat = dict.fromkeys(world.heat, 0.8)
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(1, started=world.now),)))
+    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
     world.run(4)
     director = world.director
     kept = next(n for n in world.tables if 1 in world.main(n))
@@ -330,12 +362,12 @@
     director.actions, director.urgent, director.reported = [], True, world.now - 20.0  # reports are late
     director.next_publish = world.now + 1.0
     director.publish(plan | {kept: [*plan[kept], further]})
-    assert {a.table for a in director.actions if isinstance(a, api.SetLine)} == {kept}
+    assert {a.slice_id for a in director.actions if isinstance(a, api.SetWeight)} == {kept}
 
 
 def test_levels_rise_where_servers_are_less_busy_than_meant() -> None:
     """Refused clients come again and count in the heat, while the servers have room."""
-    world = World(admit="fraction")
+    world = World(admission_mode="fraction")
     world.heat = dict.fromkeys(world.heat, 16.0)
     world.run(12)
     low = min(world.director.levels.values())
@@ -363,14 +395,16 @@
 
 def test_a_slice_that_is_large_for_a_cold_server_is_not_sent_there() -> None:
     """A hot key shows first as such a slice, and would push the server over before the next report."""
-    world = World(servers=(1, 2, 3), slices=12)
+    world = World(servers=(1, 2, 3), slice_count=12)
     world.heat = dict.fromkeys(world.heat, 1.5) | {0: 5.0}  # slices 0, 3, 6 and 9 are at home on server 1
     world.heat |= {n: 6.0 for n in world.heat if n % 3}
     world.run(10)
-    world.tell(api.ServerList("delta", 2, (server(9, started=world.now - 0.5),)))  # good for 40% of 30 soon
+    world.tell(
+        api.EndpointListUpdate("delta", 2, (server(9, started=world.now - 0.5),))
+    )  # good for 40% of 30 soon
     world.capacity[9] = 12.0
     world.run(1)
-    world.tell(api.ServerList("delta", 3, (server(1, api.DRAINING),)))
+    world.tell(api.EndpointListUpdate("delta", 3, (server(1, api.DRAINING),)))
     world.run(1)
     assert 9 not in world.main(0)
     cold = [n for n in (3, 6, 9) if 9 in world.main(n)]
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -36,81 +36,81 @@
 
 
 def runtime(decider: Scripted, slices: int = 4) -> Runtime:
-    made = Runtime(settings(slices=slices), lambda _: decider)
+    made = Runtime(settings(slice_count=slices), lambda _: decider)
     for proxy in (0, 1):
         made.joined(0.0, proxy, proxy, 5.0, True)
-    made.news(0.0, m.News("cached", 1, []))
+    made.news(0.0, m.WatchEvent("cached", 1, []))
     return made
 
 
 def test_each_event_reaches_the_module() -> None:
     module = Scripted()
     r = runtime(module)
-    entry = m.Entry(5, 1, 2, 3, api.READY, 2.0, 1, 4.0, "127.0.0.1:9")
-    r.news(10.0, m.News("full", 3, [entry]))
-    r.charge(10.0, m.Charge(2, 7, 0, [m.Held(5, 0.5, "127.0.0.1:9")]))
+    entry = m.EndpointEntry(5, 1, 2, 3, api.READY, 2.0, 1, 4.0, "127.0.0.1:9")
+    r.news(10.0, m.WatchEvent("full", 3, [entry]))
+    r.charge(10.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 0.5, "127.0.0.1:9")]))
     r.left(10.0, 1)
     rest = (
-        api.Applied(0, 3, 0.1),
-        api.ProbeResult(5, 0, 0.1, ()),
-        api.LoadReport(0, 5, 2, 1, 0.1, 0.5, (1.0,)),
-        api.SliceHeat(2, 0, 4, 0, 0.5),
+        api.CheckpointAcknowledged(0, 3, 0.1),
+        api.HealthCheckResult(5, 0, 0.1, ()),
+        api.ServerLoadReport(0, 5, 2, 1, 0.1, 0.5, (1.0,)),
+        api.SliceLoadReport(2, 0, 4, 0, 0.5),
     )
     r.hear(10.0, *rest)
     r.taken(10.0, 2)
     r.taken(10.0, 3)  # never had: nothing to tell
     r.tick(10.0)
     assert module.heard == [
-        api.ServerList("cached", 1, ()),
-        api.ProxyJoined(0, 0, 5.0, True),
-        api.ProxyJoined(1, 1, 5.0, True),
-        api.ServerList("full", 3, (api.Server(5, 1, 2, 3, api.READY, 2.0, 6.0),)),
-        api.SliceCharge(2, True),
-        api.StoredLine(2, 5, 0.5),
-        api.ProxyLeft(1),
+        api.EndpointListUpdate("cached", 1, ()),
+        api.ProxyConnected(0, 0, 5.0, True),
+        api.ProxyConnected(1, 1, 5.0, True),
+        api.EndpointListUpdate("full", 3, (api.Endpoint(5, 1, 2, 3, api.READY, 2.0, 6.0),)),
+        api.OwnershipChanged(2, True),
+        api.StoredWeight(2, 5, 0.5),
+        api.ProxyDisconnected(1),
         *rest,
-        api.SliceCharge(2, False),
+        api.OwnershipChanged(2, False),
     ]
 
 
 def test_the_time_of_a_start_stays_for_a_life_and_changes_with_the_next() -> None:
     module = Scripted()
     r = runtime(module)
-    entry = m.Entry(5, 0, 0, 0, api.READY, 1.0, 1, 2.0)
-    r.news(10.0, m.News("delta", 1, [entry]))
-    r.news(11.0, m.News("delta", 2, [m.Entry(5, 0, 0, 0, api.DRAINING, 1.0, 1, 3.2)]))
-    r.news(20.0, m.News("delta", 3, [m.Entry(5, 0, 0, 0, api.READY, 1.0, 2, 1.0)]))
+    entry = m.EndpointEntry(5, 0, 0, 0, api.READY, 1.0, 1, 2.0)
+    r.news(10.0, m.WatchEvent("delta", 1, [entry]))
+    r.news(11.0, m.WatchEvent("delta", 2, [m.EndpointEntry(5, 0, 0, 0, api.DRAINING, 1.0, 1, 3.2)]))
+    r.news(20.0, m.WatchEvent("delta", 3, [m.EndpointEntry(5, 0, 0, 0, api.READY, 1.0, 2, 1.0)]))
     r.tick(20.0)
-    lists = [e for e in module.heard if isinstance(e, api.ServerList)]
-    assert [e.servers[0].started for e in lists[1:]] == [8.0, 8.0, 19.0]
+    lists = [e for e in module.heard if isinstance(e, api.EndpointListUpdate)]
+    assert [e.endpoints[0].started_at_s for e in lists[1:]] == [8.0, 8.0, 19.0]
 
 
 ORDERS = [
-    (api.SetLine(2, 5, 0.5), lambda o: o.lines == [m.Line(2, 5, 0.5, 7, "127.0.0.1:9")]),
-    (api.Withdraw(5, True), lambda o: o.out == [5] and not o.back),
-    (api.Withdraw(5, False), lambda o: o.back == [5] and not o.out),
-    (api.Admit(2, 1, 0.5, 1), lambda o: o.levels == [m.Level(2, 1, 0.5, 1)]),
+    (api.SetWeight(2, 5, 0.5), lambda o: o.weights == [m.WeightEntry(2, 5, 0.5, 7, "127.0.0.1:9")]),
+    (api.SetWithdrawn(5, True), lambda o: o.withdrawn_servers == [5] and not o.readmitted_servers),
+    (api.SetWithdrawn(5, False), lambda o: o.readmitted_servers == [5] and not o.withdrawn_servers),
+    (api.SetAdmission(2, 1, 0.5, 1), lambda o: o.admission_levels == [m.AdmissionLevel(2, 1, 0.5, 1)]),
 ]
 
 
 @pytest.mark.parametrize("action, shown", ORDERS)
 def test_each_order_becomes_one_message_a_proxy(action: api.Action, shown) -> None:  # type: ignore[no-untyped-def]
-    r = runtime(Scripted(action, api.Mark(9)))
-    r.charge(1.0, m.Charge(2, 7, 0, [m.Held(5, 1.0, "127.0.0.1:9")]))
+    r = runtime(Scripted(action, api.SendCheckpoint(9)))
+    r.charge(1.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0, "127.0.0.1:9")]))
     effects = r.tick(1.0)
     assert effects is not None and [p for p, _ in effects.orders] == [0, 1]
     for _, order in effects.orders:
-        assert shown(order) and order.mark == 9
-        assert order.cost == 2 + r.settings.channel_head_lines  # its own line, the mark, the head
-    assert bool(effects.writes) == isinstance(action, api.SetLine)
+        assert shown(order) and order.checkpoint_id == 9
+        assert order.channel_cost == 2 + r.settings.channel_header_entries  # its own line, the mark, the head
+    assert bool(effects.writes) == isinstance(action, api.SetWeight)
 
 
 def test_the_other_actions_become_effects() -> None:
     r = runtime(
         Scripted(
-            api.Probe(5),
-            api.WatchList(True),
-            api.Log("hm"),
+            api.SendHealthCheck(5),
+            api.WatchEndpoints(True),
+            api.LogMessage("hm"),
             api.SetTimer(0.5, 3),
         )
     )
@@ -121,18 +121,18 @@
 
 
 def test_nothing_is_told_before_a_list_so_that_no_table_is_emptied() -> None:
-    r = Runtime(settings(slices=4))
+    r = Runtime(settings(slice_count=4))
     r.joined(0.0, 0, 0, 5.0, True)
-    r.charge(0.0, m.Charge(2, 7, 0, [m.Held(5, 1.0)]))
-    r.hear(0.0, api.SliceHeat(2, 0, 4, 0, 0.5))
+    r.charge(0.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0)]))
+    r.hear(0.0, api.SliceLoadReport(2, 0, 4, 0, 0.5))
     for k in range(40):
-        r.news(k / 4, m.News("failed", -1))
+        r.news(k / 4, m.WatchEvent("failed", -1))
         assert r.tick(k / 4) is None and not r.busy()
-    entries = [m.Entry(s, 0, 0, 0, api.READY, 1.0, 1, -1.0) for s in (5, 6)]
-    r.news(11.0, m.News("full", 1, entries))
+    entries = [m.EndpointEntry(s, 0, 0, 0, api.READY, 1.0, 1, -1.0) for s in (5, 6)]
+    r.news(11.0, m.WatchEvent("full", 1, entries))
     for k in range(40):
         effects = r.tick(11.0 + k / 4)
-        assert effects is None or not any(x.weight == 0 and x.server == 5 for x in effects.writes)
+        assert effects is None or not any(x.weight == 0 and x.server_id == 5 for x in effects.writes)
     assert not r.busy()
 
 
@@ -144,18 +144,21 @@
     r.tick(1.2)
     r.tick(1.25)
     r.tick(1.5)
-    assert [e.name for e in module.heard if isinstance(e, api.TimerDue)] == [1, 2]
+    assert [e.timer_id for e in module.heard if isinstance(e, api.TimerFired)] == [1, 2]
 
 
 def test_lines_of_slices_not_in_charge_are_not_sent() -> None:
-    r = runtime(Scripted(api.SetLine(3, 5, 1.0)))
+    r = runtime(Scripted(api.SetWeight(3, 5, 1.0)))
     effects = r.tick(1.0)
     assert effects is not None and effects.orders == [] and effects.writes == []
 
 
-def list_body(number: int, version: int, form: int, servers: Sequence[api.Server]) -> bytes:
+def list_body(number: int, version: int, form: int, servers: Sequence[api.Endpoint]) -> bytes:
     rows = b"".join(
-        struct.pack("<IBHHBfd", s.id, s.zone, s.kind, s.cell, s.state, s.weight, s.started) for s in servers
+        struct.pack(
+            "<IBHHBfd", s.server_id, s.zone, s.server_type, s.cell, s.status, s.weight, s.started_at_s
+        )
+        for s in servers
     )
     listed = struct.pack("<BII", 14, number, len(servers)) + rows
     return listed + struct.pack("<BHIQB", 1, 0, number, version, form)
@@ -163,24 +166,34 @@
 
 def drill_event(event: api.Event) -> bytes:
     match event:
-        case api.ServerList():
-            form = {"delta": 0, "cached": 1, "full": 3}[event.kind]
-            return list_body(0, event.version, form, event.servers)
-        case api.TimerDue(name):
+        case api.EndpointListUpdate():
+            form = {"delta": 0, "cached": 1, "full": 3}[event.update_type]
+            return list_body(0, event.version, form, event.endpoints)
+        case api.TimerFired(name):
             return struct.pack("<BHI", 2, 0, name)
-        case api.ProxyJoined(proxy, zone, rate, fresh):
+        case api.ProxyConnected(proxy, zone, rate, fresh):
             return struct.pack("<BHHBfB", 6, 0, proxy, zone, rate, fresh)
-        case api.Applied(proxy, number, took):
+        case api.CheckpointAcknowledged(proxy, number, took):
             return struct.pack("<BHdHQ", 8, 0, took, proxy, number)
-        case api.LoadReport():
+        case api.ServerLoadReport():
             e = event
-            head = struct.pack("<BHBIIIdd", 9, 0, e.zone, e.server, e.tries, e.failed, e.mean_s, e.span_s)
-            return head + struct.pack(f"<B{len(e.values)}f", len(e.values), *e.values)
-        case api.SliceHeat(number, kind, count, bad, span):
+            head = struct.pack(
+                "<BHBIIIdd",
+                9,
+                0,
+                e.proxy_zone,
+                e.server_id,
+                e.attempts,
+                e.failed_attempts,
+                e.mean_latency_s,
+                e.interval_s,
+            )
+            return head + struct.pack(f"<B{len(e.load_values)}f", len(e.load_values), *e.load_values)
+        case api.SliceLoadReport(number, kind, count, bad, span):
             return struct.pack("<BHHHIId", 11, 0, number, kind, count, bad, span)
-        case api.SliceCharge(number, given):
+        case api.OwnershipChanged(number, given):
             return struct.pack("<BHHB", 12, 0, number, given)
-        case api.StoredLine(number, server, weight):
+        case api.StoredWeight(number, server, weight):
             return struct.pack("<BHfIH", 13, 0, weight, server, number)
     raise AssertionError(event)
 
@@ -197,78 +210,78 @@
         self.ordered = 0
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        due = {e.name for e in events if isinstance(e, api.TimerDue)}
+        due = {e.timer_id for e in events if isinstance(e, api.TimerFired)}
         body = b"".join(drill_event(e) for e in events)
         reply = self.host.answer(now, body)
-        lives: dict[int, list[m.Held]] = {}
+        lives: dict[int, list[m.TableEntry]] = {}
         for e in events:
-            if isinstance(e, api.StoredLine):
-                lives.setdefault(e.slice, []).append(m.Held(e.server, e.weight))
+            if isinstance(e, api.StoredWeight):
+                lives.setdefault(e.slice_id, []).append(m.TableEntry(e.server_id, e.weight))
         for e in events:
             match e:
-                case api.ServerList():
+                case api.EndpointListUpdate():
                     rows = [
-                        m.Entry(
-                            s.id,
+                        m.EndpointEntry(
+                            s.server_id,
                             s.zone,
-                            s.kind,
+                            s.server_type,
                             s.cell,
-                            s.state,
+                            s.status,
                             s.weight,
-                            int(s.started * 8),
-                            now - s.started if s.started else -1.0,
+                            int(s.started_at_s * 8),
+                            now - s.started_at_s if s.started_at_s else -1.0,
                         )
-                        for s in e.servers
+                        for s in e.endpoints
                     ]
-                    self.runtime.news(now, m.News(e.kind, e.version, rows))
-                case api.SliceCharge(number, True):
-                    self.runtime.charge(now, m.Charge(number, 1, 0, lives.get(number, [])))
-                case api.ProxyJoined(proxy, zone, rate, fresh):
+                    self.runtime.news(now, m.WatchEvent(e.update_type, e.version, rows))
+                case api.OwnershipChanged(number, True):
+                    self.runtime.charge(now, m.SliceOwnership(number, 1, 0, lives.get(number, [])))
+                case api.ProxyConnected(proxy, zone, rate, fresh):
                     self.runtime.joined(now, proxy, zone, rate, fresh)
-                case api.StoredLine() | api.TimerDue():
+                case api.StoredWeight() | api.TimerFired():
                     pass  # came with its charge; the runtime's own timers wake the module
                 case _:
                     self.runtime.hear(now, e)
         if due and self.runtime.next_timer() is None:
-            self.runtime.hear(now, *(api.TimerDue(name) for name in sorted(due)))
+            self.runtime.hear(now, *(api.TimerFired(name) for name in sorted(due)))
         effects = self.runtime.tick(now)
         assert effects is not None
         mine = frame([encode_action(0, action) for action in effects.actions])
         assert mine == reply, f"batch {self.batches} at {now}"
         self.batches += 1
-        self.ordered += any(isinstance(a, api.SetLine) for a in effects.actions)
+        self.ordered += any(isinstance(a, api.SetWeight) for a in effects.actions)
         return list(effects.actions)
 
 
 def test_the_runtime_gives_the_same_actions_as_the_drill_action_for_action() -> None:
     conf = dict(CONF, report={"names": ["busy"]})
-    family = dict(CONF["familyInfo"], slices=12, strikes=3, warmKeys=True)  # type: ignore[call-overload]
+    family = dict(CONF["familyInfo"], slice_count=12, strikes=3, warmKeys=True)  # type: ignore[call-overload]
     conf["familyInfo"] = family
-    world = World(slices=12)
+    world = World(slice_count=12)
     through = Through(conf)
     world.director = through
-    world.settings = replace(world.settings, slices=12)
-    servers = tuple(api.Server(s, 0, 0, 0, 1, 1.0, 0.0) for s in (1, 2, 3, 4))
-    events: list[api.Event] = [api.ServerList("cached", 1, servers)]
-    events += [api.ProxyJoined(p, 0, 10.0, True) for p in range(3)]
+    world.settings = replace(world.settings, slice_count=12)
+    servers = tuple(api.Endpoint(s, 0, 0, 0, 1, 1.0, 0.0) for s in (1, 2, 3, 4))
+    events: list[api.Event] = [api.EndpointListUpdate("cached", 1, servers)]
+    events += [api.ProxyConnected(p, 0, 10.0, True) for p in range(3)]
     for number in range(12):
-        events += [api.SliceCharge(number, True), api.StoredLine(number, 1 + number % 4, 1.0)]
-    world.tell(*events, api.TimerDue(1))
+        events += [api.OwnershipChanged(number, True), api.StoredWeight(number, 1 + number % 4, 1.0)]
+    world.tell(*events, api.TimerFired(1))
     world.run(6)
     world.mute = {2}
     world.heat[3] = 40.0
     world.run(8)
-    gone = api.Server(3, 0, 0, 0, api.GONE, 1.0, 0.0)
-    world.tell(api.ServerList("delta", 2, (gone,)))
+    gone = api.Endpoint(3, 0, 0, 0, api.GONE, 1.0, 0.0)
+    world.tell(api.EndpointListUpdate("delta", 2, (gone,)))
     world.mute = set()
     world.run(5)
-    world.tell(api.ServerList("delta", 3, (api.Server(3, 0, 0, 0, 1, 1.0, world.now - 0.5),)))
+    world.tell(api.EndpointListUpdate("delta", 3, (api.Endpoint(3, 0, 0, 0, 1, 1.0, world.now - 0.5),)))
     world.run(12)
     assert through.batches > 100 and through.ordered > 10
 
 
-def order(at: float, cost: float = 10.0) -> m.Order:
-    return m.Order(1, at, cost)
+def order(at: float, cost: float = 10.0) -> m.ProxyUpdate:
+    return m.ProxyUpdate(1, at, cost)
 
 
 def test_messages_leave_in_order_at_the_stated_pace() -> None:
@@ -320,18 +333,18 @@
 
 def test_sums_add_up_whatever_the_report_lines_allow() -> None:
     gather = Gatherer(lines_per_s=4.0)
-    heard: list[api.LoadReport] = []
+    heard: list[api.ServerLoadReport] = []
     for step in range(40):
         now = 10 + step * 0.5
         for proxy in range(3):
-            rows = [m.ServerSum(s, 2, 1, 0.5, [float(s)]) for s in range(5)]
-            gather.add(now, proxy % 2, m.Sums(0.5, rows if step < 20 else [], []))
+            rows = [m.ServerUsage(s, 2, 1, 0.5, [float(s)]) for s in range(5)]
+            gather.add(now, proxy % 2, m.UsageReport(0.5, rows if step < 20 else [], []))
         events = gather.take(now)
         assert len(events) <= 4
-        heard += [e for e in events if isinstance(e, api.LoadReport)]
-    assert sum(e.tries for e in heard) == 20 * 3 * 5 * 2
-    assert sum(e.failed for e in heard) == 20 * 3 * 5
-    assert {(e.zone, e.server) for e in heard[:10]} == {
+        heard += [e for e in events if isinstance(e, api.ServerLoadReport)]
+    assert sum(e.attempts for e in heard) == 20 * 3 * 5 * 2
+    assert sum(e.failed_attempts for e in heard) == 20 * 3 * 5
+    assert {(e.proxy_zone, e.server_id) for e in heard[:10]} == {
         (z, s) for z in (0, 1) for s in range(5)
     }  # all take turns
-    assert all(e.mean_s == pytest.approx(0.5) for e in heard)
+    assert all(e.mean_latency_s == pytest.approx(0.5) for e in heard)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -27,28 +27,30 @@
 
 
 def moved(order: m.AnyMessage, server: int) -> bool:
-    return isinstance(order, m.Order) and any(x.server == server and x.weight == 0 for x in order.lines)
+    return isinstance(order, m.ProxyUpdate) and any(
+        x.server_id == server and x.weight == 0 for x in order.weights
+    )
 
 
 def shut(order: m.AnyMessage, server: int) -> bool:
-    return moved(order, server) or (isinstance(order, m.Order) and server in order.out)
+    return moved(order, server) or (isinstance(order, m.ProxyUpdate) and server in order.withdrawn_servers)
 
 
 def test_a_drain_told_by_the_list_reaches_store_and_proxies(around: Around) -> None:
     with around.assigner():
         store, listed = around.store.accept("store"), around.list.accept("list")
-        listed.until(lambda x: isinstance(x, m.Watch))
-        listed.send(m.News("full", 1, servers(1, 1, 1)))
+        listed.until(lambda x: isinstance(x, m.WatchRequest))
+        listed.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
         proxies = [around.proxy(p) for p in range(2)]
         store.send(charges())
         time.sleep(0.5)
-        listed.send(m.News("delta", 2, servers(2)[:1]))
+        listed.send(m.WatchEvent("delta", 2, servers(2)[:1]))
         orders = [proxy.until(lambda x: shut(x, 0)) for proxy in proxies]
         assert orders[0] == orders[1]  # one order, one message a proxy
-        targets = {x.server for x in orders[0].lines if x.weight > 0}
-        assert targets and targets <= {1, 2} and all(x.address for x in orders[0].lines if x.weight > 0)
-        write = store.until(lambda x: isinstance(x, m.Write))
-        assert {x.table for x in write.lines} <= set(range(8)) and write.lines[0].token >= 1
+        targets = {x.server_id for x in orders[0].weights if x.weight > 0}
+        assert targets and targets <= {1, 2} and all(x.address for x in orders[0].weights if x.weight > 0)
+        write = store.until(lambda x: isinstance(x, m.WriteRequest))
+        assert {x.slice_id for x in write.weights} <= set(range(8)) and write.weights[0].fencing_token >= 1
 
 
 def test_a_late_list_empties_no_table(around: Around) -> None:
@@ -59,16 +61,18 @@
         with pytest.raises(TimeoutError):
             proxy.read(1.5)  # no list, no order
         listed = around.list.accept("list")
-        listed.send(m.News("full", 1, servers(1, 1)))
+        listed.send(m.WatchEvent("full", 1, servers(1, 1)))
         with pytest.raises(TimeoutError):
-            proxy.until(lambda x: isinstance(x, m.Order) and any(ln.weight == 0 for ln in x.lines), 1.5)
+            proxy.until(
+                lambda x: isinstance(x, m.ProxyUpdate) and any(ln.weight == 0 for ln in x.weights), 1.5
+            )
 
 
 def test_a_list_source_down_at_start_is_stood_in_for_by_the_cache(around: Around) -> None:
     with around.assigner():
         around.store.accept("store")
         listed = around.list.accept("list")
-        listed.send(m.News("full", 7, servers(1, 2, 1)))
+        listed.send(m.WatchEvent("full", 7, servers(1, 2, 1)))
         end = time.monotonic() + 10
         while not Path(around.section["list_cache"]).exists():
             assert time.monotonic() < end
@@ -81,15 +85,17 @@
         assert proxy.until(lambda x: shut(x, 1))
         around.list.open()
         listed = around.list.accept("list")
-        assert listed.until(lambda x: isinstance(x, m.Watch)).since == 7  # what was missed is asked for
-        listed.send(m.News("delta", 8, servers(2, 1, 2)))
+        assert (
+            listed.until(lambda x: isinstance(x, m.WatchRequest)).since_version == 7
+        )  # what was missed is asked for
+        listed.send(m.WatchEvent("delta", 8, servers(2, 1, 2)))
         assert proxy.until(lambda x: shut(x, 0) or shut(x, 2))
 
 
 def test_a_broken_cache_is_told_and_left_aside(around: Around) -> None:
     Path(around.section["list_cache"]).write_text('{"version":1,"at":0,"news":{"t":"news","kind"')
     with around.assigner():
-        around.list.accept("list").send(m.News("full", 1, servers(1)))
+        around.list.accept("list").send(m.WatchEvent("full", 1, servers(1)))
         around.proxy(0)
     assert any(row["event"] == "list_cache_unread" for row in around.log())
 
@@ -100,7 +106,7 @@
     (encode(m.Hello(1, "proxy", 1, 0, "other")) + b"\n", "deployment 'other'"),
     (encode(m.Hello(1, "king", 1, 0, "t")) + b"\n", "role 'king'"),
     (encode(m.Hello(1, "proxy", 70000, 0, "t")) + b"\n", "70000"),
-    (encode(m.Applied(1)) + b"\n", "must be a Hello"),
+    (encode(m.CheckpointReply(1)) + b"\n", "must be a Hello"),
     (encode(m.Hello(1, "proxy", 1, 0, "t")) + b'\n{"t":"sums","span_s":"x"}\n', "span_s"),
     (
         encode(m.Hello(1, "proxy", 1, 0, "t")) + b'\n{"t":"write","batch":1,"lines":[]}\n',
@@ -112,7 +118,7 @@
 
 def test_damaged_frames_close_their_own_stream_with_a_reason(around: Around) -> None:
     with around.assigner():
-        around.list.accept("list").send(m.News("full", 1, servers(1, 1)))
+        around.list.accept("list").send(m.WatchEvent("full", 1, servers(1, 1)))
         good = around.proxy(0)
         for data, words in DAMAGE:
             line = dial(around.port)
@@ -120,13 +126,13 @@
                 line.raw(data)
             except OSError:
                 continue
-            refusal = line.until(lambda x: isinstance(x, m.Refuse))
+            refusal = line.until(lambda x: isinstance(x, m.ConnectionRejected))
             assert words in refusal.reason
             assert line.read() is None
         half = dial(around.port)
         half.raw(encode(m.Hello(1, "proxy", 5, 0, "t"))[:20])
         half.close()
-        good.send(m.Applied(1))
+        good.send(m.CheckpointReply(1))
         with pytest.raises(TimeoutError):
             good.read(0.3)  # the good stream stands
 
@@ -138,8 +144,8 @@
     count = min(2000, (hard if hard > 0 else soft) - 300)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, count + 200)), hard))
     with around.assigner(deployment={"proxies": "2000"}):
-        around.list.accept("list").send(m.News("full", 1, servers(1, 1)))
-        lines = [dial(around.port, m.Hello(m.VERSION, "proxy", p, 0, "t")) for p in range(count)]
+        around.list.accept("list").send(m.WatchEvent("full", 1, servers(1, 1)))
+        lines = [dial(around.port, m.Hello(m.PROTOCOL_VERSION, "proxy", p, 0, "t")) for p in range(count)]
         greeted = sum(isinstance(line.read(), m.Welcome) for line in lines)
         for line in lines:
             line.close()
@@ -159,7 +165,7 @@
     with around.assigner() as running:
         around.store.accept("store").send(charges())
         listed = around.list.accept("list")
-        listed.send(m.News("full", 1, servers(1, 1)))
+        listed.send(m.WatchEvent("full", 1, servers(1, 1)))
         proxy = around.proxy(0)
         time.sleep(0.4)
         running.kill()
@@ -167,10 +173,10 @@
     with around.assigner():
         around.store.accept("store").send(charges(server=1, token=100))
         listed = around.list.accept("list")
-        listed.send(m.News("full", 2, servers(1, 2)))
+        listed.send(m.WatchEvent("full", 2, servers(1, 2)))
         proxy = around.proxy(0, fresh=False)
         order = proxy.until(lambda x: shut(x, 1))
-        assert all(x.token >= 100 for x in order.lines if x.server == 1)
+        assert all(x.fencing_token >= 100 for x in order.weights if x.server_id == 1)
 
 
 @pytest.fixture
@@ -186,16 +192,16 @@
 
 
 def assigner_at(port: int, number: int) -> Line:
-    line = dial(port, m.Hello(m.VERSION, "assigner", number, 0, "t"))
+    line = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", number, 0, "t"))
     line.until(lambda x: isinstance(x, m.Welcome))
     return line
 
 
-def given(line: Line, count: int) -> dict[int, m.Charge]:
-    found: dict[int, m.Charge] = {}
+def given(line: Line, count: int) -> dict[int, m.SliceOwnership]:
+    found: dict[int, m.SliceOwnership] = {}
     while len(found) < count:
-        for charge in line.until(lambda x: isinstance(x, m.Charges)).charges:
-            found[charge.slice] = charge
+        for charge in line.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships:
+            found[charge.slice_id] = charge
     return found
 
 
@@ -204,37 +210,46 @@
     first, second = assigner_at(port, 0), assigner_at(port, 1)
     mine = given(first, 4)
     assert set(mine) == {0, 2, 4, 6} and set(given(second, 4)) == {1, 3, 5, 7}
-    proxy = dial(port, m.Hello(m.VERSION, "proxy", 0, 0, "t"))
-    proxy.send(m.Read())
+    proxy = dial(port, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
+    proxy.send(m.ReadRequest())
     assert set(given(proxy, 8)) == set(range(8))
     first.mute = True
     # It is silent, as a stopped process is: the store gives its slices to the other, and tells the proxies.
     deadline = time.monotonic() + 10
-    taken: dict[int, m.Charge] = {}
+    taken: dict[int, m.SliceOwnership] = {}
     while set(taken) != {0, 2, 4, 6}:
         assert time.monotonic() < deadline
         try:
             message = second.read(0.2)
         except TimeoutError:
             continue
-        if isinstance(message, m.Charges):
-            taken.update({c.slice: c for c in message.charges})
-    assert all(taken[n].token > mine[n].token and taken[n].lines == mine[n].lines for n in taken)
-    news = {c.slice: c for c in proxy.until(lambda x: isinstance(x, m.Charges)).charges}
-    assert {n: c.assigner for n, c in news.items()} == dict.fromkeys((0, 2, 4, 6), 1)
+        if isinstance(message, m.SliceOwnerships):
+            taken.update({c.slice_id: c for c in message.ownerships})
+    assert all(
+        taken[n].fencing_token > mine[n].fencing_token and taken[n].entries == mine[n].entries for n in taken
+    )
+    news = {c.slice_id: c for c in proxy.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships}
+    assert {n: c.owner_id for n, c in news.items()} == dict.fromkeys((0, 2, 4, 6), 1)
     # Awake again, it dials; its slices are given back, and a write with its old token changes nothing.
     again = assigner_at(port, 0)
     back = given(again, 4)
     again.send(
-        m.Write(1, [m.Line(0, 9, 1.0, mine[0].token), m.Line(1, 9, 1.0, 0), m.Line(2, 8, 1.0, back[2].token)])
+        m.WriteRequest(
+            1,
+            [
+                m.WeightEntry(0, 9, 1.0, mine[0].fencing_token),
+                m.WeightEntry(1, 9, 1.0, 0),
+                m.WeightEntry(2, 8, 1.0, back[2].fencing_token),
+            ],
+        )
     )
-    refused = {again.until(lambda x: isinstance(x, m.Refused)).slice for _ in range(2)}
+    refused = {again.until(lambda x: isinstance(x, m.WriteRejected)).slice_id for _ in range(2)}
     assert refused == {0, 1}
-    proxy.until(lambda x: isinstance(x, m.Charges))  # that it was given back
-    proxy.send(m.Read())
+    proxy.until(lambda x: isinstance(x, m.SliceOwnerships))  # that it was given back
+    proxy.send(m.ReadRequest())
     tables = given(proxy, 8)
-    assert [h.server for h in tables[0].lines] == [0]
-    assert sorted(h.server for h in tables[2].lines) == [2, 8]
+    assert [h.server_id for h in tables[0].entries] == [0]
+    assert sorted(h.server_id for h in tables[2].entries) == [2, 8]
 
 
 def test_a_stopped_store_is_missed_and_found_again(around: Around, store: Any) -> None:
@@ -242,20 +257,20 @@
     around.section["store"] = f"127.0.0.1:{port}"
     with around.assigner():
         listed = around.list.accept("list")
-        listed.send(m.News("full", 1, servers(1, 1, 1)))
+        listed.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
         proxy = around.proxy(0)
         time.sleep(0.5)
         running.send_signal(signal.SIGSTOP)
-        listed.send(m.News("delta", 2, servers(2)[:1]))
+        listed.send(m.WatchEvent("delta", 2, servers(2)[:1]))
         assert proxy.until(lambda x: shut(x, 0))  # proxies are told though the store is not there
         time.sleep(2.6)
         running.send_signal(signal.SIGCONT)
-        reader = dial(port, m.Hello(m.VERSION, "proxy", 1, 0, "t"))
+        reader = dial(port, m.Hello(m.PROTOCOL_VERSION, "proxy", 1, 0, "t"))
         end = time.monotonic() + 10
         while True:
-            reader.send(m.Read())
+            reader.send(m.ReadRequest())
             tables = given(reader, 8)
-            if all(any(h.server != 0 for h in tables[n].lines) for n in (0, 3, 6)):
+            if all(any(h.server_id != 0 for h in tables[n].entries) for n in (0, 3, 6)):
                 break
             assert time.monotonic() < end, "the store never heard what was ordered while it was away"
             time.sleep(0.3)
@@ -279,27 +294,29 @@
 def test_an_operators_order_stands_in_the_store_for_whoever_joins(tmp_path: Path) -> None:
     port = PORTS.take()
     with process(tmp_path, "store", {"listen": f"127.0.0.1:{port}"}):
-        here = dial(port, m.Hello(m.VERSION, "assigner", 0, 0, "t"))
+        here = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 0, 0, "t"))
         here.until(lambda x: isinstance(x, m.Welcome))
         done = zone(tmp_path, ["drain", "b", "--pace", "2"], port)
         assert (done.returncode, "zone b: drain, pace 2" in done.stdout) == (0, True), done.stderr
-        told = here.until(lambda x: isinstance(x, m.Hands)).hands
-        later = dial(port, m.Hello(m.VERSION, "assigner", 1, 1, "t"))
-        assert later.until(lambda x: isinstance(x, m.Hands)).hands == told
-        assert [(h.zone, h.what, h.pace, h.number) for h in told] == [(1, "drain", 2.0, 1)]
+        told = here.until(lambda x: isinstance(x, m.ZoneCommands)).commands
+        later = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 1, 1, "t"))
+        assert later.until(lambda x: isinstance(x, m.ZoneCommands)).commands == told
+        assert [(h.zone, h.operation, h.pace, h.sequence) for h in told] == [(1, "drain", 2.0, 1)]
         assert "zone 'c' is unknown; allowed: a, b" in zone(tmp_path, ["hold", "c"], port).stderr
         # The wire is not trusted to have been checked by the command, and a proxy has no hand.
         for role, hand in (
-            ("operator", m.Hand(7, "hold")),
-            ("operator", m.Hand(0, "hold", 99.0)),
-            ("proxy", m.Hand(0, "hold")),
+            ("operator", m.ZoneCommand(7, "hold")),
+            ("operator", m.ZoneCommand(0, "hold", 99.0)),
+            ("proxy", m.ZoneCommand(0, "hold")),
         ):
-            stranger = dial(port, m.Hello(m.VERSION, role, 0, 0, "t"))
+            stranger = dial(port, m.Hello(m.PROTOCOL_VERSION, role, 0, 0, "t"))
             stranger.until(lambda x: isinstance(x, m.Welcome))
             stranger.send(hand)
-            assert stranger.until(lambda x: isinstance(x, m.Refuse)).reason
+            assert stranger.until(lambda x: isinstance(x, m.ConnectionRejected)).reason
         zone(tmp_path, ["return", "b"], port)
-        assert [h.what for h in here.until(lambda x: isinstance(x, m.Hands)).hands] == ["return"]
+        assert [h.operation for h in here.until(lambda x: isinstance(x, m.ZoneCommands)).commands] == [
+            "return"
+        ]
 
 
 def test_a_held_zone_is_emptied_and_shown_and_the_order_outlives_the_assigner(
@@ -308,21 +325,23 @@
     for _ in range(2):  # the second life has it from the store
         with around.assigner(reports={"names": "busy"}):
             store, listed = around.store.accept("store"), around.list.accept("list")
-            listed.until(lambda x: isinstance(x, m.Watch))
-            listed.send(m.News("full", 1, servers(1, 1, 1, 1)))
+            listed.until(lambda x: isinstance(x, m.WatchRequest))
+            listed.send(m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
             proxy = around.proxy(0)
             store.send(charges(server=0))
-            store.send(m.Hands([m.Hand(0, "hold", 1.0, "me", 1)]))
-            heat = [m.SliceSum(n, 0, 5, 0) for n in range(8)]
+            store.send(m.ZoneCommands([m.ZoneCommand(0, "hold", 1.0, "me", 1)]))
+            heat = [m.SliceUsage(n, 0, 5, 0) for n in range(8)]
             gone: set[int] = set()
             end = time.monotonic() + 15
             while len(gone) < 8:
                 assert time.monotonic() < end
-                proxy.send(m.Sums(0.5, [m.ServerSum(0, 40, 0, 2.0, [0.2])], heat))
+                proxy.send(m.UsageReport(0.5, [m.ServerUsage(0, 40, 0, 2.0, [0.2])], heat))
                 with contextlib.suppress(TimeoutError):
-                    order = proxy.until(lambda x: isinstance(x, m.Order), 0.5)
-                    assert all(line.server % 2 for line in order.lines if line.weight >= 1)
-                    gone |= {line.table for line in order.lines if line.server == 0 and line.weight == 0}
+                    order = proxy.until(lambda x: isinstance(x, m.ProxyUpdate), 0.5)
+                    assert all(line.server_id % 2 for line in order.weights if line.weight >= 1)
+                    gone |= {
+                        line.slice_id for line in order.weights if line.server_id == 0 and line.weight == 0
+                    }
             shown = zone(tmp_path, ["show"], around.store.port, f"127.0.0.1:{around.port}")
             assert shown.returncode == 0 and "drained" in shown.stdout and "by hand: hold" in shown.stdout
     nobody = zone(tmp_path, ["show"], around.store.port, f"127.0.0.1:{around.port}")
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -22,18 +22,19 @@
         self.ready = set(servers)
         self.held = {k: list(range(k * EACH, (k + 1) * EACH)) for k in range(5)}
         self.directors = [
-            Director(settings(instance=k, instances=5, slices=5 * EACH, **changes)) for k in range(5)
+            Director(settings(assigner_index=k, assigner_count=5, slice_count=5 * EACH, **changes))
+            for k in range(5)
         ]
         self.lowest = 1.0  # level ordered
         self.answered = 1.0  # part of what came that was answered so far
         entries = tuple(server(s) for s in servers)
         for k, director in enumerate(self.directors):
             events: list[api.Event] = [
-                api.ServerList("cached", 1, entries),
-                api.ProxyJoined(0, 0, 10.0, True),
+                api.EndpointListUpdate("cached", 1, entries),
+                api.ProxyConnected(0, 0, 10.0, True),
             ]
             for n in self.mine(k):
-                events += [api.SliceCharge(n, True), api.StoredLine(n, self.on[n], 1.0)]
+                events += [api.OwnershipChanged(n, True), api.StoredWeight(n, self.on[n], 1.0)]
             director.handle(self.now, events)
 
     def mine(self, k: int) -> list[int]:
@@ -42,7 +43,9 @@
     def kill(self, k: int, heir: int) -> None:
         """Its slices go to another, with their tables."""
         for n in self.held[k]:
-            self.hear(self.directors[heir], api.SliceCharge(n, True), api.StoredLine(n, self.on[n], 1.0))
+            self.hear(
+                self.directors[heir], api.OwnershipChanged(n, True), api.StoredWeight(n, self.on[n], 1.0)
+            )
         self.held[heir] += self.held[k]
         self.held[k] = []
 
@@ -54,33 +57,33 @@
             self.now += 0.25
             for k, director in enumerate(self.directors):
                 came = round(self.heat * 10)
-                events: list[api.Event] = [api.SliceHeat(n, 0, came, 0, 10.0) for n in self.mine(k)]
+                events: list[api.Event] = [api.SliceLoadReport(n, 0, came, 0, 10.0) for n in self.mine(k)]
                 for sid in sorted(self.ready):
                     tries, total = self.load(sid, self.mine(k)), self.load(sid, range(5 * EACH))
                     tries *= self.answered
                     good = tries * min(1.0, 30.0 / max(total, 1.0))
-                    values = (min(1.0, total / 30.0),) if director.set.report_names else ()
+                    values = (min(1.0, total / 30.0),) if director.set.load_value_names else ()
                     counts = round(tries * 10), round((tries - good) * 10)
-                    events.append(api.LoadReport(0, sid, *counts, 0.2, 10.0, values))
-                self.hear(director, *events, api.TimerDue(1))
+                    events.append(api.ServerLoadReport(0, sid, *counts, 0.2, 10.0, values))
+                self.hear(director, *events, api.TimerFired(1))
 
     def hear(self, director: Director, *events: api.Event) -> None:
         for action in director.handle(self.now, events):
-            if isinstance(action, api.SetLine) and action.weight >= 1:
-                self.on[action.table] = action.server
-            if isinstance(action, api.Admit):
-                self.lowest = min(self.lowest, action.level)
-
-    def tell(self, *entries: api.Server) -> None:
-        self.ready = {s for s in self.ready if s not in {e.id for e in entries}}
-        self.ready |= {e.id for e in entries if e.state == api.READY}
+            if isinstance(action, api.SetWeight) and action.weight >= 1:
+                self.on[action.slice_id] = action.server_id
+            if isinstance(action, api.SetAdmission):
+                self.lowest = min(self.lowest, action.fraction)
+
+    def tell(self, *entries: api.Endpoint) -> None:
+        self.ready = {s for s in self.ready if s not in {e.server_id for e in entries}}
+        self.ready |= {e.server_id for e in entries if e.status == api.READY}
         for director in self.directors:
-            self.hear(director, api.ServerList("delta", 2, entries))
+            self.hear(director, api.EndpointListUpdate("delta", 2, entries))
 
 
 def test_where_nothing_tells_load_an_idle_fleet_refuses_nobody() -> None:
     """No load reports, and most servers hold no slice of one assigner; the start brings heat before answers."""
-    fleet = Fleet(heat=3.5, servers=range(1, 41), report_names=(), admit="fraction")
+    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode="fraction")
     before = dict(fleet.on)
     for fleet.answered in (0.0, 0.3, 0.6):  # at the start heat comes first, and answers late
         fleet.run(0.25)
@@ -92,14 +95,14 @@
 
 
 def test_nobody_is_refused_before_anything_told_what_servers_can_do() -> None:
-    fleet = Fleet(heat=3.5, servers=range(1, 41), report_names=(), admit="fraction")
+    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode="fraction")
     fleet.answered = 0.0
     fleet.run(6)
     assert fleet.lowest == 1.0
 
 
 def test_where_nothing_tells_load_a_new_server_is_not_taken_for_as_full_as_the_rest() -> None:
-    fleet = Fleet(heat=8.0, servers=range(1, 21), report_names=())
+    fleet = Fleet(heat=8.0, servers=range(1, 21), load_value_names=())
     fleet.run(10)
     fleet.tell(*(server(s, started=fleet.now) for s in range(21, 31)))
     fleet.run(0.5)
@@ -109,7 +112,7 @@
 
 
 def test_where_nothing_tells_load_a_crowd_is_refused_in_part() -> None:
-    fleet = Fleet(heat=3.5, servers=range(1, 41), report_names=(), admit="fraction")
+    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode="fraction")
     fleet.run(10)
     fleet.heat = 60.0  # 90 on servers that can do 30
     fleet.run(10)
@@ -138,26 +141,26 @@
     for held in (1, count):
         owners = []
         for k in range(count):
-            director = Director(settings(instance=k, instances=count, slices=4 * count))
-            director.handle(START, [api.SliceCharge(n, True) for n in range(4 * held)])
+            director = Director(settings(assigner_index=k, assigner_count=count, slice_count=4 * count))
+            director.handle(START, [api.OwnershipChanged(n, True) for n in range(4 * held)])
             owners.append([director.ours(sid) for sid in range(500)])
         assert {sum(each) for each in zip(*owners, strict=True)} == {held}
 
 
 def test_who_brings_a_full_server_most_of_its_load_sheds_most_of_it() -> None:
-    world = World(servers=tuple(range(1, 9)), instances=5, slices=48, report_names=("busy",))
+    world = World(servers=tuple(range(1, 9)), assigner_count=5, slice_count=48, load_value_names=("busy",))
     world.heat = {n: 10.0 if world.tables[n] == {1: 1.0} else 0.5 for n in world.heat}
     world.run(2)
     assert sum(world.heat[n] for n in world.tables if world.main(n) == {1}) <= 30.0
 
 
 def test_a_stream_of_urgent_changes_does_not_put_ordinary_ones_off_for_ever() -> None:
-    world = World(servers=tuple(range(1, 25)), instances=5, slices=96, report_names=("busy",))
+    world = World(servers=tuple(range(1, 25)), assigner_count=5, slice_count=96, load_value_names=("busy",))
     world.run(10)
     for sid in range(2, 16):  # a server drains each half second
         if sid == 4:
             world.heat = {n: 10.0 if world.main(n) == {1} else 0.5 for n in world.heat}
-        world.tell(api.ServerList("delta", sid, (server(sid, api.DRAINING),)))
+        world.tell(api.EndpointListUpdate("delta", sid, (server(sid, api.DRAINING),)))
         world.run(0.5)
     assert (
         sum(world.main(n) == {1} for n in world.tables if world.heat[n] > 1) <= 1
@@ -166,32 +169,34 @@
 
 @pytest.mark.parametrize("left", [0, 4])
 def test_answers_of_slices_that_were_taken_raise_no_capacity(left: int) -> None:
-    world = World(servers=tuple(range(1, 9)), instances=5, slices=48)
+    world = World(servers=tuple(range(1, 9)), assigner_count=5, slice_count=48)
     world.heat = dict.fromkeys(world.heat, 3.0)
     world.run(20)
     before = world.director.capacity(1)
-    world.tell(*(api.SliceCharge(n, False) for n in range(left, 48)))
+    world.tell(*(api.OwnershipChanged(n, False) for n in range(left, 48)))
     for step in range(160):
         world.now += 0.25
         # Reports of before still come for 4 s, late; then those of what is left.
         met = range(1, 9) if step < 16 and not left else range(1, left + 1)
         rate = 18 if step < 16 and not left else 3
-        told = [api.LoadReport(0, sid, 10 * rate, 0, 0.2, 10.0, (0.6,)) for sid in met]
-        world.tell(*told, api.TimerDue(1))
+        told = [api.ServerLoadReport(0, sid, 10 * rate, 0, 0.2, 10.0, (0.6,)) for sid in met]
+        world.tell(*told, api.TimerFired(1))
         assert 0.6 * before < world.director.capacity(1) < 1.6 * before
 
 
 def test_what_others_found_out_counts_until_it_is_found_out_here() -> None:
-    fresh = Director(settings(instances=3))
-    fresh.handle(START, [api.ServerList("cached", 1, (server(1), server(2)))])
-    fresh.handle(START, [api.SecondHand(-1, capacity=7.0), api.SecondHand(1, level=0)])
+    fresh = Director(settings(assigner_count=3))
+    fresh.handle(START, [api.EndpointListUpdate("cached", 1, (server(1), server(2)))])
+    fresh.handle(
+        START, [api.PeerObservation(-1, capacity_per_s=7.0), api.PeerObservation(1, recovery_level=0)]
+    )
     assert fresh.findings() == (7.0, {1: 0})
-    fresh.handle(START, [api.SecondHand(-1, capacity=9.0)])
+    fresh.handle(START, [api.PeerObservation(-1, capacity_per_s=9.0)])
     assert (
         fresh.findings()[0] == 7.0
     )  # one copy is as good as the other, and none takes the place of what stands
-    world = World(instances=3)
+    world = World(assigner_count=3)
     world.run(20)
     own = world.director.findings()
-    world.tell(api.SecondHand(-1, capacity=900.0), api.SecondHand(1, level=0))
+    world.tell(api.PeerObservation(-1, capacity_per_s=900.0), api.PeerObservation(1, recovery_level=0))
     assert own[0] and world.director.findings() == own
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -30,20 +30,20 @@
 
 
 def state(number: int, token: int) -> SliceState:
-    return SliceState(number, 0, token, token, [m.Held(token % 7, 1.0, "127.0.0.1:9000")])
+    return SliceState(number, 0, token, token, [m.TableEntry(token % 7, 1.0, "127.0.0.1:9000")])
 
 
 def made(revision: int) -> Change:
     """A commit that is the same whenever it is made."""
     rng = random.Random(revision)
     numbers = sorted(rng.sample(range(60), rng.randint(1, 25)))
-    hands = (m.Hand(0, "hold", 1.0, "x", revision),) if rng.random() < 0.2 else ()
+    hands = (m.ZoneCommand(0, "hold", 1.0, "x", revision),) if rng.random() < 0.2 else ()
     return Change(revision, revision, tuple(state(n, revision) for n in numbers), hands)
 
 
-def image_of(last: int) -> tuple[dict[int, SliceState], dict[int, m.Hand]]:
+def image_of(last: int) -> tuple[dict[int, SliceState], dict[int, m.ZoneCommand]]:
     slices: dict[int, SliceState] = {}
-    hands: dict[int, m.Hand] = {}
+    hands: dict[int, m.ZoneCommand] = {}
     for revision in range(1, last + 1):
         slices |= {s.slice: s for s in made(revision).slices}
         hands |= {h.zone: h for h in made(revision).hands}
@@ -213,33 +213,38 @@
         with process(self.tmp, "store", section) as found:
             yield found
 
-    def assigner(self, number: int = 0, token: int = 0, life: int = 1) -> tuple[Line, dict[int, m.Charge]]:
-        line = dial(self.port, m.Hello(m.VERSION, "assigner", number, 0, "t", start=life, token=token))
-        found: dict[int, m.Charge] = {}
+    def assigner(
+        self, number: int = 0, token: int = 0, life: int = 1
+    ) -> tuple[Line, dict[int, m.SliceOwnership]]:
+        line = dial(
+            self.port,
+            m.Hello(m.PROTOCOL_VERSION, "assigner", number, 0, "t", incarnation=life, highest_token=token),
+        )
+        found: dict[int, m.SliceOwnership] = {}
         while len(found) < 4:
-            message = line.until(lambda x: isinstance(x, m.Charges))
-            found |= {c.slice: c for c in message.charges if c.assigner == number}
+            message = line.until(lambda x: isinstance(x, m.SliceOwnerships))
+            found |= {c.slice_id: c for c in message.ownerships if c.owner_id == number}
         return line, found
 
-    def read(self, since: int = -1, identity: str = "") -> tuple[dict[int, m.Charge], m.ReadEnd]:
-        line = dial(self.port, m.Hello(m.VERSION, "proxy", 0, 0, "t"))
+    def read(self, since: int = -1, identity: str = "") -> tuple[dict[int, m.SliceOwnership], m.ReadComplete]:
+        line = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
         line.until(lambda x: isinstance(x, m.Welcome))
-        line.send(m.Read(since, identity))
-        found: dict[int, m.Charge] = {}
+        line.send(m.ReadRequest(since, identity))
+        found: dict[int, m.SliceOwnership] = {}
         while True:
-            message = line.until(lambda x: isinstance(x, m.Charges | m.ReadEnd))
-            if isinstance(message, m.ReadEnd):
+            message = line.until(lambda x: isinstance(x, m.SliceOwnerships | m.ReadComplete))
+            if isinstance(message, m.ReadComplete):
                 line.close()
                 return found, message
-            found |= {c.slice: c for c in message.charges}
+            found |= {c.slice_id: c for c in message.ownerships}
 
 
-def write(line: Line, given: dict[int, m.Charge], batch: int) -> None:
+def write(line: Line, given: dict[int, m.SliceOwnership], batch: int) -> None:
     lines = [
-        m.Line(n, batch % 50, 1.0, c.token, f"127.0.0.1:{9000 + batch % 1000}")
+        m.WeightEntry(n, batch % 50, 1.0, c.fencing_token, f"127.0.0.1:{9000 + batch % 1000}")
         for n, c in sorted(given.items())
     ]
-    line.send(m.Write(batch, lines))
+    line.send(m.WriteRequest(batch, lines))
 
 
 def test_no_kill_loses_a_write_that_was_told_to_be_kept(tmp_path: Path) -> None:
@@ -255,11 +260,11 @@
                 write(line, given, batch)
                 while not line.came.empty():
                     message = line.read()
-                    kept = message.batch if isinstance(message, m.Written) else kept
+                    kept = message.batch if isinstance(message, m.WriteAcknowledged) else kept
             running.kill()
             with contextlib.suppress(TimeoutError):
                 while (message := line.read(2.0)) is not None:
-                    kept = message.batch if isinstance(message, m.Written) else kept
+                    kept = message.batch if isinstance(message, m.WriteAcknowledged) else kept
         assert kept > first
         with setting.running():
             found, _ = setting.read()
@@ -268,7 +273,7 @@
             wanted = {
                 b % 50: f"127.0.0.1:{9000 + b % 1000}" for b in range(first + 1, found[number].batch + 1)
             }
-            held = {h.server: h.address for h in found[number].lines}
+            held = {h.server_id: h.address for h in found[number].entries}
             assert wanted.items() <= held.items()
 
 
@@ -279,10 +284,10 @@
         whole, end = setting.read()
         assert set(whole) == set(given)  # the others nobody has had
         write(line, {0: given[0]}, 1)
-        line.until(lambda x: isinstance(x, m.Written))
-        part, later = setting.read(end.revision, end.identity)
+        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
+        part, later = setting.read(end.revision, end.store_id)
         assert set(part) == {0} and later.revision > end.revision
-        for since, identity in ((end.revision, "another"), (later.revision + 100, end.identity)):
+        for since, identity in ((end.revision, "another"), (later.revision + 100, end.store_id)):
             assert set(setting.read(since, identity)[0]) == set(given)  # of another store, or from the future
 
 
@@ -294,14 +299,14 @@
     with setting.running():
         line, given = setting.assigner(life=2)
         write(line, given, 5)
-        line.until(lambda x: isinstance(x, m.Written))
-    newest = max(c.token for c in given.values())
+        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
+    newest = max(c.fencing_token for c in given.values())
     for path in tmp_path.glob("kept.db*"):
         path.unlink()
     shutil.copy(tmp_path / "old", setting.file)
     with setting.running():
         _, again = setting.assigner(token=newest, life=2)
-        assert min(c.token for c in again.values()) > newest
+        assert min(c.fencing_token for c in again.values()) > newest
     assert "older_than_its_parties" in (tmp_path / "store.log").read_text()
 
 
@@ -323,7 +328,7 @@
         assert run("charge", "move", "0,2-4", "1", *hand).returncode == 0
         moved: set[int] = set()
         while not {0, 2, 4} <= moved:
-            moved |= {c.slice for c in other.until(lambda x: isinstance(x, m.Charges)).charges}
+            moved |= {c.slice_id for c in other.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships}
         shown = run("charge", "show", *hand).stdout
         assert "0-5, 7" in shown, shown
         assert "slice 99 is not among the 8" in run("charge", "move", "99", "1", *hand).stderr
@@ -334,7 +339,7 @@
     assert run("store", "verify", str(tmp_path / "monday")).returncode == 0
     with setting.running():  # the move stands
         found, _ = setting.read()
-        assert {n for n, c in found.items() if c.assigner == 0} == {6}
+        assert {n for n, c in found.items() if c.owner_id == 0} == {6}
 
 
 # Charge and tenures --------------------------------------------------------------------------------
@@ -376,20 +381,23 @@
     book = Book(2, 1, 2.0, False)
     book.joined(0.0, 0, life=7)
 
-    def told(number: int) -> m.Charge:
+    def told(number: int) -> m.SliceOwnership:
         s = book.state(number)
-        return m.Charge(number, s.token, s.assigner, s.lines, s.batch, s.since)
+        return m.SliceOwnership(number, s.token, s.assigner, s.lines, s.batch, s.since)
 
     for n in (0, 1):
-        book.write(0, [m.Line(n, 4, 1.0, book.slices[n].token, "127.0.0.1:1")], 3)
+        book.write(0, [m.WeightEntry(n, 4, 1.0, book.slices[n].token, "127.0.0.1:1")], 3)
         tables.charge(told(n))
     tables.order(
         0,
-        m.Order(
+        m.ProxyUpdate(
             5,
             0.0,
             1.0,
-            [m.Line(0, 5, 1.0, book.slices[0].token, "a:2"), m.Line(0, 4, 0.0, book.slices[0].token)],
+            [
+                m.WeightEntry(0, 5, 1.0, book.slices[0].token, "a:2"),
+                m.WeightEntry(0, 4, 0.0, book.slices[0].token),
+            ],
         ),
     )
     book.left(1.0, 0)
@@ -406,33 +414,44 @@
     around = Around(tmp_path)
     with around.assigner():
         store, listed = around.store.accept("store"), around.list.accept("list")
-        listed.until(lambda x: isinstance(x, m.Watch))
-        listed.send(m.News("full", 1, servers(1, 1, 1)))
+        listed.until(lambda x: isinstance(x, m.WatchRequest))
+        listed.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
         proxy = around.proxy(0)
-        first = charges().charges
-        given = [m.Charge(c.slice, c.token, 0, c.lines, 0, c.token) for c in first]
-        store.send(m.Charges(given))
+        first = charges().ownerships
+        given = [
+            m.SliceOwnership(c.slice_id, c.fencing_token, 0, c.entries, 0, c.fencing_token) for c in first
+        ]
+        store.send(m.SliceOwnerships(given))
         time.sleep(0.5)
-        listed.send(m.News("delta", 2, servers(2)[:1]))  # server 0 drains: all slices leave it
-        lost = store.until(lambda x: isinstance(x, m.Write))  # and is never told to be kept
-        proxy.until(lambda x: isinstance(x, m.Order))
+        listed.send(m.WatchEvent("delta", 2, servers(2)[:1]))  # server 0 drains: all slices leave it
+        lost = store.until(lambda x: isinstance(x, m.WriteRequest))  # and is never told to be kept
+        proxy.until(lambda x: isinstance(x, m.ProxyUpdate))
         store.close()
         store = around.store.accept("store")
-        store.send(m.Charges([m.Charge(c.slice, c.token + 100, 0, c.lines, 0, c.since) for c in given]))
-        again = store.until(lambda x: isinstance(x, m.Write))
-        assert {(x.table, x.server, x.weight, x.token) for x in again.lines} >= {
-            (x.table, x.server, x.weight, x.token + 100) for x in lost.lines
+        store.send(
+            m.SliceOwnerships(
+                [
+                    m.SliceOwnership(c.slice_id, c.fencing_token + 100, 0, c.entries, 0, c.tenure_token)
+                    for c in given
+                ]
+            )
+        )
+        again = store.until(lambda x: isinstance(x, m.WriteRequest))
+        assert {(x.slice_id, x.server_id, x.weight, x.fencing_token) for x in again.weights} >= {
+            (x.slice_id, x.server_id, x.weight, x.fencing_token + 100) for x in lost.weights
         }
-        store.send(m.Written(again.batch + 1000, 1))
+        store.send(m.WriteAcknowledged(again.batch + 1000, 1))
         book = Book(8, 1, 1.0, False)
-        book.load({c.slice: c.lines for c in given})
+        book.load({c.slice_id: c.entries for c in given})
         for record in book.slices.values():
             record.assigner, record.token = 0, 0
-        book.write(0, [msgspec.structs.replace(x, token=0) for x in again.lines])
-        kept = [msgspec.structs.replace(c, lines=[*book.slices[c.slice].lines.values()]) for c in given]
-        store.send(m.Charges([msgspec.structs.replace(c, token=c.token + 200) for c in kept]))
+        book.write(0, [msgspec.structs.replace(x, fencing_token=0) for x in again.weights])
+        kept = [msgspec.structs.replace(c, entries=[*book.slices[c.slice_id].lines.values()]) for c in given]
+        store.send(
+            m.SliceOwnerships([msgspec.structs.replace(c, fencing_token=c.fencing_token + 200) for c in kept])
+        )
         with pytest.raises(TimeoutError):  # kept is kept
-            store.until(lambda x: isinstance(x, m.Write) and bool(x.lines), 1.0)
+            store.until(lambda x: isinstance(x, m.WriteRequest) and bool(x.weights), 1.0)
 
 
 def test_what_is_kept_of_a_larger_site_does_not_hinder_a_smaller_one() -> None:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -67,7 +67,7 @@
 
 
 def greet(sock: ssl.SSLSocket, role: str, number: int) -> m.AnyMessage | None:
-    sock.sendall(encode(m.Hello(m.VERSION, role, number, 0, "t")) + b"\n")
+    sock.sendall(encode(m.Hello(m.PROTOCOL_VERSION, role, number, 0, "t")) + b"\n")
     data = b""
     while b"\n" not in data:
         try:
@@ -83,11 +83,14 @@
 def test_a_party_is_who_its_certificate_says(keys: Path, store: Any) -> None:
     _, port = store
     with dial(port, keys, party("proxy", 3, "t")) as sock:
-        assert greet(sock, "proxy", 3) == m.Welcome(m.VERSION, "store", 0)
+        assert greet(sock, "proxy", 3) == m.Welcome(m.PROTOCOL_VERSION, "store", 0)
     for role, number in (("assigner", 0), ("proxy", 4)):
         with dial(port, keys, party("proxy", 3, "t")) as sock:
             refusal = greet(sock, role, number)
-            assert isinstance(refusal, m.Refuse) and f"not {party(role, number, 't')}" in refusal.reason
+            assert (
+                isinstance(refusal, m.ConnectionRejected)
+                and f"not {party(role, number, 't')}" in refusal.reason
+            )
 
 
 def test_strangers_expired_and_bare_peers_do_not_get_in(keys: Path, store: Any, tmp_path: Path) -> None:
@@ -104,7 +107,7 @@
         except (ssl.SSLError, ConnectionResetError):
             pass
     with socket.create_connection(("127.0.0.1", port), 5) as bare:
-        bare.sendall(encode(m.Hello(m.VERSION, "proxy", 3, 0, "t")) + b"\n")
+        bare.sendall(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", 3, 0, "t")) + b"\n")
         bare.settimeout(5)
         assert b"welcome" not in bare.recv(4096)
 
@@ -135,7 +138,7 @@
     third = dial(port, keys, party("proxy", 3, "t"))
     assert shown(third) == shown(second)
     assert "certificate_unread" in (tmp_path / "store.log").read_text()
-    first.sendall(encode(m.Read()) + b"\n")
+    first.sendall(encode(m.ReadRequest()) + b"\n")
     end = time.monotonic() + 5
     data = b""
     while b"read_end" not in data:
@@ -162,9 +165,9 @@
         sock = context.wrap_socket(listener.accept()[0], server_side=True)
         sock.settimeout(5)
         assert b"hello" in sock.recv(4096)
-        sock.sendall(encode(m.Welcome(m.VERSION, "store", 0)) + b"\n")
+        sock.sendall(encode(m.Welcome(m.PROTOCOL_VERSION, "store", 0)) + b"\n")
         reply = decode(sock.recv(4096).split(b"\n")[0])
-        assert isinstance(reply, m.Refuse) and "not store-0.t.puffintide" in reply.reason
+        assert isinstance(reply, m.ConnectionRejected) and "not store-0.t.puffintide" in reply.reason
 
 
 class Secure:
@@ -209,8 +212,11 @@
         make_certificate(keys, party("server", number, "t"))
     right = Secure(keys, party("server", 0, "t"), 0.1)
     wrong = Secure(keys, party("server", 1, "t"), 0.0)  # the tables call it server 2
-    held = [[m.Held(0, 1.0, f"127.0.0.1:{right.port}")], [m.Held(2, 1.0, f"127.0.0.1:{wrong.port}")]]
-    charges = [m.Charge(n, 1, 0, held[n]) for n in range(2)]
+    held = [
+        [m.TableEntry(0, 1.0, f"127.0.0.1:{right.port}")],
+        [m.TableEntry(2, 1.0, f"127.0.0.1:{wrong.port}")],
+    ]
+    charges = [m.SliceOwnership(n, 1, 0, held[n]) for n in range(2)]
     save_state(str(tmp_path / "tables.json"), Saved(1, 0.0, charges, {}, []))
     key = {slice_of(text, 2): text for text in (b"a", b"b", b"c", b"d", b"e")}
     port, nobody = PORTS.take(), PORTS.take()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,54 +14,56 @@
 SAMPLES = [
     m.Hello(1, "proxy", 3, 1, "d", 2, True),
     m.Welcome(1, "assigner", 0, 4),
-    m.Refuse("no"),
+    m.ConnectionRejected("no"),
     m.Ping(),
     m.Pong(),
-    m.Order(
+    m.ProxyUpdate(
         7,
         1.5,
         14.0,
-        [m.Line(1, 2, 0.5, 9, "127.0.0.1:1")],
+        [m.WeightEntry(1, 2, 0.5, 9, "127.0.0.1:1")],
         [3],
         [4],
         [5],
-        [m.Level(1, 0, 0.5, 1)],
+        [m.AdmissionLevel(1, 0, 0.5, 1)],
         8,
     ),
-    m.Applied(8),
-    m.Sums(0.5, [m.ServerSum(1, 5, 1, 0.25, [2.0])], [m.SliceSum(3, 0, 9, 1)]),
-    m.Charge(1, 2, 0, [m.Held(4, 1.0, "127.0.0.1:2")]),
-    m.Charges([m.Charge(1, 2, 0, [m.Held(4, 1.0)]), m.Charge(2, 3, -1)]),
-    m.Taken(1, 3),
-    m.Write(9, [m.Line(1, 2, 1.0, 3)]),
-    m.Refused(9, 1, "old token"),
-    m.Read(),
-    m.Read(7, "a1"),
-    m.ReadEnd(12, 7, "a1"),
-    m.Written(9, 8),
-    m.Members([0, 2]),
-    m.Move([1, 2], 0, "me"),
-    m.Backup("monday"),
-    m.Hand(1, "drain", 2.0, "me", 3),
-    m.Hands([m.Hand(1, "drain")]),
-    m.AskZones(),
-    m.Digest([m.Version(0, 1 << 20, 7, 3)]),
-    m.Copies(0, 9, 3, 7, 9, 2, [m.CopiedRow("table", 4, 7, 0.5, (5.0, 1.0, "h:1"))], [("server", 2, 6)]),
-    m.AskCopies(),
-    m.Refill("me"),
-    m.Zones(0, True, [m.ZoneRow(0, "lost", "list", 0.1, 0.0, 0.0, 3.0, 2, [(1, 0.5)], 0.5)]),
-    m.Watch(True, 4),
-    m.Fetch(),
-    m.News("delta", 5, [m.Entry(1, 0, 0, 0, 1, 2.0, 3, -1.0, "127.0.0.1:3")]),
-    m.Ask(1, 0, 77, 2.5, 0.1),
-    m.Reply(1, 2, 0.5, False),
-    m.Try(1, 2, 3, 4, 0, 77, 1, 2.0, 0.1),
-    m.Answer(1, 0, [3.0]),
-    m.Cancel(1),
-    m.Probe(1),
-    m.Probed(1, 0, [2.0]),
-    m.Control("hang", {"servers": [1], "value": 2.0}),
-    m.Done("x"),
+    m.CheckpointReply(8),
+    m.UsageReport(0.5, [m.ServerUsage(1, 5, 1, 0.25, [2.0])], [m.SliceUsage(3, 0, 9, 1)]),
+    m.SliceOwnership(1, 2, 0, [m.TableEntry(4, 1.0, "127.0.0.1:2")]),
+    m.SliceOwnerships([m.SliceOwnership(1, 2, 0, [m.TableEntry(4, 1.0)]), m.SliceOwnership(2, 3, -1)]),
+    m.OwnershipRevoked(1, 3),
+    m.WriteRequest(9, [m.WeightEntry(1, 2, 1.0, 3)]),
+    m.WriteRejected(9, 1, "old token"),
+    m.ReadRequest(),
+    m.ReadRequest(7, "a1"),
+    m.ReadComplete(12, 7, "a1"),
+    m.WriteAcknowledged(9, 8),
+    m.AssignerMembership([0, 2]),
+    m.MigrateSlices([1, 2], 0, "me"),
+    m.BackupRequest("monday"),
+    m.ZoneCommand(1, "drain", 2.0, "me", 3),
+    m.ZoneCommands([m.ZoneCommand(1, "drain")]),
+    m.ZoneStatusRequest(),
+    m.VersionDigest([m.ReplicaVersion(0, 1 << 20, 7, 3)]),
+    m.ReplicationDelta(
+        0, 9, 3, 7, 9, 2, [m.ReplicatedRow("table", 4, 7, 0.5, (5.0, 1.0, "h:1"))], [("server", 2, 6)]
+    ),
+    m.ReplicaRequest(),
+    m.RestoreFromReplicas("me"),
+    m.ZoneStatusReport(0, True, [m.ZoneStatus(0, "lost", "list", 0.1, 0.0, 0.0, 3.0, 2, [(1, 0.5)], 0.5)]),
+    m.WatchRequest(True, 4),
+    m.SnapshotRequest(),
+    m.WatchEvent("delta", 5, [m.EndpointEntry(1, 0, 0, 0, 1, 2.0, 3, -1.0, "127.0.0.1:3")]),
+    m.ClientRequest(1, 0, 77, 2.5, 0.1),
+    m.ClientResponse(1, 2, 0.5, False),
+    m.AttemptRequest(1, 2, 3, 4, 0, 77, 1, 2.0, 0.1),
+    m.AttemptResponse(1, 0, [3.0]),
+    m.CancelAttempt(1),
+    m.HealthCheckRequest(1),
+    m.HealthCheckResponse(1, 0, [2.0]),
+    m.EmulatorCommand("hang", {"servers": [1], "value": 2.0}),
+    m.CommandCompleted("x"),
 ]
 
 
@@ -73,7 +75,7 @@
 
 
 def test_unknown_fields_are_skipped() -> None:
-    assert decode(b'{"t":"applied","mark":3,"colour":"blue"}') == m.Applied(3)
+    assert decode(b'{"t":"applied","mark":3,"colour":"blue"}') == m.CheckpointReply(3)
 
 
 @pytest.mark.parametrize(
@@ -114,8 +116,8 @@
 
 def pair() -> tuple[Session, Session]:
     return (
-        Session(m.Hello(m.VERSION, "proxy", 1), 0.5, 2.0),
-        Session(m.Welcome(m.VERSION, "assigner", 0), 0.5, 2.0),
+        Session(m.Hello(m.PROTOCOL_VERSION, "proxy", 1), 0.5, 2.0),
+        Session(m.Welcome(m.PROTOCOL_VERSION, "assigner", 0), 0.5, 2.0),
     )
 
 
@@ -133,9 +135,9 @@
     "line, words",
     [
         (encode(m.Hello(2, "proxy", 1)), "version 2 is not spoken"),
-        (encode(m.Applied(1)), "first line must be a Hello"),
+        (encode(m.CheckpointReply(1)), "first line must be a Hello"),
         (encode(m.Welcome(1, "store", 0)), "first line must be a Hello"),
-        (encode(m.Refuse("go away")), "go away"),
+        (encode(m.ConnectionRejected("go away")), "go away"),
     ],
 )
 def test_a_wrong_greeting_is_refused_with_its_reason(line: bytes, words: str) -> None:
@@ -147,7 +149,7 @@
 
 def test_a_second_greeting_is_refused() -> None:
     _, dialled = pair()
-    hello = encode(m.Hello(m.VERSION, "proxy", 1))
+    hello = encode(m.Hello(m.PROTOCOL_VERSION, "proxy", 1))
     dialled.received(0.0, hello)
     with pytest.raises(WireError, match="twice"):
         dialled.received(0.1, hello)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -30,8 +30,8 @@
 ZONE = {s: s % 2 for s in SERVERS}
 
 
-def entry(sid: int, state: int = api.READY, started: float = 0.0, zone: int | None = None) -> api.Server:
-    return api.Server(sid, ZONE[sid] if zone is None else zone, 0, 0, state, 2.0, started)
+def entry(sid: int, state: int = api.READY, started: float = 0.0, zone: int | None = None) -> api.Endpoint:
+    return api.Endpoint(sid, ZONE[sid] if zone is None else zone, 0, 0, state, 2.0, started)
 
 
 class Plan:
@@ -39,10 +39,10 @@
 
     def __init__(self, spill: float = 0.5, zones: int = 2) -> None:
         world = World()
-        self.plan = ZonePlan(replace(world.settings, zones=zones), ZoneLimits(spill))
+        self.plan = ZonePlan(replace(world.settings, zone_count=zones), ZoneLimits(spill))
         self.now = 1000.0
         self.view = {s: View(True, 0.5) for s in SERVERS}
-        self.tell(api.ServerList("full", 1, tuple(entry(s) for s in SERVERS)))
+        self.tell(api.EndpointListUpdate("full", 1, tuple(entry(s) for s in SERVERS)))
 
     def tell(self, *events: api.Event) -> None:
         for event in events:
@@ -58,7 +58,7 @@
     def zone(self, zone: int, state: int, fresh: bool = False) -> None:
         started = self.now if fresh else 0.0
         rows = tuple(entry(s, state, started) for s in SERVERS if ZONE[s] == zone)
-        self.tell(api.ServerList("delta", 2, rows))
+        self.tell(api.EndpointListUpdate("delta", 2, rows))
 
     def phase(self, zone: int) -> str:
         return self.plan.states()[zone].phase
@@ -68,7 +68,7 @@
         for name, share in failed.items():
             of, to = int(name[1]), int(name[2])
             for s in (s for s in SERVERS if ZONE[s] == to):
-                self.tell(api.LoadReport(of, s, 20, round(20 * share), 0.05, 0.5, ()))
+                self.tell(api.ServerLoadReport(of, s, 20, round(20 * share), 0.05, 0.5, ()))
 
 
 def test_a_lost_zone_spills_up_to_the_stated_limit_and_the_rest_is_told() -> None:
@@ -118,7 +118,7 @@
     world.zone(0, api.GONE)
     world.run(12)
     for s in (2, 4, 6, 8):
-        world.tell(api.ServerList("delta", 3, (server(s, started=world.now),)))
+        world.tell(api.EndpointListUpdate("delta", 3, (server(s, started=world.now),)))
         assert world.director.plan.bounds[s] == 1.0
         world.run(0.25)
 
@@ -141,9 +141,9 @@
     plan.run(5)
     plan.zone(0, api.READY)
     plan.run(2)
-    plan.tell(api.ServerList("delta", 3, (entry(2, api.GONE),)))
+    plan.tell(api.EndpointListUpdate("delta", 3, (entry(2, api.GONE),)))
     plan.run(0.5)
-    plan.tell(api.ServerList("delta", 4, (entry(2, api.READY, plan.now),)))
+    plan.tell(api.EndpointListUpdate("delta", 4, (entry(2, api.READY, plan.now),)))
     rest: list[float] = []
     while plan.phase(0) == RETURNING:
         bounds = plan.run(1)
@@ -190,7 +190,7 @@
     plan.run(20)
     for s in (2, 4, 6):
         for state in (api.DRAINING, api.GONE):
-            plan.tell(api.ServerList("delta", 2, (entry(s, state),)))
+            plan.tell(api.EndpointListUpdate("delta", 2, (entry(s, state),)))
             plan.run(3)
     assert plan.phase(0) == WELL
     assert set(plan.run(1).values()) == {1.0}
@@ -231,7 +231,7 @@
 
 def test_reports_that_stop_are_told_from_a_loss() -> None:
     plan = Plan()
-    plan.tell(api.ProxyJoined(1, 0, 1.0, True), api.ProxyJoined(2, 1, 1.0, True))
+    plan.tell(api.ProxyConnected(1, 0, 1.0, True), api.ProxyConnected(2, 1, 1.0, True))
     for _ in range(20):
         plan.ways(w11=0.0, w10=0.0)  # nothing of zone 0's proxies
         plan.view = {s: View(True, 0.5, probed=True) for s in SERVERS}
@@ -241,11 +241,11 @@
 
 def test_two_of_three_zones_lost_one_after_the_other() -> None:
     plan = Plan(spill=0.5, zones=3)
-    plan.tell(api.ServerList("full", 2, tuple(entry(s, zone=s % 3) for s in SERVERS)))
+    plan.tell(api.EndpointListUpdate("full", 2, tuple(entry(s, zone=s % 3) for s in SERVERS)))
     plan.run(30)
     for zone in (0, 1):
         rows = tuple(entry(s, api.GONE, zone=zone) for s in SERVERS if s % 3 == zone)
-        plan.tell(api.ServerList("delta", 3, rows))
+        plan.tell(api.EndpointListUpdate("delta", 3, rows))
         bounds = plan.run(5)
     assert [s.phase for s in plan.plan.states()] == [LOST, LOST, WELL]
     # The limit is from its own load in ordinary times: a second loss does not raise it.
@@ -255,12 +255,12 @@
 def test_the_hand_drains_by_steps_holds_at_once_and_returns_at_its_pace() -> None:
     plan = Plan()
     plan.run(20)
-    plan.tell(api.ZoneHand(0, "drain", 2.0))
+    plan.tell(api.ZoneCommandReceived(0, "drain", 2.0))
     falling = [plan.run(1)[2] for _ in range(8)]
     assert falling == sorted(falling, reverse=True) and 0 < falling[1] < 1 and falling[-1] == 0.0
-    plan.tell(api.ZoneHand(0, "return", 1.0))
+    plan.tell(api.ZoneCommandReceived(0, "return", 1.0))
     assert plan.run(0.25)[2] == pytest.approx(START + RATE / 4)
-    plan.tell(api.ZoneHand(0, "hold", 1.0))
+    plan.tell(api.ZoneCommandReceived(0, "hold", 1.0))
     assert plan.run(0.25)[2] == 0.0
     assert plan.run(500)[2] == 0.0  # as long as it stands
 
@@ -292,13 +292,13 @@
             case "gone" | "ready":
                 plan.zone(zone, api.GONE if what == "gone" else api.READY)
             case "drain":
-                plan.tell(api.ServerList("delta", 2, tuple(entry(s, api.DRAINING) for s in ids)))
+                plan.tell(api.EndpointListUpdate("delta", 2, tuple(entry(s, api.DRAINING) for s in ids)))
             case "silent" | "answer":
                 plan.view |= {s: View(what == "answer", 0.5) for s in ids}
             case "hot" | "cool":
                 plan.view |= {s: View(True, 0.99 if what == "hot" else 0.3) for s in ids}
             case "hold" | "return":
-                plan.tell(api.ZoneHand(zone, what, 1.0))
+                plan.tell(api.ZoneCommandReceived(zone, what, 1.0))
         for _ in range(quarters):
             phases = {z: s.phase for z, s in enumerate(plan.plan.states())}
             bounds = plan.run(0.25)
@@ -320,10 +320,10 @@
     plan.run(20)
     plan.zone(0, api.GONE)
     plan.run(1)
-    plan.tell(api.ServerList("delta", 2, (entry(2, api.READY, plan.now),)))  # one of four
+    plan.tell(api.EndpointListUpdate("delta", 2, (entry(2, api.READY, plan.now),)))  # one of four
     plan.run(5)
     assert plan.phase(0) == LOST
-    plan.tell(api.ServerList("delta", 2, (entry(4, api.READY, plan.now),)))
+    plan.tell(api.EndpointListUpdate("delta", 2, (entry(4, api.READY, plan.now),)))
     plan.run(1)
     assert plan.phase(0) == RETURNING
 
@@ -337,12 +337,12 @@
     def zone(self, zone: int, state: int) -> None:
         """Struck from the list or told again; its servers go on running all the time."""
         ids = [s for s in self.capacity if s % 2 == zone]
-        self.tell(api.ServerList("delta", 2, tuple(server(s, state) for s in ids)))
+        self.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, state) for s in ids)))
 
     def waves(self, since: float) -> list[int]:
         """New lines of each batch of orders."""
         made = [
-            sum(isinstance(a, api.SetLine) and a.weight >= 1 for a in acts)
+            sum(isinstance(a, api.SetWeight) and a.weight >= 1 for a in acts)
             for t, acts in self.log
             if t >= since
         ]
@@ -354,7 +354,7 @@
 
 
 def eight(make: type[Zoned], **changes: object) -> Zoned:
-    world = make(servers=SERVERS, slices=64, proxies=3, **changes)
+    world = make(servers=SERVERS, slice_count=64, proxy_count=3, **changes)
     world.heat = dict.fromkeys(world.heat, 1.2)  # 0.32 of the capacity
     world.run(30)
     return world
@@ -378,13 +378,15 @@
 
 def test_a_drain_by_hand_empties_a_zone_as_far_as_there_is_room_and_never_a_slice() -> None:
     world = eight(Zoned)
-    world.tell(api.ZoneHand(0, "drain", 1.0))
+    world.tell(api.ZoneCommandReceived(0, "drain", 1.0))
     world.run(30)
     assert all(s % 2 for n in world.tables for s in world.main(n))
     assert all(world.open(n) for n in world.tables)
-    world.tell(api.ZoneHand(1, "hold", 1.0))  # now all are out: tables stay, and new ones are filled
+    world.tell(
+        api.ZoneCommandReceived(1, "hold", 1.0)
+    )  # now all are out: tables stay, and new ones are filled
     world.tables[3] = {}
-    world.tell(api.SliceCharge(3, False), api.SliceCharge(3, True))
+    world.tell(api.OwnershipChanged(3, False), api.OwnershipChanged(3, True))
     world.run(10)
     assert all(world.open(n) for n in world.tables)
 
@@ -393,7 +395,7 @@
     world = eight(Zoned)
     world.heat = dict.fromkeys(world.heat, 3.2)  # 0.85: one zone can't carry both
     world.run(20)
-    world.tell(api.ZoneHand(0, "drain", 1.0))
+    world.tell(api.ZoneCommandReceived(0, "drain", 1.0))
     world.run(40)
     for s in SERVERS:
         assert world.load(s) <= 1.1 * world.capacity[s]
@@ -402,9 +404,9 @@
 def test_with_tiers_a_lost_servers_slices_stay_in_its_zone() -> None:
     spread = {}
     for tiers in ((), ((0, 1), (1, 0))):
-        world = eight(Zoned, tiers=tiers)
+        world = eight(Zoned, zone_distances=tiers)
         mine = [n for n in world.tables if world.main(n) == {2}]
-        world.tell(api.ServerList("delta", 2, (server(2, api.GONE),)))
+        world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE),)))
         world.run(3)
         spread[bool(tiers)] = {s % 2 for n in mine for s in world.main(n)}
     assert spread == {False: {0, 1}, True: {0}}
@@ -414,9 +416,11 @@
     """Server 2 is too full; how much room others have for its slices depends on how many take from it."""
     moved = {}
     for count in (4, 1):
-        world = Plain(servers=SERVERS, slices=64, proxies=3, instances=4, report_names=("busy", "rif"))
+        world = Plain(
+            servers=SERVERS, slice_count=64, proxy_count=3, assigner_count=4, load_value_names=("busy", "rif")
+        )
         world.heat = {n: 1.2 if world.tables[n] != {2: 1.0} else 4.5 for n in world.heat}
-        world.tell(api.Instances(count))
+        world.tell(api.AssignerCountChanged(count))
         world.run(20)
         moved[count] = sum(2 not in world.main(n) for n in world.tables if n % 8 == 1)
     assert moved[1] > moved[4]
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,44 +16,44 @@
     safe = api.RequestClass("repeatable", "all", 0.0, 1.0, 4.0, 3.0, False)
     once = api.RequestClass("once", "all", 0.0, 1.5, 5.0, 5.0, False)
     base = api.Settings(
-        instance=0,
-        instances=1,
+        assigner_index=0,
+        assigner_count=1,
         seed=7,
         zone=0,
-        zones=2,
-        classes=(safe, once),
-        slices=12,
-        proxies=3,
+        zone_count=2,
+        request_classes=(safe, once),
+        slice_count=12,
+        proxy_count=3,
         single_writer=False,
-        warm_keys=True,
-        retry_default=0,
-        retry_wait_aims=1.0,
-        shun_after=3,
-        admit="silent",
-        channel_lines_per_s=10000.0,
-        channel_head_lines=12.0,
-        channel_limit=15000.0,
+        caches_keys=True,
+        default_retry_mode=0,
+        retry_wait_objectives=1.0,
+        proxy_ejection_failures=3,
+        admission_mode="silent",
+        channel_entries_per_s=10000.0,
+        channel_header_entries=12.0,
+        channel_capacity_entries=15000.0,
         channel_delay_s=0.2,
         channel_delay_max_s=0.8,
-        messages_most=0,
-        messages_span_s=10.0,
+        max_messages_per_window=0,
+        message_window_s=10.0,
         report_period_s=0.5,
-        report_lines_per_s=300.0,
-        report_names=("busy",),
-        probes=False,
-        list_is_asked=False,
+        report_entries_per_s=300.0,
+        load_value_names=("busy",),
+        health_checks_enabled=False,
+        watch_on_request=False,
         drain_grace_s=2.0,
-        cold_from=0.25,
-        warm_within_s=10.0,
-        fall_multiple=3.0,
-        fall_s=1.5,
-        bare_s=3.0,
+        slow_start_min_fraction=0.25,
+        slow_start_duration_s=10.0,
+        collapse_load_ratio=3.0,
+        collapse_duration_s=1.5,
+        max_unserved_s=3.0,
     )
     return replace(base, **changes)
 
 
-def server(sid: int, state: int = api.READY, started: float = 0.0, weight: float = 1.0) -> api.Server:
-    return api.Server(sid, sid % 2, 0, 0, state, weight, started)
+def server(sid: int, state: int = api.READY, started: float = 0.0, weight: float = 1.0) -> api.Endpoint:
+    return api.Endpoint(sid, sid % 2, 0, 0, state, weight, started)
 
 
 class World:
@@ -67,7 +67,7 @@
         self.now = START
         self.tables: dict[int, dict[int, float]] = {}
         self.log: list[tuple[float, list[api.Action]]] = []
-        self.heat = dict.fromkeys(range(self.settings.slices), 5.0)
+        self.heat = dict.fromkeys(range(self.settings.slice_count), 5.0)
         self.capacity = dict.fromkeys(servers, 30.0)
         self.mute: set[int] = set()
         self.silent_reports = False
@@ -76,36 +76,39 @@
         self.busy_until = START
         self.under_way: list[tuple[float, int]] = []  # when a marked message will be applied by all
         self.most_waiting = 0.0
-        events: list[api.Event] = [api.ServerList("cached", 1, tuple(server(s) for s in servers))]
-        events += [api.ProxyJoined(p, 0, 10.0, True) for p in range(self.settings.proxies)]
-        for number in range(self.settings.slices):
+        events: list[api.Event] = [api.EndpointListUpdate("cached", 1, tuple(server(s) for s in servers))]
+        events += [api.ProxyConnected(p, 0, 10.0, True) for p in range(self.settings.proxy_count)]
+        for number in range(self.settings.slice_count):
             home = servers[number % len(servers)]
-            events += [api.SliceCharge(number, True), api.StoredLine(number, home, 1.0)]
+            events += [api.OwnershipChanged(number, True), api.StoredWeight(number, home, 1.0)]
             self.tables[number] = {home: 1.0}
         self.tell(*events)
 
     def tell(self, *events: api.Event) -> list[api.Action]:
         actions: list[api.Action] = self.director.handle(self.now, events)
         self.log.append((self.now, actions))
-        lines = sum(isinstance(a, api.SetLine | api.Admit | api.Withdraw | api.Mark) for a in actions)
+        lines = sum(
+            isinstance(a, api.SetWeight | api.SetAdmission | api.SetWithdrawn | api.SendCheckpoint)
+            for a in actions
+        )
         if lines:
-            speed = self.settings.channel_lines_per_s * self.pace
-            sent = (lines + self.settings.channel_head_lines) * self.settings.proxies
+            speed = self.settings.channel_entries_per_s * self.pace
+            sent = (lines + self.settings.channel_header_entries) * self.settings.proxy_count
             self.busy_until = max(self.busy_until, self.now) + sent / speed
             self.most_waiting = max(self.most_waiting, (self.busy_until - self.now) * speed)
         for action in actions:
-            if isinstance(action, api.Mark):
-                self.under_way.append((self.busy_until + self.settings.channel_delay_s, action.number))
-            if isinstance(action, api.Withdraw):
-                (self.withdrawn.add if action.out else self.withdrawn.discard)(action.server)
-            if isinstance(action, api.SetLine):
-                table = self.tables.setdefault(action.table, {})
+            if isinstance(action, api.SendCheckpoint):
+                self.under_way.append((self.busy_until + self.settings.channel_delay_s, action.checkpoint_id))
+            if isinstance(action, api.SetWithdrawn):
+                (self.withdrawn.add if action.withdrawn else self.withdrawn.discard)(action.server_id)
+            if isinstance(action, api.SetWeight):
+                table = self.tables.setdefault(action.slice_id, {})
                 if action.weight > 0:
                     if self.settings.single_writer:
                         table.clear()
-                    table[action.server] = action.weight
+                    table[action.server_id] = action.weight
                 else:
-                    table.pop(action.server, None)
+                    table.pop(action.server_id, None)
         return actions
 
     def load(self, sid: int) -> float:
@@ -120,18 +123,20 @@
         """Rounds of 0.25 s with reports each 0.5 s."""
         for step in range(round(seconds * 4)):
             self.now += 0.25
-            events: list[api.Event] = [api.TimerDue(1)]
+            events: list[api.Event] = [api.TimerFired(1)]
             if step % 2 == 0 and not self.silent_reports:
                 events = self.reports() + events
             for due, number in [(d, n) for d, n in self.under_way if d <= self.now]:
                 self.under_way.remove((due, number))
-                events += [api.Applied(p, number, 0.0) for p in range(self.settings.proxies)]
+                events += [
+                    api.CheckpointAcknowledged(p, number, 0.0) for p in range(self.settings.proxy_count)
+                ]
             self.tell(*events)
 
     def reports(self) -> list[api.Event]:
         events: list[api.Event] = []
         for number, rate in sorted(self.heat.items()):
-            events.append(api.SliceHeat(number, 0, round(rate * 10), 0, 10.0))
+            events.append(api.SliceLoadReport(number, 0, round(rate * 10), 0, 10.0))
         for sid, capacity in sorted(self.capacity.items()):
             rate = self.load(sid)
             tries = round(rate * 10)
@@ -139,7 +144,7 @@
                 continue
             good = 0 if sid in self.mute else round(min(rate, capacity) * 10)
             values = () if sid in self.mute else (min(1.0, rate / capacity),)
-            events.append(api.LoadReport(0, sid, tries, tries - good, 0.2, 10.0, values))
+            events.append(api.ServerLoadReport(0, sid, tries, tries - good, 0.2, 10.0, values))
         return events
 
     def open(self, number: int) -> dict[int, float]:
@@ -153,4 +158,4 @@
         return {s for s, w in table.items() if w > top / 2}
 
     def moves(self) -> int:
-        return sum(isinstance(a, api.SetLine) and a.weight >= 1 for _, acts in self.log for a in acts)
+        return sum(isinstance(a, api.SetWeight) and a.weight >= 1 for _, acts in self.log for a in acts)
