--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -17,10 +17,12 @@
 
 import click
 
-from puffintide import interface as api
 from puffintide.assigner.channel import Channel
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
+from puffintide.decisions.actions import SetWeight, SetWithdrawn
+from puffintide.decisions.events import CheckpointAcknowledged, HealthCheckResult, HealthCheckStatus
+from puffintide.decisions.settings import AdmissionMode, RepeatSafety, RequestClass, Settings
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 
@@ -29,9 +31,9 @@
 TOUCHED = 60  # slices and a third as many servers that one proxy meets in a period
 
 
-def settings(slices: int, proxies: int, channel: float) -> api.Settings:
-    kind = api.RequestClass("repeatable", "all", 0.0, 0.75, 2.5, 3.0, False)
-    return api.Settings(
+def settings(slices: int, proxies: int, channel: float) -> Settings:
+    kind = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 0.75, 2.5, 3.0, False)
+    return Settings(
         assigner_index=0,
         assigner_count=1,
         seed=1,
@@ -45,7 +47,7 @@
         default_retry_mode=0,
         retry_wait_objectives=1.0,
         proxy_ejection_failures=0,
-        admission_mode="silent",
+        admission_mode=AdmissionMode.NONE,
         channel_entries_per_s=12500.0 * channel,
         channel_header_entries=12.0,
         channel_capacity_entries=18800.0 * channel,
@@ -123,17 +125,20 @@
                 now,
                 m.WatchEvent("delta", tick, [m.EndpointEntry(lost % servers, 0, 0, 0, 2, 4.0, 1, -1.0, "")]),
             )
-        runtime.hear(now, *(api.HealthCheckResult(s, 0, 0.004, (3.0,)) for s in range(tick % 3, servers, 3)))
+        runtime.hear(
+            now,
+            *(HealthCheckResult(s, HealthCheckStatus.OK, 0.004, (3.0,)) for s in range(tick % 3, servers, 3)),
+        )
         due = [x for x in pending if x[0] <= now]
         pending = [x for x in pending if x[0] > now]
-        runtime.hear(now, *(api.CheckpointAcknowledged(p, mark, 0.4) for _, p, mark in due))
+        runtime.hear(now, *(CheckpointAcknowledged(p, mark, 0.4) for _, p, mark in due))
         began = time.process_time()
         effects = runtime.tick(now)
         cost.add("module", began)
         if effects is not None:
             for proxy, order in effects.orders:
                 channel.put(proxy, order)
-            carried += any(isinstance(a, api.SetWeight | api.SetWithdrawn) for a in effects.actions)
+            carried += any(isinstance(a, SetWeight | SetWithdrawn) for a in effects.actions)
         began = time.process_time()
         sent, _ = channel.take(now)
         for proxy, order in sent:
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -26,9 +26,17 @@
 
 import click
 
-from puffintide import interface as api
 from puffintide.audit.records import rows
 from puffintide.config.loader import load
+from puffintide.decisions.actions import Action, SetWeight
+from puffintide.decisions.events import (
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    OwnershipChanged,
+    StoredWeight,
+)
+from puffintide.decisions.settings import Settings
 from puffintide.scenarios.faults import plan
 from puffintide.scenarios.runner import DayError, Player
 from puffintide.scenarios.scenes import SCENES, script
@@ -42,29 +50,29 @@
 class Alike:
     """All ready servers are alike, and every change of the list is followed at once."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.states: dict[int, int] = {}
         self.tables: dict[int, set[int]] = {}
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
         for event in events:
             match event:
-                case api.EndpointListUpdate():
+                case EndpointListUpdate():
                     if event.update_type in ("full", "cached"):
                         self.states = {}
                     self.states |= {s.server_id: s.status for s in event.endpoints}
-                case api.OwnershipChanged(number, True):
+                case OwnershipChanged(number, True):
                     self.tables[number] = set()
-                case api.OwnershipChanged(number):
+                case OwnershipChanged(number):
                     self.tables.pop(number, None)
-                case api.StoredWeight(number, server, weight) if weight > 0 and number in self.tables:
+                case StoredWeight(number, server, weight) if weight > 0 and number in self.tables:
                     self.tables[number].add(server)
-        ready = sorted(s for s, state in self.states.items() if state == api.READY)
-        actions: list[api.Action] = []
+        ready = sorted(s for s, state in self.states.items() if state == EndpointStatus.READY)
+        actions: list[Action] = []
         for number, held in sorted(self.tables.items()):
             wanted = {ready[number % len(ready)]} if ready else held
-            actions += [api.SetWeight(number, s, 1.0) for s in sorted(wanted - held)]
-            actions += [api.SetWeight(number, s, 0.0) for s in sorted(held - wanted)]
+            actions += [SetWeight(number, s, 1.0) for s in sorted(wanted - held)]
+            actions += [SetWeight(number, s, 0.0) for s in sorted(held - wanted)]
             self.tables[number] = set(wanted)
         return actions
 
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from puffintide import interface as api
+from puffintide.decisions.settings import Settings
 from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
 FIRST_MARK = 1 << 20  # the module's own are below 2^16
@@ -194,7 +194,7 @@
         return steps
 
 
-def handover_for(settings: api.Settings, lease_s: float) -> Handover | None:
+def handover_for(settings: Settings, lease_s: float) -> Handover | None:
     """None where slices may have several writers."""
     if not settings.single_writer:
         return None
@@ -206,7 +206,7 @@
     )
 
 
-def budgeted(settings: api.Settings) -> api.Settings:
+def budgeted(settings: Settings) -> Settings:
     """What the module is told, so that all of a batch's messages stay within messages_most."""
     if not settings.max_messages_per_window:
         return settings
--- a/puffintide/assigner/listed.py
+++ b/puffintide/assigner/listed.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from puffintide import interface as api
 from puffintide.assigner.cache import CacheError, load_list, save_list
+from puffintide.decisions.events import EndpointStatus
 from puffintide.protocol import messages as m
 
 SAVE_S = 0.2  # news of so long is written at once
@@ -30,7 +30,7 @@
             self.entries = {}
         now = float(self.reactor.seconds())
         self.entries.update({e.server_id: (e, now) for e in news.servers})
-        self.entries = {k: row for k, row in self.entries.items() if row[0].status != api.GONE}
+        self.entries = {k: row for k, row in self.entries.items() if row[0].status != EndpointStatus.REMOVED}
         if self.path and self._saving is None:
             self._saving = self.reactor.callLater(SAVE_S, self._write)
 
--- a/puffintide/assigner/reports.py
+++ b/puffintide/assigner/reports.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from puffintide import interface as api
+from puffintide.decisions.events import Event, ServerLoadReport, SliceLoadReport
 from puffintide.protocol.messages import UsageReport
 
 
@@ -55,13 +55,13 @@
             pair = self._pairs[key] = _Pair(min(since, now - span_s / 2))
         return pair
 
-    def take(self, now: float) -> list[api.Event]:
+    def take(self, now: float) -> list[Event]:
         """Report events that fit, oldest first."""
         span = now - self._last if self._last is not None else 0.5
         self._last = now
         self._told = {key: at for key, at in self._told.items() if now - at < TOLD_S}
         self._credit = min(self._credit + span * self.lines_per_s, self.lines_per_s)
-        events: list[api.Event] = []
+        events: list[Event] = []
         while self._pairs and self._credit >= 1:
             key = next(iter(self._pairs))
             pair = self._pairs.pop(key)
@@ -71,13 +71,13 @@
                 events.append(self._event(key, pair, now - pair.since))
         return events
 
-    def _event(self, key: Key, pair: _Pair, span_s: float) -> api.Event:
+    def _event(self, key: Key, pair: _Pair, span_s: float) -> Event:
         kind, where, what = key
         if kind == 0:
             good = pair.count - pair.bad
             mean = pair.good_s / good if good > 0 else 0.0
-            return api.ServerLoadReport(where, what, pair.count, pair.bad, mean, span_s, pair.values)
-        return api.SliceLoadReport(where, what, pair.count, pair.bad, span_s)
+            return ServerLoadReport(where, what, pair.count, pair.bad, mean, span_s, pair.values)
+        return SliceLoadReport(where, what, pair.count, pair.bad, span_s)
 
     def forget_slice(self, number: int) -> None:
         """A slice that left our charge is no longer told of."""
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -11,8 +11,31 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from puffintide import interface as api
+from puffintide.decisions.actions import (
+    Action,
+    LogMessage,
+    SendCheckpoint,
+    SendHealthCheck,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    SetWithdrawn,
+    WatchEndpoints,
+)
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ListUpdateType,
+    OwnershipChanged,
+    ProxyConnected,
+    ProxyDisconnected,
+    StoredWeight,
+    TimerFired,
+)
+from puffintide.decisions.settings import Settings
 from puffintide.protocol.checks import sound_entries
 from puffintide.protocol.messages import (
     AdmissionLevel,
@@ -30,7 +53,7 @@
 class Decider(Protocol):
     """What the runtime needs of the module."""
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]: ...
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]: ...
 
     def findings(self) -> tuple[float | None, dict[int, int]]: ...
 
@@ -45,8 +68,8 @@
     watch: list[bool] = field(default_factory=list)
     logs: list[str] = field(default_factory=list)
     batch: int = 0
-    events: tuple[api.Event, ...] = ()
-    actions: tuple[api.Action, ...] = ()
+    events: tuple[Event, ...] = ()
+    actions: tuple[Action, ...] = ()
     heard_at: float = 0.0  # when the first event of the batch came in
 
 
@@ -54,7 +77,7 @@
     """Holds what one assigner knows of its streams; nothing of it outlives the process."""
 
     def __init__(
-        self, settings: api.Settings, make: Callable[[api.Settings], Decider] = Director, batch: int = 0
+        self, settings: Settings, make: Callable[[Settings], Decider] = Director, batch: int = 0
     ) -> None:
         self.settings = settings
         self.decider = make(settings)
@@ -66,7 +89,7 @@
         self.tokens: dict[int, int] = {}  # slices in charge
         self.tenures: dict[int, int] = {}  # first token of the unbroken tenure of each
         self._started: dict[int, tuple[int, float]] = {}  # by server: its life, when that began
-        self._events: list[api.Event] = []
+        self._events: list[Event] = []
         self._heard_at = 0.0
         self.listed = (
             False  # until then nothing is told: a module without a list would take all servers for gone
@@ -76,7 +99,7 @@
 
     # What comes in ------------------------------------------------------------------------------
 
-    def hear(self, now: float, *events: api.Event) -> None:
+    def hear(self, now: float, *events: Event) -> None:
         if not self._events:
             self._heard_at = now
         self._events.extend(events)
@@ -84,14 +107,21 @@
     def news(self, now: float, news: WatchEvent) -> list[str]:
         """A list from outside. Ages become times on our own clock once for each life of a server. Entries that
         can't be are passed over, with the reasons given back: what was last told of such a server stands."""
+        update_type = ListUpdateType(news.update_type)
         good, reasons = self._good(news)
         servers = []
         for e in good:
             self.addresses[e.server_id] = e.address or self.addresses.get(e.server_id, "")
             self.zones[e.server_id] = e.zone
             servers.append(
-                api.Endpoint(
-                    e.server_id, e.zone, e.server_type, e.cell, e.status, e.weight, self._start(now, e)
+                Endpoint(
+                    e.server_id,
+                    e.zone,
+                    e.server_type,
+                    e.cell,
+                    EndpointStatus(e.status),
+                    e.weight,
+                    self._start(now, e),
                 )
             )
         for known in (self.addresses, self.zones, self._started):  # each machine has an id of its own
@@ -100,9 +130,9 @@
                     del known[sid]
         if not self.listed and news.update_type != "failed":
             self.listed = True
-            self._events.insert(0, api.EndpointListUpdate(news.update_type, news.version, tuple(servers)))
+            self._events.insert(0, EndpointListUpdate(update_type, news.version, tuple(servers)))
         else:
-            self.hear(now, api.EndpointListUpdate(news.update_type, news.version, tuple(servers)))
+            self.hear(now, EndpointListUpdate(update_type, news.version, tuple(servers)))
         return reasons
 
     def _good(self, news: WatchEvent) -> tuple[list[EndpointEntry], list[str]]:
@@ -113,7 +143,7 @@
             self.entries |= good
         else:  # a server whose entry can't be is not one that is missing
             self.entries = good = {k: e for k, e in self.entries.items() if k in bad} | good
-        self.entries = {k: e for k, e in self.entries.items() if e.status != api.GONE}
+        self.entries = {k: e for k, e in self.entries.items() if e.status != EndpointStatus.REMOVED}
         return list(good.values()), [bad[k] for k in sorted(bad)]
 
     def _start(self, now: float, entry: EndpointEntry) -> float:
@@ -136,21 +166,21 @@
         if goes_on:
             return True
         self.addresses |= {h.server_id: h.address for h in charge.entries if h.address}
-        stored = [api.StoredWeight(charge.slice_id, h.server_id, h.weight) for h in charge.entries]
-        self.hear(now, api.OwnershipChanged(charge.slice_id, True), *stored)
+        stored = [StoredWeight(charge.slice_id, h.server_id, h.weight) for h in charge.entries]
+        self.hear(now, OwnershipChanged(charge.slice_id, True), *stored)
         return False
 
     def taken(self, now: float, number: int) -> None:
         if self.tokens.pop(number, None) is not None:
-            self.hear(now, api.OwnershipChanged(number, False))
+            self.hear(now, OwnershipChanged(number, False))
 
     def joined(self, now: float, proxy: int, zone: int, rate: float, fresh: bool) -> None:
         self.proxies[proxy] = zone
-        self.hear(now, api.ProxyConnected(proxy, zone, rate, fresh))
+        self.hear(now, ProxyConnected(proxy, zone, rate, fresh))
 
     def left(self, now: float, proxy: int) -> None:
         if self.proxies.pop(proxy, None) is not None:
-            self.hear(now, api.ProxyDisconnected(proxy))
+            self.hear(now, ProxyDisconnected(proxy))
 
     # Ticks --------------------------------------------------------------------------------------
 
@@ -161,23 +191,23 @@
         """After a round that failed: its timer is lost with it, and without one the module's rounds end. Where one
         stands, what failed was not the module, and a second would double its rounds for good."""
         if self.next_timer() is None:
-            self.hear(now, api.TimerFired(0))
+            self.hear(now, TimerFired(0))
 
     def busy(self) -> bool:
         return self.listed and bool(self._events)
 
     def waiting_servers(self) -> set[int]:
         """Those that events name which the module has not been handed yet."""
-        return {e.server_id for e in self._events if isinstance(e, api.StoredWeight)}
+        return {e.server_id for e in self._events if isinstance(e, StoredWeight)}
 
     def tick(self, now: float) -> Effects | None:
         """Hands the waiting events and due timers to the module; None when there was nothing."""
         while self._timers and self._timers[0][0] <= now:
             _, _, name = heapq.heappop(self._timers)
-            self.hear(now, api.TimerFired(name))
+            self.hear(now, TimerFired(name))
         if not self.listed:
-            kept = (api.OwnershipChanged, api.StoredWeight, api.ProxyConnected, api.ProxyDisconnected)
-            early: list[api.Event] = [e for e in self._events if isinstance(e, kept)]
+            kept = (OwnershipChanged, StoredWeight, ProxyConnected, ProxyDisconnected)
+            early: list[Event] = [e for e in self._events if isinstance(e, kept)]
             self._events = early[-EARLY_MOST:]
             return None
         if not self._events:
@@ -189,28 +219,28 @@
         self._carry_out(now, actions, effects)
         return effects
 
-    def _carry_out(self, now: float, actions: tuple[api.Action, ...], out: Effects) -> None:
+    def _carry_out(self, now: float, actions: tuple[Action, ...], out: Effects) -> None:
         withdrawals: dict[int, bool] = {}
         levels: list[AdmissionLevel] = []
         mark: int | None = None
         for action in actions:
             match action:
-                case api.SetTimer(after_s, name):
+                case SetTimer(after_s, name):
                     self._timer_count += 1
                     heapq.heappush(self._timers, (now + after_s, self._timer_count, name))
-                case api.SendHealthCheck(server):
+                case SendHealthCheck(server):
                     out.probes.append(server)
-                case api.WatchEndpoints(on):
+                case WatchEndpoints(on):
                     out.watch.append(on)
-                case api.LogMessage(text):
+                case LogMessage(text):
                     out.logs.append(text)
-                case api.SendCheckpoint(number):
+                case SendCheckpoint(number):
                     mark = number
-                case api.SetWeight(table, server, weight) if table in self.tokens:
+                case SetWeight(table, server, weight) if table in self.tokens:
                     out.writes.append(self._line(table, server, weight))
-                case api.SetWithdrawn(server, gone):
+                case SetWithdrawn(server, gone):
                     withdrawals[server] = gone
-                case api.SetAdmission(table, classes, level, retry):
+                case SetAdmission(table, classes, level, retry):
                     levels.append(AdmissionLevel(table, classes, level, retry))
         told = [s for s, gone in sorted(withdrawals.items()) if gone]
         back = [s for s, gone in sorted(withdrawals.items()) if not gone]
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -9,7 +9,6 @@
 
 import msgspec
 
-from puffintide import interface as api
 from puffintide.assigner.channel import Channel
 from puffintide.assigner.handover import FIRST_MARK, Steps, budgeted, handover_for
 from puffintide.assigner.listed import Listed
@@ -20,7 +19,14 @@
 from puffintide.assigner.runtime import Effects, Runtime
 from puffintide.assigner.stored import Stored
 from puffintide.config.loader import Config, settings
+from puffintide.decisions.actions import SetAdmission, SetWeight, SetWithdrawn
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    CheckpointAcknowledged,
+    EndpointStatus,
+    HealthCheckResult,
+    HealthCheckStatus,
+)
 from puffintide.protocol import messages as m
 from puffintide.protocol.checks import NEWS_KINDS, wrong_sums
 from puffintide.protocol.messages import AnyMessage
@@ -143,7 +149,7 @@
         return Heard(
             {sid: entry.incarnation for sid, entry in entries.items()},
             {sid: at for sid, (_, at) in self.listed.entries.items() if self.listed.told},
-            {sid for sid, entry in entries.items() if entry.status == api.DRAINING},
+            {sid for sid, entry in entries.items() if entry.status == EndpointStatus.DRAINING},
         )
 
     def _flush(self) -> None:
@@ -211,7 +217,7 @@
                     self._step(self.handover.applied(now, stream.tag[1], mark))
             case m.CheckpointReply() if stream.tag and stream.tag[0] == "proxy":
                 took = self.orders.applied(message.checkpoint_id)
-                self.runtime.hear(now, api.CheckpointAcknowledged(stream.tag[1], message.checkpoint_id, took))
+                self.runtime.hear(now, CheckpointAcknowledged(stream.tag[1], message.checkpoint_id, took))
                 self._schedule()
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for an assigner")
@@ -364,7 +370,7 @@
         self._step(self.handover.due(self.now()))
 
     def _log_decision(self, now: float, effects: Effects) -> None:
-        kinds = (api.SetWeight, api.SetWithdrawn, api.SetAdmission)
+        kinds = (SetWeight, SetWithdrawn, SetAdmission)
         told = [a for a in effects.actions if isinstance(a, kinds)]
         if not told:
             return
@@ -411,7 +417,7 @@
         prober.probe(now)
 
     def probed(self, server: int, status: int, took_s: float, values: tuple[float, ...]) -> None:
-        self.runtime.hear(self.now(), api.HealthCheckResult(server, status, took_s, values))
+        self.runtime.hear(self.now(), HealthCheckResult(server, HealthCheckStatus(status), took_s, values))
         self._schedule()
 
     def _stats(self) -> None:
--- a/puffintide/assigner/stored.py
+++ b/puffintide/assigner/stored.py
@@ -6,11 +6,11 @@
 from itertools import chain
 from typing import Any
 
-from puffintide import interface as api
 from puffintide.assigner.handover import Handover, Steps
 from puffintide.assigner.ordered import Ordered
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
+from puffintide.decisions.events import AssignerCountChanged, ZoneCommandReceived, ZoneOperation
 from puffintide.protocol import messages as m
 from puffintide.protocol.checks import wrong_lines
 from puffintide.protocol.messages import AnyMessage
@@ -67,12 +67,14 @@
             case m.AssignerMembership():
                 self.log.info("members", assigners=message.assigner_ids)
                 if self.me in message.assigner_ids:
-                    self.runtime.hear(now, api.AssignerCountChanged(len(message.assigner_ids)))
+                    self.runtime.hear(now, AssignerCountChanged(len(message.assigner_ids)))
             case m.ZoneCommands():
                 for hand in message.commands:
-                    if hand.sequence != self.hands.get(hand.zone):
+                    if hand.sequence != self.hands.get(hand.zone) and hand.operation in tuple(ZoneOperation):
                         self.hands[hand.zone] = hand.sequence
-                        self.runtime.hear(now, api.ZoneCommandReceived(hand.zone, hand.operation, hand.pace))
+                        self.runtime.hear(
+                            now, ZoneCommandReceived(hand.zone, ZoneOperation(hand.operation), hand.pace)
+                        )
                         self.log.warning("hand", zone=hand.zone, what=hand.operation, by=hand.operator)
             case m.OwnershipRevoked():
                 if self.handover is not None:
--- a/puffintide/bench_adapter/__main__.py
+++ b/puffintide/bench_adapter/__main__.py
@@ -9,8 +9,8 @@
 
 from puffintide.bench_adapter.codec import Decoder, Exit, Hello, WireError, encode_action, encode_fault, frame
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import Event
 from puffintide.decisions.settings import SettingsError, parse_settings
-from puffintide.interface import Event
 
 CLOCK = 8  # bytes of the clock that opens every batch
 
--- a/puffintide/bench_adapter/codec.py
+++ b/puffintide/bench_adapter/codec.py
@@ -6,7 +6,34 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from puffintide import interface as api
+from puffintide.decisions.actions import (
+    Action,
+    LogMessage,
+    SendCheckpoint,
+    SendHealthCheck,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    SetWithdrawn,
+    WatchEndpoints,
+)
+from puffintide.decisions.events import (
+    CheckpointAcknowledged,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    HealthCheckResult,
+    HealthCheckStatus,
+    ListUpdateType,
+    OwnershipChanged,
+    ProxyConnected,
+    ProxyDisconnected,
+    ServerLoadReport,
+    SliceLoadReport,
+    StoredWeight,
+    TimerFired,
+)
 
 
 class WireError(Exception):
@@ -26,7 +53,12 @@
     """An instance has been killed."""
 
 
-_LIST_KINDS = {0: "delta", 1: "cached", 2: "failed", 3: "full"}
+_LIST_UPDATE_TYPES = {
+    0: ListUpdateType.DELTA,
+    1: ListUpdateType.CACHED,
+    2: ListUpdateType.FAILED,
+    3: ListUpdateType.SNAPSHOT,
+}
 _STRUCTS: dict[str, struct.Struct] = {}
 
 
@@ -66,9 +98,9 @@
     """Reads batches; keeps the numbered server lists that later events refer to."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, tuple[api.Endpoint, ...]] = {}
+        self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def events(self, body: bytes) -> Iterator[tuple[int, api.Event | Hello | Exit]]:
+    def events(self, body: bytes) -> Iterator[tuple[int, Event | Hello | Exit]]:
         """The events of a batch body (what follows the clock), each with its instance."""
         reader = _Reader(body)
         while reader.at < len(body):
@@ -86,15 +118,17 @@
         number, rows = (int(v) for v in r.take("II"))
         servers = []
         for _ in range(rows):
+            at = r.at
             sid, zone, kind, cell, state, weight, started = r.take("IBHHBfd")
+            if state not in tuple(EndpointStatus):
+                raise WireError(f"unknown state {state} of server {sid} at byte {at}")
+            status = EndpointStatus(int(state))
             servers.append(
-                api.Endpoint(
-                    int(sid), int(zone), int(kind), int(cell), int(state), float(weight), float(started)
-                )
+                Endpoint(int(sid), int(zone), int(kind), int(cell), status, float(weight), float(started))
             )
         self._lists[number] = tuple(servers)
 
-    def _event(self, code: int, r: _Reader, start: int) -> api.Event | Hello | Exit | None:
+    def _event(self, code: int, r: _Reader, start: int) -> Event | Hello | Exit | None:
         """None: something that the module has no use for (messages of others like it, usage without slices)."""
         match code:
             case 0:
@@ -102,17 +136,17 @@
                 return Hello(int(seed), r.raw(int(size)))
             case 1:
                 number, version, form = (int(v) for v in r.take("IQB"))
-                if form not in _LIST_KINDS:
+                if form not in _LIST_UPDATE_TYPES:
                     raise WireError(f"unknown list form {form} in the record at byte {start}")
                 if form != 2 and number not in self._lists:
                     raise WireError(f"list {number} was never sent (record at byte {start})")
                 rows = () if form == 2 else self._lists[number]
-                return api.EndpointListUpdate(_LIST_KINDS[form], version, rows)
+                return EndpointListUpdate(_LIST_UPDATE_TYPES[form], version, rows)
             case 2:
-                return api.TimerFired(int(r.take("I")[0]))
+                return TimerFired(int(r.take("I")[0]))
             case 3:
                 took, server, status = r.take("dIH")
-                return api.HealthCheckResult(int(server), int(status), float(took), r.floats())
+                return HealthCheckResult(int(server), HealthCheckStatus(int(status)), float(took), r.floats())
             case 4:
                 r.raw(int(r.take("IH")[1]))
                 return None
@@ -120,15 +154,15 @@
                 return Exit()
             case 6:
                 proxy, zone, rate, fresh = r.take("HBfB")
-                return api.ProxyConnected(int(proxy), int(zone), float(rate), bool(fresh))
+                return ProxyConnected(int(proxy), int(zone), float(rate), bool(fresh))
             case 7:
-                return api.ProxyDisconnected(int(r.take("H")[0]))
+                return ProxyDisconnected(int(r.take("H")[0]))
             case 8:
                 took, proxy, stamp = r.take("dHQ")
-                return api.CheckpointAcknowledged(int(proxy), int(stamp), float(took))
+                return CheckpointAcknowledged(int(proxy), int(stamp), float(took))
             case 9:
                 zone, server, tries, failed, mean, span = r.take("BIIIdd")
-                return api.ServerLoadReport(
+                return ServerLoadReport(
                     int(zone), int(server), int(tries), int(failed), float(mean), float(span), r.floats()
                 )
             case 10:
@@ -136,13 +170,13 @@
                 return None
             case 11:
                 table, qos, count, failed, span = r.take("HHIId")
-                return api.SliceLoadReport(int(table), int(qos), int(count), int(failed), float(span))
+                return SliceLoadReport(int(table), int(qos), int(count), int(failed), float(span))
             case 12:
                 table, given = r.take("HB")
-                return api.OwnershipChanged(int(table), bool(given))
+                return OwnershipChanged(int(table), bool(given))
             case 13:
                 weight, server, table = r.take("fIH")
-                return api.StoredWeight(int(table), int(server), float(weight))
+                return StoredWeight(int(table), int(server), float(weight))
         raise WireError(f"unknown event code {code} at byte {start}")
 
 
@@ -151,24 +185,24 @@
     return _struct("BHH").pack(code, who, len(data)) + data
 
 
-def encode_action(who: int, action: api.Action) -> bytes:
+def encode_action(who: int, action: Action) -> bytes:
     """One action as a record."""
     match action:
-        case api.SetWeight(table, server, weight):
+        case SetWeight(table, server, weight):
             return _struct("BHHIf").pack(71, who, table, server, weight)
-        case api.SetTimer(after_s, name):
+        case SetTimer(after_s, name):
             return _struct("BHdI").pack(64, who, after_s, name)
-        case api.SendHealthCheck(server):
+        case SendHealthCheck(server):
             return _struct("BHI").pack(65, who, server)
-        case api.LogMessage(text):
+        case LogMessage(text):
             return _text(67, who, text)
-        case api.WatchEndpoints(on):
+        case WatchEndpoints(on):
             return _struct("BHB").pack(69, who, on)
-        case api.SetWithdrawn(server, out):
+        case SetWithdrawn(server, out):
             return _struct("BHBI").pack(73, who, out, server)
-        case api.SetAdmission(table, classes, level, retry):
+        case SetAdmission(table, classes, level, retry):
             return _struct("BHHHfB").pack(75, who, table, classes, level, retry)
-        case api.SendCheckpoint(number):
+        case SendCheckpoint(number):
             return _struct("BHQB").pack(76, who, number, False)
 
 
--- a/puffintide/config/loader.py
+++ b/puffintide/config/loader.py
@@ -8,8 +8,8 @@
 
 from pydantic import ValidationError
 
-from puffintide import interface as api
 from puffintide.config import schema as s
+from puffintide.decisions.settings import AdmissionMode, RepeatSafety, RequestClass, Settings
 
 
 class ConfigError(Exception):
@@ -193,17 +193,19 @@
     return tuple(rows)
 
 
-def settings(config: Config, instance: int, zone: int, seed: int) -> api.Settings:
+def settings(config: Config, instance: int, zone: int, seed: int) -> Settings:
     """The module's settings as the file has them."""
     d, c, r = config.deployment, config.channel, config.reports
-    return api.Settings(
+    return Settings(
         assigner_index=instance,
         assigner_count=d.assigners,
         seed=seed,
         zone=zone,
         zone_count=len(d.zones),
         request_classes=tuple(
-            api.RequestClass(k.effect, k.group, k.window_s, k.aim_s, k.deadline_s, k.worth, k.own_zone_only)
+            RequestClass(
+                RepeatSafety(k.effect), k.group, k.window_s, k.aim_s, k.deadline_s, k.worth, k.own_zone_only
+            )
             for k in config.classes.values()
         ),
         slice_count=d.slices,
@@ -213,7 +215,7 @@
         default_retry_mode=d.retry_default,
         retry_wait_objectives=d.retry_wait_aims,
         proxy_ejection_failures=d.shun_after,
-        admission_mode=d.admit,
+        admission_mode=AdmissionMode(d.admit),
         channel_entries_per_s=c.lines_per_s,
         channel_header_entries=c.head_lines,
         channel_capacity_entries=c.limit,
--- a/puffintide/decisions/director.py
+++ b/puffintide/decisions/director.py
@@ -12,7 +12,36 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from puffintide import interface as api
+from puffintide.decisions.actions import (
+    ALL_SLICES,
+    Action,
+    SendCheckpoint,
+    SendHealthCheck,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    SetWithdrawn,
+    WatchEndpoints,
+)
+from puffintide.decisions.events import (
+    AssignerCountChanged,
+    CapacityLimitChanged,
+    CheckpointAcknowledged,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    HealthCheckResult,
+    OwnershipChanged,
+    PeerObservation,
+    ProxyConnected,
+    ProxyDisconnected,
+    ServerLoadReport,
+    SliceLoadReport,
+    StoredWeight,
+    TimerFired,
+)
+from puffintide.decisions.settings import Settings
 
 ROUND_S = 0.25  # how often health is judged and urgent changes may go out
 PUBLISH_S = 1.0  # pace of ordinary changes
@@ -85,7 +114,7 @@
 
 @dataclass(slots=True)
 class ServerView:
-    entry: api.Endpoint
+    entry: Endpoint
     since: float  # when it was first heard of, or restarted
     good: defaultdict[int, Rate] = field(default_factory=lambda: defaultdict(Rate))  # answers, by proxy zone
     held: defaultdict[int, Rate] = field(default_factory=lambda: defaultdict(Rate))  # tries under way
@@ -120,13 +149,13 @@
 
 
 class Director:
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.set = settings
         self.servers: dict[int, ServerView] = {}
         self.slices: dict[int, SliceView] = {}
         self.proxies: set[int] = set()
         self.now = -math.inf
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.urgent = self.levels_due = self.rejoined = False  # rejoined: a proxy that knows no withdrawals
         self.next_watch = 0.0 if settings.watch_on_request else math.inf
         self.next_publish = self.ordinary_at = 0.0
@@ -148,9 +177,9 @@
         ] = {}  # alternates of each slice, while the servers below stand
         self.orders_for: list[tuple[bool, int]] = []
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        due = self.now < 0 or any(isinstance(event, api.TimerFired) for event in events)
-        self.now, self.actions = now, [api.SetTimer(ROUND_S, 1)] if due else []
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
+        due = self.now < 0 or any(isinstance(event, TimerFired) for event in events)
+        self.now, self.actions = now, [SetTimer(ROUND_S, 1)] if due else []
         for event in events:
             self.observe(event)
         self.first_reported = min(self.first_reported, self.now if self.reported > 0 else math.inf)
@@ -160,7 +189,7 @@
 
     def round(self) -> None:
         if self.now >= self.next_watch:
-            self.actions.append(api.WatchEndpoints(True))
+            self.actions.append(WatchEndpoints(True))
             self.next_watch = math.inf
         self.judge_health()
         self.probe()
@@ -169,52 +198,52 @@
         self.shed()
         self.publish(plan)
 
-    def observe(self, event: api.Event) -> None:
+    def observe(self, event: Event) -> None:
         match event:
-            case api.ServerLoadReport():
+            case ServerLoadReport():
                 self.see_load(event)
-            case api.SliceLoadReport():
+            case SliceLoadReport():
                 view = self.slices.get(event.slice_id)
                 if view is not None and event.interval_s > 0:
                     self.reported = self.now
                     view.heat[event.class_index].add(self.now, event.requests, event.interval_s)
-            case api.EndpointListUpdate():
+            case EndpointListUpdate():
                 self.see_list(event)
-            case api.OwnershipChanged():
+            case OwnershipChanged():
                 self.charged = self.now
                 if self.slices.pop(event.slice_id, None) is not None and not event.granted:
                     self.taken = self.now
                 if event.granted:
                     self.slices[event.slice_id] = SliceView()
                     self.urgent = self.levels_due = True
-            case api.StoredWeight():
+            case StoredWeight():
                 view = self.slices.get(event.slice_id)
                 if view is not None and event.weight > 0:
                     view.lines[event.server_id] = event.weight
                     half = max(view.lines.values()) / 2
                     view.places = [s for s, weight in sorted(view.lines.items()) if weight >= half]
                     view.default = view.places[0]
-            case api.ProxyConnected():
+            case ProxyConnected():
                 self.proxies.add(event.proxy_id)
                 self.levels_due = self.rejoined = True
-            case api.CheckpointAcknowledged():
+            case CheckpointAcknowledged():
                 self.marks.get(event.checkpoint_id, (0, 0, set[int]()))[2].discard(event.proxy_id)
-            case api.ProxyDisconnected():
+            case ProxyDisconnected():
                 self.proxies.discard(event.proxy_id)
-            case api.HealthCheckResult():
+            case HealthCheckResult():
                 self.see_probe(event)
-            case api.AssignerCountChanged():  # each takes its part of the room; alone, nobody else's load is there
+            case AssignerCountChanged():  # each takes its part of the room; alone, nobody else's load is there
                 self.set = replace(self.set, assigner_count=max(1, event.count))
                 for server in self.servers.values() if event.count <= 1 else ():
                     server.foreign = None
-            case api.PeerObservation():
+            case PeerObservation():
                 self.see_copy(event)
-            case api.CapacityLimitChanged():
+            case CapacityLimitChanged():
                 self.bounds.pop(event.server_id, None)
                 if event.fraction < 1:
                     self.bounds[event.server_id] = event.fraction
 
-    def see_list(self, event: api.EndpointListUpdate) -> None:
+    def see_list(self, event: EndpointListUpdate) -> None:
         if event.update_type == "failed":
             self.next_watch = self.now + 0.5
             return
@@ -222,23 +251,25 @@
         for entry in event.endpoints:
             view = self.servers.get(entry.server_id)
             self.urgent |= view is None or replace(view.entry, weight=entry.weight) != entry
-            if view is None or (entry.status == api.READY and entry.started_at_s > view.entry.started_at_s):
+            if view is None or (
+                entry.status == EndpointStatus.READY and entry.started_at_s > view.entry.started_at_s
+            ):
                 self.servers[entry.server_id] = view = ServerView(
                     entry, self.now
                 )  # new, or a restart: start anew
             view.entry, view.left = entry, False
         for sid, view in sorted(self.servers.items()) if event.update_type != "delta" else []:
-            if sid not in listed and view.entry.status != api.GONE:
-                view.entry = replace(view.entry, status=api.GONE)
+            if sid not in listed and view.entry.status != EndpointStatus.REMOVED:
+                view.entry = replace(view.entry, status=EndpointStatus.REMOVED)
                 self.urgent = True
         for sid, view in self.servers.items():
             view.lost_since = None if self.ready(sid) else view.lost_since or self.now
-        old = {s for s, v in self.servers.items() if v.entry.status == api.GONE}
+        old = {s for s, v in self.servers.items() if v.entry.status == EndpointStatus.REMOVED}
         old = {s for s in old if self.now - (self.servers[s].lost_since or self.now) > FORGET_S}
         for sid in old.difference(*(view.lines for view in self.slices.values())):
             del self.servers[sid]
 
-    def see_load(self, event: api.ServerLoadReport) -> None:
+    def see_load(self, event: ServerLoadReport) -> None:
         view = self.servers.get(event.server_id)
         if view is None or event.interval_s <= 0 or event.failed_attempts > event.attempts:
             return
@@ -266,7 +297,7 @@
             elif name == "lat_ms" and 0 < value < math.inf:
                 view.service_s = smooth(view.service_s, value / 1000, self.set.report_period_s)
 
-    def see_probe(self, event: api.HealthCheckResult) -> None:
+    def see_probe(self, event: HealthCheckResult) -> None:
         view = self.servers.get(event.server_id)
         if view is None or event.status not in (0, 3, 4, 5):
             return
@@ -278,7 +309,7 @@
         if event.status in (0, 3) and view.inflight is not None and view.entry.zone not in self.blind:
             self.probed.append((view.latest / max(view.entry.weight, 1e-9), view.slowed))
 
-    def see_copy(self, event: api.PeerObservation) -> None:
+    def see_copy(self, event: PeerObservation) -> None:
         """Guards against a blind start, and against a list that does not reach us: what others found out counts
         until we have found out ourselves."""
         view = self.servers.get(event.server_id)
@@ -297,7 +328,7 @@
 
     def ready(self, sid: int) -> bool:
         view = self.servers.get(sid)
-        return view is not None and view.entry.status == api.READY and not view.left
+        return view is not None and view.entry.status == EndpointStatus.READY and not view.left
 
     def ready_views(self) -> list[ServerView]:
         return [view for sid, view in sorted(self.servers.items()) if self.ready(sid)]
@@ -348,7 +379,7 @@
         """First probes at once, the next spread by id so that not all go out together."""
         for view in self.ready_views() if self.set.health_checks_enabled else []:
             if self.now >= view.next_probe:
-                self.actions.append(api.SendHealthCheck(view.entry.server_id))
+                self.actions.append(SendHealthCheck(view.entry.server_id))
                 spread = (
                     1.0 if view.next_probe else zlib.crc32(f"{view.entry.server_id}".encode()) % 1000 / 1000
                 )
@@ -729,7 +760,7 @@
             self.levels_due = False
         if orders:
             number = int(self.now * 1000) % 65536
-            orders.append(api.SendCheckpoint(number))  # its answers tell how fast the channel really is
+            orders.append(SendCheckpoint(number))  # its answers tell how fast the channel really is
             self.marks[number] = self.now, len(orders) + self.set.channel_header_entries, set(self.proxies)
             self.actions.extend(orders)
             self.sent.append(self.now)
@@ -738,7 +769,7 @@
             pace = max(1.0, self.set.assigner_count / 2) * PUBLISH_S
             self.next_publish = min(self.now + pace, self.ordinary_at + max(pace, PUT_OFF_S))
 
-    def shut_out(self, plan: Plan, must: list[int], budget: float, ample: float) -> list[api.Action]:
+    def shut_out(self, plan: Plan, must: list[int], budget: float, ample: float) -> list[Action]:
         """Withdraws lost servers, at one line a proxy, where rewriting their tables would outlast the grace
         (waves, large fleets). They are let in when ready and no table names them against the plan."""
         held = {s for view in self.slices.values() for s in view.lines}
@@ -756,20 +787,18 @@
         chosen = (lost + back + again)[:most]
         self.urgent, self.rejoined = len(chosen) < len(lost), len(chosen) < len(lost + back + again)
         self.withdrawn = self.withdrawn.union(lost[:most]).difference(set(back) & set(chosen))
-        return [api.SetWithdrawn(s, s not in back) for s in dict.fromkeys(chosen)]
+        return [SetWithdrawn(s, s not in back) for s in dict.fromkeys(chosen)]
 
-    def changes(self, number: int, places: list[int], tidy: bool) -> list[api.SetWeight]:
+    def changes(self, number: int, places: list[int], tidy: bool) -> list[SetWeight]:
         """New lines first. Lines of servers that are shut out wait for an ordinary change."""
         old, new = self.slices[number].lines, self.table(number, places)
         if self.set.single_writer:
-            return [api.SetWeight(number, s, 1.0) for s in new if s not in old]
-        added = [
-            api.SetWeight(number, s, w) for s, w in sorted(new.items()) if abs(old.get(s, 0.0) - w) > 1e-6
-        ]
+            return [SetWeight(number, s, 1.0) for s in new if s not in old]
+        added = [SetWeight(number, s, w) for s, w in sorted(new.items()) if abs(old.get(s, 0.0) - w) > 1e-6]
         drop = [s for s in sorted(old) if s not in new and (tidy or s not in self.withdrawn)]
-        return added + [api.SetWeight(number, s, 0.0) for s in drop]
+        return added + [SetWeight(number, s, 0.0) for s in drop]
 
-    def commit(self, number: int, places: list[int], changes: list[api.SetWeight]) -> None:
+    def commit(self, number: int, places: list[int], changes: list[SetWeight]) -> None:
         view = self.slices[number]
         view.default = next(iter(places), None) if view.default is None else view.default
         if set(places) != set(view.places):
@@ -777,10 +806,10 @@
         lines = ({} if self.set.single_writer else view.lines) | {c.server_id: c.weight for c in changes}
         view.lines, view.places = {s: w for s, w in lines.items() if w > 0}, list(places)
 
-    def retry_orders(self) -> list[api.Action]:
+    def retry_orders(self) -> list[Action]:
         tries = min(
             1, self.set.default_retry_mode
         )  # after proof that the first never ran: safe for every class
         usual = [(0, 1.0)] if tries < self.set.default_retry_mode else []
         levels = sorted((1 << k, v) for k, v in self.levels.items()) or usual
-        return [api.SetAdmission(api.ALL_SLICES, classes, v, tries) for classes, v in levels]
+        return [SetAdmission(ALL_SLICES, classes, v, tries) for classes, v in levels]
--- a/puffintide/decisions/settings.py
+++ b/puffintide/decisions/settings.py
@@ -1,22 +1,91 @@
-"""The settings that an instance is started with, as the interface's Settings. Unknown keys are skipped.
+"""Settings of an assigner, and their parser.
 
-The drill has them in its first message, the node in its configuration.
+The keys of the JSON text are the operators' own; they are mapped to standard terms here and nowhere else. Unknown
+keys are ignored.
 """
 
 from __future__ import annotations
 
 import json
 import math
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
-from puffintide.interface import RequestClass, Settings
+
+class RepeatSafety(StrEnum):
+    """Whether a request may be executed twice; the values are those of the settings."""
+
+    IDEMPOTENT = "repeatable"
+    IDEMPOTENCY_KEY = "by_key"  # repeats are dropped by their key within the deduplication window
+    NON_IDEMPOTENT = "once"
+
+
+class AdmissionMode(StrEnum):
+    """What proxies do with the admission fractions that they receive; the values are those of the settings."""
+
+    FRACTION = "fraction"
+    RATE = "per_second"
+    NONE = "silent"  # fractions are ignored, retry modes are not
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """A class of requests."""
+
+    repeat_safety: RepeatSafety
+    deduplication_scope: str  # with an idempotency key: "all" servers, those of a "zone" or of a "cell"
+    deduplication_window_s: float
+    latency_objective_s: float
+    deadline_s: float
+    priority_weight: float
+    same_zone_only: bool
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """What an assigner is started with."""
+
+    assigner_index: int
+    assigner_count: int
+    seed: int
+    zone: int
+    zone_count: int
+    request_classes: tuple[RequestClass, ...]
+    slice_count: int
+    proxy_count: int
+    single_writer: bool
+    caches_keys: bool  # servers work faster on keys that they have seen recently
+    default_retry_mode: int
+    retry_wait_objectives: float  # wait before a retry, in latency objectives
+    proxy_ejection_failures: int  # consecutive failures after which a proxy avoids a server; 0: never
+    admission_mode: AdmissionMode
+    channel_entries_per_s: float
+    channel_header_entries: float  # that each message costs beside its entries
+    channel_capacity_entries: float
+    channel_delay_s: float
+    channel_delay_max_s: float
+    max_messages_per_window: int  # 0: no limit
+    message_window_s: float
+    report_period_s: float
+    report_entries_per_s: float
+    load_value_names: tuple[str, ...]  # "rif", "q", "busy", "lat_ms", "rate", "fail_rate"
+    health_checks_enabled: bool
+    watch_on_request: bool  # the endpoint list is sent only once it is requested
+    drain_grace_s: float
+    slow_start_min_fraction: float  # of its capacity that a server has when it starts
+    slow_start_duration_s: float
+    collapse_load_ratio: float  # load over capacity at which a server that is warming up fails
+    collapse_duration_s: float
+    max_unserved_s: float
+    zone_distances: tuple[tuple[int, ...], ...] = ()  # of each zone to each other; empty: all alike
 
 
 class SettingsError(Exception):
-    """A setting is absent or impossible; the text names its key."""
+    """A setting is absent or invalid; the text names its key."""
 
 
-def _get(tree: Any, path: str, kind: type, default: Any = None) -> Any:
+def _value(tree: Any, path: str, kind: type, default: Any = None) -> Any:
     node = tree
     for part in path.split("."):
         if not isinstance(node, dict) or part not in node:
@@ -35,76 +104,92 @@
     return node
 
 
-def _amount(tree: Any, path: str, kind: type, least: float = 0, default: Any = None) -> Any:
-    value = _get(tree, path, kind, default)
-    if value < least:
-        raise SettingsError(f"setting {path} is below {least}: {value}")
+def _number(tree: Any, path: str, kind: type, minimum: float = 0, default: Any = None) -> Any:
+    value = _value(tree, path, kind, default)
+    if value < minimum:
+        raise SettingsError(f"setting {path} is below {minimum}: {value}")
     return value
 
 
+def _request_class(row: Any, same_zone_only: bool) -> RequestClass:
+    effect = _value(row, "effect", str)
+    if effect not in tuple(RepeatSafety):
+        raise SettingsError(f"setting effect is unknown: {effect!r}")
+    return RequestClass(
+        repeat_safety=RepeatSafety(effect),
+        deduplication_scope=_value(row, "group", str, "all"),
+        deduplication_window_s=_number(row, "windowS", float, default=0.0),
+        latency_objective_s=_number(row, "objectiveS", float),
+        deadline_s=_number(row, "deadlineS", float),
+        priority_weight=_number(row, "worth", float, default=1.0),
+        same_zone_only=same_zone_only,
+    )
+
+
+def _request_classes(tree: dict[str, Any]) -> tuple[RequestClass, ...]:
+    rows = _value(tree, "classes", list)
+    if not rows:
+        raise SettingsError("setting classes is empty")
+    same_zone_only = _value(tree, "familyInfo.homeOnly", list, [])
+    classes = []
+    for index, row in enumerate(rows):
+        try:
+            classes.append(_request_class(row, index < len(same_zone_only) and bool(same_zone_only[index])))
+        except SettingsError as error:
+            raise SettingsError(f"classes[{index}]: {error}") from error
+    return tuple(classes)
+
+
+def _admission_mode(tree: dict[str, Any]) -> AdmissionMode:
+    mode = _value(tree, "familyInfo.admit", str, "silent")
+    return AdmissionMode(mode) if mode in tuple(AdmissionMode) else AdmissionMode.NONE
+
+
 def parse_settings(text: bytes, seed: int) -> Settings:
-    """Settings from the JSON text, or a SettingsError that names the key at fault."""
+    """Parse the JSON text of the settings.
+
+    Raises:
+        SettingsError: The text is no JSON object, or a setting is absent or invalid.
+    """
     try:
         tree = json.loads(text)
     except ValueError as error:
-        raise SettingsError(f"the settings are not JSON: {error}") from None
+        raise SettingsError(f"the settings are not JSON: {error}") from error
     if not isinstance(tree, dict):
         raise SettingsError("the settings are not a JSON object")
-    classes = []
-    rows = _get(tree, "classes", list)
-    if not rows:
-        raise SettingsError("setting classes is empty")
-    home_only = _get(tree, "familyInfo.homeOnly", list, [])
-    for k, row in enumerate(rows):
-        try:
-            effect = _get(row, "effect", str)
-            if effect not in ("repeatable", "by_key", "once"):
-                raise SettingsError(f"setting effect is unknown: {effect!r}")
-            classes.append(
-                RequestClass(
-                    repeat_safety=effect,
-                    deduplication_scope=_get(row, "group", str, "all"),
-                    deduplication_window_s=_amount(row, "windowS", float, default=0.0),
-                    latency_objective_s=_amount(row, "objectiveS", float),
-                    deadline_s=_amount(row, "deadlineS", float),
-                    priority_weight=_amount(row, "worth", float, default=1.0),
-                    same_zone_only=bool(home_only[k]) if k < len(home_only) else False,
-                )
-            )
-        except SettingsError as error:
-            raise SettingsError(f"classes[{k}]: {error}") from None
-    names = _get(tree, "report.names", list, [])
+    classes = _request_classes(tree)
+    load_value_names = _value(tree, "report.names", list, [])
     return Settings(
-        assigner_index=_amount(tree, "me", int),
-        assigner_count=_amount(tree, "balancers", int, 1),
+        assigner_index=_number(tree, "me", int),
+        assigner_count=_number(tree, "balancers", int, 1),
         seed=seed,
-        zone=_amount(tree, "zone", int, default=0),
-        zone_count=len(_get(tree, "zones", list, [])),
-        request_classes=tuple(classes),
-        slice_count=_amount(tree, "familyInfo.slices", int, default=0),
-        proxy_count=_amount(tree, "familyInfo.agents", int),
-        single_writer=_get(tree, "familyInfo.singleWriter", bool, False),
-        caches_keys=_get(tree, "familyInfo.warmKeys", bool, False),
-        default_retry_mode=_amount(tree, "familyInfo.retryDefault", int, default=0),
-        proxy_ejection_failures=_amount(tree, "familyInfo.strikes", int, default=0),
-        retry_wait_objectives=_amount(tree, "familyInfo.tryFactor", float, default=1.0),
-        admission_mode=_get(tree, "familyInfo.admit", str, "silent"),
-        channel_entries_per_s=_amount(tree, "familyInfo.egressPerS", float, 1),
-        channel_header_entries=_amount(tree, "familyInfo.head", float),
-        channel_capacity_entries=_amount(tree, "familyInfo.mostWaiting", float, 1),
-        channel_delay_s=_amount(tree, "familyInfo.pushDelayS", float),
-        channel_delay_max_s=_amount(tree, "familyInfo.pushDelayMaxS", float),
-        max_messages_per_window=_amount(tree, "familyInfo.reloadsMax", int, default=0),
-        message_window_s=_amount(tree, "familyInfo.reloadSpanS", float, default=10.0),
-        report_period_s=_amount(tree, "familyInfo.cycleS", float),
-        report_entries_per_s=_amount(tree, "familyInfo.hearsPerS", float),
-        load_value_names=tuple(str(name) for name in names),
-        health_checks_enabled=_get(tree, "limits.probes", bool, False),
-        watch_on_request=_get(tree, "membershipMode", str, "automatic") == "subscribe",
-        drain_grace_s=_amount(tree, "rules.stopSendingWithinS", float),
-        slow_start_min_fraction=_amount(tree, "rules.coldFrom", float),
-        slow_start_duration_s=_amount(tree, "rules.warmWithinS", float),
-        collapse_load_ratio=_amount(tree, "rules.fallMultiple", float),
-        collapse_duration_s=_amount(tree, "rules.overloadForS", float),
-        max_unserved_s=_amount(tree, "familyInfo.unservedMaxS", float),
+        zone=_number(tree, "zone", int, default=0),
+        zone_count=len(_value(tree, "zones", list, [])),
+        request_classes=classes,
+        slice_count=_number(tree, "familyInfo.slices", int, default=0),
+        proxy_count=_number(tree, "familyInfo.agents", int),
+        single_writer=_value(tree, "familyInfo.singleWriter", bool, False),
+        caches_keys=_value(tree, "familyInfo.warmKeys", bool, False),
+        default_retry_mode=_number(tree, "familyInfo.retryDefault", int, default=0),
+        proxy_ejection_failures=_number(tree, "familyInfo.strikes", int, default=0),
+        retry_wait_objectives=_number(tree, "familyInfo.tryFactor", float, default=1.0),
+        admission_mode=_admission_mode(tree),
+        channel_entries_per_s=_number(tree, "familyInfo.egressPerS", float, 1),
+        channel_header_entries=_number(tree, "familyInfo.head", float),
+        channel_capacity_entries=_number(tree, "familyInfo.mostWaiting", float, 1),
+        channel_delay_s=_number(tree, "familyInfo.pushDelayS", float),
+        channel_delay_max_s=_number(tree, "familyInfo.pushDelayMaxS", float),
+        max_messages_per_window=_number(tree, "familyInfo.reloadsMax", int, default=0),
+        message_window_s=_number(tree, "familyInfo.reloadSpanS", float, default=10.0),
+        report_period_s=_number(tree, "familyInfo.cycleS", float),
+        report_entries_per_s=_number(tree, "familyInfo.hearsPerS", float),
+        load_value_names=tuple(str(name) for name in load_value_names),
+        health_checks_enabled=_value(tree, "limits.probes", bool, False),
+        watch_on_request=_value(tree, "membershipMode", str, "automatic") == "subscribe",
+        drain_grace_s=_number(tree, "rules.stopSendingWithinS", float),
+        slow_start_min_fraction=_number(tree, "rules.coldFrom", float),
+        slow_start_duration_s=_number(tree, "rules.warmWithinS", float),
+        collapse_load_ratio=_number(tree, "rules.fallMultiple", float),
+        collapse_duration_s=_number(tree, "rules.overloadForS", float),
+        max_unserved_s=_number(tree, "familyInfo.unservedMaxS", float),
     )
--- a/puffintide/platform/config.py
+++ b/puffintide/platform/config.py
@@ -7,8 +7,7 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from puffintide.decisions.settings import SettingsError, parse_settings
-from puffintide.interface import Settings
+from puffintide.decisions.settings import Settings, SettingsError, parse_settings
 from puffintide.platform.names import Names
 
 FILE_MOST = 16 << 20
--- a/puffintide/platform/lifecycle.py
+++ b/puffintide/platform/lifecycle.py
@@ -9,7 +9,7 @@
 from dataclasses import fields, replace
 from enum import Enum, auto
 
-from puffintide.interface import Settings
+from puffintide.decisions.settings import Settings
 from puffintide.platform.config import Config
 
 KEPT = ("name", "listen", "sockets", "memory_mb")
--- a/puffintide/platform/messages.py
+++ b/puffintide/platform/messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from puffintide import interface as api
+from puffintide.decisions.events import EndpointStatus, ServerLoadReport, SliceLoadReport
 from puffintide.platform.names import Hosts, Names
 from puffintide.protocol.checks import COUNT_MOST, SPAN_MOST
 from puffintide.protocol.messages import EndpointEntry
@@ -86,7 +86,7 @@
         raise Invalid(f"window of {window:g} ms")
 
 
-def load_report(m: Heard, names: Names, hosts: Hosts) -> api.ServerLoadReport:
+def load_report(m: Heard, names: Names, hosts: Hosts) -> ServerLoadReport:
     """Raises Invalid."""
     _counts(m.n, m.bad, m.window)
     if m.bad > m.n:
@@ -100,10 +100,10 @@
     if not 0 <= m.avg <= SPAN_MOST * MS:
         raise Invalid(f"mean of {m.avg:g} ms")
     mean = m.avg / MS if m.n > m.bad else 0.0
-    return api.ServerLoadReport(zone, server, m.n, m.bad, mean, m.window / MS, names.values(m.report))
+    return ServerLoadReport(zone, server, m.n, m.bad, mean, m.window / MS, names.values(m.report))
 
 
-def slice_heat(m: Heat, names: Names, slices: int) -> api.SliceLoadReport:
+def slice_heat(m: Heat, names: Names, slices: int) -> SliceLoadReport:
     """Raises Invalid. What got no answer in a window may have come in an earlier one: bad may be above n."""
     _counts(m.n, m.bad, m.window)
     request_class = names.classes.get(m.kind)
@@ -111,7 +111,7 @@
         raise Invalid(f"class {m.kind[:40]!r} is not in the settings")
     if not 0 <= m.partition < slices:
         raise Invalid(f"slice {m.partition} of {slices}")
-    return api.SliceLoadReport(m.partition, request_class, m.n, m.bad, m.window / MS)
+    return SliceLoadReport(m.partition, request_class, m.n, m.bad, m.window / MS)
 
 
 # News of the relay --------------------------------------------------------------------------------
@@ -204,7 +204,7 @@
     bad: list[str]  # reasons of those passed over
 
 
-STATES = {"left": api.GONE, "active": api.READY, "leaving": api.DRAINING}
+STATES = {"left": EndpointStatus.REMOVED, "active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING}
 _members = msgspec.json.Decoder(_Members)
 _member = msgspec.json.Decoder(_Member)
 
--- a/puffintide/platform/relay.py
+++ b/puffintide/platform/relay.py
@@ -13,7 +13,14 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from puffintide import interface as api
+from puffintide.decisions.actions import (
+    ALL_SLICES,
+    Action,
+    SendCheckpoint,
+    SetAdmission,
+    SetWeight,
+    SetWithdrawn,
+)
 from puffintide.platform.names import Names
 
 BYTES_MOST = 60_000
@@ -40,7 +47,7 @@
 
 
 def orders(
-    actions: Iterable[api.Action], names: Names, host: Callable[[int], str | None], held: Iterable[int]
+    actions: Iterable[Action], names: Names, host: Callable[[int], str | None], held: Iterable[int]
 ) -> tuple[list[Order], list[str]]:
     """The module's actions as orders, and reasons for those that can't be said."""
     out: list[Order] = []
@@ -48,7 +55,7 @@
     slices = frozenset(held)
     for action in actions:
         match action:
-            case api.SetWeight(table, server, weight):
+            case SetWeight(table, server, weight):
                 name = host(server)
                 if name is None:
                     wrong.append(f"line of slice {table}: server {server} has no name")
@@ -56,23 +63,23 @@
                     text = _text(do="SET", group=table, host=name, share=round(weight, 6))
                     rank = 1 if weight > 0 else 2
                     out.append(Order(("line", table, server), text, rank, (table, name, weight)))
-            case api.SetWithdrawn(server, gone):
+            case SetWithdrawn(server, gone):
                 name = host(server)
                 if name is None:
                     wrong.append(f"withdrawal: server {server} has no name")
                 else:
                     text = _text(do="OUT" if gone else "IN", host=name)
                     out.append(Order(("server", server, 0), text, 0 if gone else 3))
-            case api.SetAdmission(table, classes, level, retry):
+            case SetAdmission(table, classes, level, retry):
                 fields: dict[str, object] = {"do": "LIMIT"}
-                if table != api.ALL_SLICES:
+                if table != ALL_SLICES:
                     fields["group"] = table
                 if classes:
                     fields["for"] = names.classes_of(classes)
                 out.append(
                     Order(("level", table, classes), _text(**fields, gate=round(level, 4), again=retry), 4)
                 )
-            case api.SendCheckpoint(number):
+            case SendCheckpoint(number):
                 out.append(Order(("mark", number, 0), _text(do="SYNC", stamp=number, yes=0), 5))
     return out, wrong
 
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -9,9 +9,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from puffintide import interface as api
 from puffintide.assigner.runtime import Effects, Runtime
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    CheckpointAcknowledged,
+    EndpointStatus,
+    Event,
+    HealthCheckResult,
+    HealthCheckStatus,
+    StoredWeight,
+)
 from puffintide.platform import messages as m
 from puffintide.platform import relay
 from puffintide.platform.calls import Caller
@@ -183,7 +190,9 @@
             self.log("entry_refused", reason=reason)
         for number in sorted(self.probers.keys() - self.runtime.entries.keys()):
             self.probers.pop(number).stop()
-        states = {self.hosts.name(e.server_id): e.status for e in told.entries if e.status != api.READY}
+        states = {
+            self.hosts.name(e.server_id): e.status for e in told.entries if e.status != EndpointStatus.READY
+        }
         self.log("list", kind=kind, version=told.seq, entries=len(told.entries), states=states)
         self._schedule()
 
@@ -217,7 +226,7 @@
             self._compare(now, number, table)
         for news in changes.applied:
             self.runtime.hear(
-                now, api.CheckpointAcknowledged(news.sidecar, news.version, max(0.0, news.lag_ms / m.MS))
+                now, CheckpointAcknowledged(news.sidecar, news.version, max(0.0, news.lag_ms / m.MS))
             )
         if changes.taken or changes.given or len(changes.joined) > 1:
             self.log(
@@ -247,7 +256,7 @@
         ours = self._ours(number)
         told = {self.hosts.number(host): share for host, share in sorted(lines.items())}
         self.log("lines_late", slice=number, lines=len(lines))
-        self.runtime.hear(now, *(api.StoredWeight(number, s, w) for s, w in told.items() if s not in ours))
+        self.runtime.hear(now, *(StoredWeight(number, s, w) for s, w in told.items() if s not in ours))
 
     def _compare(self, now: float, number: int, table: dict[str, float]) -> None:
         stored = {self.hosts.number(host): share for host, share in table.items() if share > 0}
@@ -265,7 +274,7 @@
     def _report(self, message: m.Line) -> None:
         try:
             if isinstance(message, m.Heard):
-                event: api.Event = m.load_report(message, self.names, self.hosts)
+                event: Event = m.load_report(message, self.names, self.hosts)
                 self.reports["heard"] += 1
             elif isinstance(message, m.Heat):
                 event = m.slice_heat(message, self.names, self.settings.slice_count)
@@ -301,7 +310,8 @@
 
             def done(status: int, took_s: float, report: dict[str, float]) -> None:
                 self.runtime.hear(
-                    self.now(), api.HealthCheckResult(server, status, took_s, self.names.values(report))
+                    self.now(),
+                    HealthCheckResult(server, HealthCheckStatus(status), took_s, self.names.values(report)),
                 )
                 self._schedule()
 
--- a/puffintide/proxy/tables.py
+++ b/puffintide/proxy/tables.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from puffintide.interface import ALL_SLICES
+from puffintide.decisions.actions import ALL_SLICES
 from puffintide.protocol.messages import AdmissionLevel, ProxyUpdate, SliceOwnership, TableEntry
 from puffintide.proxy.choice import Picker, make
 
--- a/puffintide/replication/findings.py
+++ b/puffintide/replication/findings.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from puffintide import interface as api
+from puffintide.decisions.events import PeerObservation
 from puffintide.replication import settle
 from puffintide.replication.replica import Replica
 
@@ -37,7 +37,7 @@
 
 class Shared:
     def __init__(self) -> None:
-        self.last: set[api.PeerObservation] = set()  # told to the module, and standing
+        self.last: set[PeerObservation] = set()  # told to the module, and standing
         self.lives: Mapping[int, int] = {}  # as last heard
         self.leaving: dict[int, tuple[int, float]] = {}  # life, and when that was heard
 
@@ -75,26 +75,26 @@
         for sid in sorted(mine.keys() - self.leaving.keys()):
             replica.drop("leaving", sid)
 
-    def told(self, now: float, replica: Replica, found: Findings, heard: Heard) -> list[api.PeerObservation]:
+    def told(self, now: float, replica: Replica, found: Findings, heard: Heard) -> list[PeerObservation]:
         """News alone. A reading of an earlier life of a server says nothing of it."""
-        told: set[api.PeerObservation] = set()
+        told: set[PeerObservation] = set()
         best = settle.figure(replica.readings(now, "fleet", KEPT_S).get(-1, []), replica.me)
         if best is not None and best.origin != replica.me:
-            told.add(api.PeerObservation(-1, capacity_per_s=float(best.value[0])))
+            told.add(PeerObservation(-1, capacity_per_s=float(best.value[0])))
         readings = replica.readings(now, "server", KEPT_S)
         trusted = settle.believed(readings, len(heard.lives))
         for sid, rows in sorted(readings.items()):
             state = settle.server([r for r in rows if r.origin != replica.me], trusted)
             if state is not None and sid in heard.lives and state[0] == heard.lives[sid]:
-                told.add(api.PeerObservation(sid, recovery_level=state[1]))
+                told.add(PeerObservation(sid, recovery_level=state[1]))
         leaving = replica.readings(now, "leaving", KEPT_S)
         for sid in settle.leaving(
             leaving, replica.me, heard.lives, {s: now - t for s, t in heard.at.items()}
         ):
-            told.add(api.PeerObservation(sid, is_leaving=True))
+            told.add(PeerObservation(sid, is_leaving=True))
         back = [t for t in self.last - told if t.is_leaving and t.server_id in heard.lives]
         new, self.last = told - self.last, told
         return sorted(
-            [*new, *(api.PeerObservation(t.server_id, is_leaving=False) for t in back)],
+            [*new, *(PeerObservation(t.server_id, is_leaving=False) for t in back)],
             key=lambda t: t.server_id,
         )
--- a/puffintide/zones/plan.py
+++ b/puffintide/zones/plan.py
@@ -11,8 +11,18 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from puffintide import interface as api
 from puffintide.decisions.director import FULL
+from puffintide.decisions.events import (
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ProxyConnected,
+    ProxyDisconnected,
+    ServerLoadReport,
+    ZoneCommandReceived,
+)
+from puffintide.decisions.settings import Settings
 
 WELL, DEGRADED, LOST, HELD, RETURNING, DRAINED = "well", "degraded", "lost", "held", "returning", "drained"
 
@@ -93,9 +103,9 @@
 class ZonePlan:
     """observe() what the module is told, then decide() for the bounds."""
 
-    def __init__(self, settings: api.Settings, limits: ZoneLimits) -> None:
+    def __init__(self, settings: Settings, limits: ZoneLimits) -> None:
         self.set, self.limits = settings, limits
-        self.servers: dict[int, api.Endpoint] = {}
+        self.servers: dict[int, Endpoint] = {}
         self.vanished: dict[int, tuple[float, float]] = {}  # ready, then gone without a drain: when, weight
         self.zones = {z: _Zone() for z in range(max(1, settings.zone_count))}
         self.growth: dict[int, float] = {}  # of servers in a return, below 1
@@ -109,41 +119,49 @@
 
     # What comes in --------------------------------------------------------------------------------
 
-    def observe(self, now: float, event: api.Event) -> None:
+    def observe(self, now: float, event: Event) -> None:
         match event:
-            case api.EndpointListUpdate():
+            case EndpointListUpdate():
                 self._list(now, event)
-            case api.ServerLoadReport(zone, server, tries, failed, _, span_s) if (
-                0 <= failed <= tries and tries
-            ):
+            case ServerLoadReport(zone, server, tries, failed, _, span_s) if 0 <= failed <= tries and tries:
                 self.reports[zone] = now
                 entry = self.servers.get(server)
                 if entry is not None and span_s > 0:
                     self.ways.setdefault((zone, entry.zone), _Way()).add(now, tries, failed, span_s)
-            case api.ProxyConnected(proxy, zone):
+            case ProxyConnected(proxy, zone):
                 self.proxies[proxy] = zone
-            case api.ProxyDisconnected(proxy):
+            case ProxyDisconnected(proxy):
                 self.proxies.pop(proxy, None)
-            case api.ZoneCommandReceived(zone, what, pace) if zone in self.zones:
+            case ZoneCommandReceived(zone, what, pace) if zone in self.zones:
                 self._hand(now, self.zones[zone], zone, what, pace)
 
-    def _list(self, now: float, event: api.EndpointListUpdate) -> None:
+    def _list(self, now: float, event: EndpointListUpdate) -> None:
         if event.update_type == "failed":
             return
         told = {entry.server_id: entry for entry in event.endpoints}
         if event.update_type != "delta":
             for sid, old in sorted(self.servers.items()):
-                if sid not in told and old.status != api.GONE:
-                    told[sid] = api.Endpoint(
-                        sid, old.zone, old.server_type, old.cell, api.GONE, old.weight, old.started_at_s
+                if sid not in told and old.status != EndpointStatus.REMOVED:
+                    told[sid] = Endpoint(
+                        sid,
+                        old.zone,
+                        old.server_type,
+                        old.cell,
+                        EndpointStatus.REMOVED,
+                        old.weight,
+                        old.started_at_s,
                     )
         for sid, entry in sorted(told.items()):
             was = self.servers.get(sid)
-            if entry.status == api.GONE and was is not None and was.status == api.READY:
+            if (
+                entry.status == EndpointStatus.REMOVED
+                and was is not None
+                and was.status == EndpointStatus.READY
+            ):
                 self.vanished[sid] = (now, was.weight)
                 if sid in self.growth:
                     self.behind.add(sid)
-            elif entry.status != api.GONE:
+            elif entry.status != EndpointStatus.REMOVED:
                 self.vanished.pop(sid, None)
             self.servers[sid] = entry
 
@@ -160,7 +178,9 @@
 
     def _of(self, zone: int) -> list[int]:
         """Its servers that are listed ready."""
-        return [s for s, e in sorted(self.servers.items()) if e.zone == zone and e.status == api.READY]
+        return [
+            s for s, e in sorted(self.servers.items()) if e.zone == zone and e.status == EndpointStatus.READY
+        ]
 
     def _share(self, zone: int, view: Mapping[int, View]) -> float:
         """How much of its usual weight is there. Servers that drained away are no loss."""
@@ -198,7 +218,11 @@
         for sid, (at, _) in sorted(self.vanished.items()):
             if now - at > FORGET_S:
                 del self.vanished[sid]
-        gone = [s for s, e in self.servers.items() if e.status == api.GONE and s not in self.vanished]
+        gone = [
+            s
+            for s, e in self.servers.items()
+            if e.status == EndpointStatus.REMOVED and s not in self.vanished
+        ]
         for sid in gone:  # each machine has an id of its own: what drained away, or is missed no longer
             del self.servers[sid]
             self.growth.pop(sid, None)
@@ -256,7 +280,7 @@
         """A return goes up while the zone stands it, down when it does not. Servers that came later
         begin where all began; those that fell wait until the rest is done."""
         zone = self.zones[number]
-        for sid in [s for s in self.growth if self.servers[s].status == api.GONE]:
+        for sid in [s for s in self.growth if self.servers[s].status == EndpointStatus.REMOVED]:
             del self.growth[sid]
         if now <= zone.since:
             return
@@ -320,7 +344,7 @@
         out = [z for z, s in sorted(self.zones.items()) if s.hand or s.phase in (LOST, HELD, RETURNING)]
         found: dict[int, float] = {}
         for sid, entry in sorted(self.servers.items()):
-            if entry.status == api.GONE:
+            if entry.status == EndpointStatus.REMOVED:
                 continue
             state = self.zones.get(entry.zone, _Zone())
             if state.hand or state.phase == HELD:
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -7,11 +7,21 @@
 
 import pytest
 
-from puffintide import interface as api
 from puffintide.assigner.ordered import Ordered
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
+from puffintide.decisions.actions import ALL_SLICES, SetWeight
 from puffintide.decisions.director import REST_S
+from puffintide.decisions.events import (
+    EndpointListUpdate,
+    EndpointStatus,
+    HealthCheckResult,
+    HealthCheckStatus,
+    ListUpdateType,
+    TimerFired,
+    ZoneCommandReceived,
+    ZoneOperation,
+)
 from puffintide.protocol import messages as m
 from puffintide.proxy.engine import Engine, Finish, Limits, Send
 from puffintide.proxy.tables import Tables
@@ -39,13 +49,13 @@
 @pytest.mark.parametrize("what", ["hold", "drain"])
 def test_a_bound_ends_though_its_server_was_gone_when_it_was_lifted(what: str) -> None:
     world = eight(Zoned)
-    world.tell(api.ZoneCommandReceived(0, what, 1.0))
+    world.tell(ZoneCommandReceived(0, ZoneOperation(what), 1.0))
     world.run(6)  # of a drain's 12 s
-    world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
     world.run(2)
-    world.tell(api.ZoneCommandReceived(0, "return", 1.0))
+    world.tell(ZoneCommandReceived(0, ZoneOperation.RETURN, 1.0))
     world.run(60)
-    world.tell(api.EndpointListUpdate("delta", 3, (server(2),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(2),)))
     world.run(60)
     assert 2 in world.main(1)  # the first slice whose default it is
     seen = world.director.director
@@ -61,7 +71,7 @@
             1,
             line(0, 5, 1.0, 1),
             withdrawn_servers=[5],
-            admission_levels=[m.AdmissionLevel(api.ALL_SLICES, 0, 0.2, 0)],
+            admission_levels=[m.AdmissionLevel(ALL_SLICES, 0, 0.2, 0)],
         ),
     )
     held.order(1, order(1, line(1, 5, 1.0, 1), withdrawn_servers=[5]))
@@ -149,8 +159,12 @@
                 0.5, [m.ServerUsage(s, 9, 0, 0.5, [1.0]) for s in ids], [m.SliceUsage(0, 0, 9, 0)]
             )
             reports.add(now, 0, sums)
-            runtime.hear(now, *reports.take(now), api.HealthCheckResult(first + step % 4, 0, 0.01, (1.0,)))
-            runtime.hear(now, api.TimerFired(1))
+            runtime.hear(
+                now,
+                *reports.take(now),
+                HealthCheckResult(first + step % 4, HealthCheckStatus.OK, 0.01, (1.0,)),
+            )
+            runtime.hear(now, TimerFired(1))
             effects = runtime.tick(now)
             assert effects is not None
             for _, made in effects.orders:
@@ -211,9 +225,9 @@
     found, before = [], dict[int, list[tuple[float, frozenset[int]]]]()
     tables: dict[int, dict[int, float]] = {n: {} for n in world.tables}
     for at_s, actions in world.log:
-        for a in (a for a in actions if isinstance(a, api.SetWeight)):
+        for a in (a for a in actions if isinstance(a, SetWeight)):
             tables[a.slice_id][a.server_id] = a.weight
-        for number in {a.slice_id for a in actions if isinstance(a, api.SetWeight)}:
+        for number in {a.slice_id for a in actions if isinstance(a, SetWeight)}:
             main = frozenset(s for s, w in tables[number].items() if w >= 1)
             row = before.setdefault(number, [])
             if not row or row[-1][1] != main:
@@ -240,7 +254,9 @@
     fresh = (n for n, v in world.director.slices.items() if v.moved > world.now - REST_S)
     number = next(fresh)
     moved = world.main(number)
-    world.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, api.DRAINING) for s in moved)))
+    world.tell(
+        EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, EndpointStatus.DRAINING) for s in moved))
+    )
     assert not world.main(number) & moved
 
 
@@ -250,7 +266,7 @@
     world.heat = {n: 1.0 if n % 4 == 0 else 9.5 for n in world.heat}  # servers 2, 3 and 4 at 0.95
     world.run(10)
     world.heat[0] = 25.0
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     for _ in range(8):
         world.run(1)
         cold = 0.25 + 0.75 * (world.now - world.director.servers[1].entry.started_at_s) / 20.0
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -8,9 +8,10 @@
 
 import pytest
 
-from puffintide import interface as api
 from puffintide.bench_adapter.__main__ import Host, serve
 from puffintide.bench_adapter.codec import Decoder, WireError, encode_action, frame
+from puffintide.decisions.actions import Action, SetAdmission, SetTimer, SetWeight
+from puffintide.decisions.events import EndpointListUpdate, ServerLoadReport
 from puffintide.decisions.settings import SettingsError, parse_settings
 
 pytestmark = pytest.mark.processes
@@ -63,17 +64,17 @@
     )
     ((who, event),) = Decoder().events(digest)
     assert who == 3
-    assert isinstance(event, api.ServerLoadReport)
+    assert isinstance(event, ServerLoadReport)
     assert (event.attempts, event.failed_attempts, event.load_values) == (14, 1, (7.0,))
     ((_, news),) = Decoder().events(listed)
-    assert isinstance(news, api.EndpointListUpdate)
+    assert isinstance(news, EndpointListUpdate)
     assert [s.weight for s in news.endpoints] == [1.0, 1.5]
 
 
 def test_documented_actions_are_written() -> None:
-    assert encode_action(3, api.SetWeight(0x75, 0x2C9011F2, 0.75)).hex() == "4703007500f211902c0000403f"
-    assert encode_action(3, api.SetTimer(0.5, 77)).hex() == "400300000000000000e03f4d000000"
-    assert encode_action(3, api.SetAdmission(0x75, 2, 0.75, 1)).hex() == "4b0300750002000000403f01"
+    assert encode_action(3, SetWeight(0x75, 0x2C9011F2, 0.75)).hex() == "4703007500f211902c0000403f"
+    assert encode_action(3, SetTimer(0.5, 77)).hex() == "400300000000000000e03f4d000000"
+    assert encode_action(3, SetAdmission(0x75, 2, 0.75, 1)).hex() == "4b0300750002000000403f01"
     assert frame([]) == bytes(8)
 
 
@@ -143,7 +144,7 @@
     host = Host()
     host.answer(1.0, hello())
 
-    def fail(now: float, events: object) -> list[api.Action]:
+    def fail(now: float, events: object) -> list[Action]:
         raise ValueError("no such thing")
 
     host.directors[0].handle = fail  # type: ignore[method-assign]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -4,8 +4,22 @@
 
 import pytest
 
-from puffintide import interface as api
+from puffintide.decisions.actions import SetWeight, WatchEndpoints
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    HealthCheckResult,
+    HealthCheckStatus,
+    ListUpdateType,
+    OwnershipChanged,
+    ServerLoadReport,
+    SliceLoadReport,
+    StoredWeight,
+    TimerFired,
+)
+from puffintide.decisions.settings import AdmissionMode
 from tests.world import World, server
 
 
@@ -43,14 +57,14 @@
     world = World(health_checks_enabled=True)
     for _ in range(40):
         world.run(0.25)
-        world.tell(api.HealthCheckResult(1, 3, 0.4, ()))
+        world.tell(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
     assert world.director.servers[1].level == 3
 
 
 def test_new_server_with_nothing_to_do_is_not_suspected() -> None:
     world = World(health_checks_enabled=True)
     world.run(5)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(9, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
     world.run(15)
     assert world.director.servers[9].level == 3
 
@@ -58,8 +72,8 @@
 def test_idle_server_with_a_tiny_service_time_is_not_taken_for_a_fast_one() -> None:
     world = World(assigner_count=2, load_value_names=("busy", "rif", "lat_ms"))
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(9, started=world.now),)))
-    world.tell(*(api.ServerLoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
+    world.tell(*(ServerLoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
     world.run(5)
     fleet = max(world.director.capacity(s) for s in (1, 2, 3, 4))
     assert world.director.capacity(9) <= 1.1 * fleet
@@ -70,13 +84,13 @@
     world.run(10)
     before = {s: v.capacity for s, v in world.director.servers.items()}
     world.tell(
-        api.ServerLoadReport(0, 1, 5, 0, 0.2, 0.0, (0.5,)),
-        api.ServerLoadReport(0, 1, 5, 9, 0.2, 1.0, (0.5,)),
-        api.ServerLoadReport(0, 77, 5, 0, 0.2, 1.0, (0.5,)),
-        api.ServerLoadReport(0, 1, 0, 0, 0.0, 1.0, (float("nan"),)),
-        api.SliceLoadReport(3, 0, 10, 0, 0.0),
-        api.SliceLoadReport(999, 0, 10, 0, 1.0),
-        api.HealthCheckResult(77, 0, 0.1, ()),
+        ServerLoadReport(0, 1, 5, 0, 0.2, 0.0, (0.5,)),
+        ServerLoadReport(0, 1, 5, 9, 0.2, 1.0, (0.5,)),
+        ServerLoadReport(0, 77, 5, 0, 0.2, 1.0, (0.5,)),
+        ServerLoadReport(0, 1, 0, 0, 0.0, 1.0, (float("nan"),)),
+        SliceLoadReport(3, 0, 10, 0, 0.0),
+        SliceLoadReport(999, 0, 10, 0, 1.0),
+        HealthCheckResult(77, HealthCheckStatus.OK, 0.1, ()),
     )
     assert {s: v.capacity for s, v in world.director.servers.items()} == before
 
@@ -84,23 +98,25 @@
 def test_restarted_assigner_takes_the_store_for_its_default_map() -> None:
     world = World()
     fresh = Director(world.settings)
-    events: list[api.Event] = [api.EndpointListUpdate("cached", 1, tuple(server(s) for s in (1, 2, 3, 4)))]
+    events: list[Event] = [
+        EndpointListUpdate(ListUpdateType.CACHED, 1, tuple(server(s) for s in (1, 2, 3, 4)))
+    ]
     for number, home in ((0, 3), (1, 2)):
-        standby = api.StoredWeight(number, 1, struct.unpack("f", struct.pack("f", 0.004))[0])
-        events += [api.OwnershipChanged(number, True), standby, api.StoredWeight(number, home, 1.0)]
+        standby = StoredWeight(number, 1, struct.unpack("f", struct.pack("f", 0.004))[0])
+        events += [OwnershipChanged(number, True), standby, StoredWeight(number, home, 1.0)]
     fresh.handle(world.now, events)
     assert [view.default for _, view in sorted(fresh.slices.items())] == [3, 2]
     assert [view.places for _, view in sorted(fresh.slices.items())] == [[3], [2]]
-    orders = fresh.handle(world.now + 1, [api.TimerFired(1)])
-    assert not [a for a in orders if isinstance(a, api.SetWeight) and a.weight >= 1]
+    orders = fresh.handle(world.now + 1, [TimerFired(1)])
+    assert not [a for a in orders if isinstance(a, SetWeight) and a.weight >= 1]
 
 
 def test_failed_list_call_is_asked_again() -> None:
     world = World(watch_on_request=True)
-    world.tell(api.EndpointListUpdate("failed", 0, ()))
+    world.tell(EndpointListUpdate(ListUpdateType.FAILED, 0, ()))
     mark = len(world.log)
     world.run(2)
-    assert any(isinstance(a, api.WatchEndpoints) for _, acts in world.log[mark:] for a in acts)
+    assert any(isinstance(a, WatchEndpoints) for _, acts in world.log[mark:] for a in acts)
 
 
 def test_slices_stay_on_an_ejected_server_when_moving_them_would_crowd_the_next() -> None:
@@ -112,7 +128,7 @@
     world.run(4)
     assert world.director.servers[1].level == 0
     assert all(world.load(s) <= 1.25 * world.capacity[s] for s in (2, 3, 4))
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     assert all(1 not in t for t in world.tables.values())
 
@@ -120,16 +136,16 @@
 def test_reports_late_for_all_eject_nobody() -> None:
     world = World(health_checks_enabled=True)
     world.run(10)
-    world.tell(api.ServerLoadReport(0, 1, 50, 50, 0.0, 5.0, ()))
+    world.tell(ServerLoadReport(0, 1, 50, 50, 0.0, 5.0, ()))
     world.silent_reports = True
     for _ in range(30):
         world.run(0.25)
-        world.tell(api.HealthCheckResult(1, 3, 0.4, ()))
+        world.tell(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
     assert world.director.servers[1].level == 3
 
 
 def test_refused_requests_are_no_load() -> None:
-    world = World(admission_mode="fraction")
+    world = World(admission_mode=AdmissionMode.FRACTION)
     for number in world.heat:
         world.heat[number] = 16.0
     world.run(15)
@@ -141,9 +157,8 @@
 def probed(world: World, lost: set[int], seconds: float) -> None:
     for _ in range(round(seconds * 4)):
         world.run(0.25)
-        world.tell(
-            *(api.HealthCheckResult(s, 3 if s in lost else 0, 0.02, ()) for s in sorted(world.capacity))
-        )
+        status = {s: HealthCheckStatus.TIMEOUT if s in lost else HealthCheckStatus.OK for s in world.capacity}
+        world.tell(*(HealthCheckResult(s, status[s], 0.02, ()) for s in sorted(world.capacity)))
 
 
 def test_lost_probes_of_one_whole_zone_are_the_links_doing() -> None:
@@ -176,5 +191,5 @@
     for _ in range(120):
         world.run(0.25)
         tries = round(world.load(1) * 5)
-        world.tell(api.ServerLoadReport(0, 1, tries, 0, 2.0, 5.0, (shown, shown * 4, 100.0)))
+        world.tell(ServerLoadReport(0, 1, tries, 0, 2.0, 5.0, (shown, shown * 4, 100.0)))
     assert len([n for n in world.tables if 1 in world.main(n)]) < before
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,17 @@
 import h11
 import pytest
 
-from puffintide import interface as api
+from puffintide.decisions.actions import (
+    ALL_SLICES,
+    Action,
+    LogMessage,
+    SendCheckpoint,
+    SendHealthCheck,
+    SetAdmission,
+    SetWeight,
+    SetWithdrawn,
+)
+from puffintide.decisions.events import EndpointStatus, ServerLoadReport, SliceLoadReport
 from puffintide.platform import messages as m
 from puffintide.platform.config import ConfigError, parse
 from puffintide.platform.http import Exchange, Unreadable
@@ -159,7 +169,7 @@
 }
 
 
-def heard(**changes: Any) -> api.ServerLoadReport:
+def heard(**changes: Any) -> ServerLoadReport:
     hosts = Hosts()
     hosts.number("s-1")
     row = {k: v for k, v in (GOOD | changes).items() if v is not ...}
@@ -169,13 +179,11 @@
 
 
 def test_reports_in_seconds_and_numbers() -> None:
-    assert heard() == api.ServerLoadReport(0, draw("s-1"), 4, 1, 0.05, 0.5, (3.0, 0.5))
+    assert heard() == ServerLoadReport(0, draw("s-1"), 4, 1, 0.05, 0.5, (3.0, 0.5))
     assert heard(report=..., avg=...).load_values == ()
     heat = m.read_line(b'{"msg":"heat","partition":3,"kind":"start","n":2,"bad":5,"window":500}')
     assert isinstance(heat, m.Heat)
-    assert m.slice_heat(heat, NAMES, 4) == api.SliceLoadReport(
-        3, 1, 2, 5, 0.5
-    )  # unanswered ones came earlier
+    assert m.slice_heat(heat, NAMES, 4) == SliceLoadReport(3, 1, 2, 5, 0.5)  # unanswered ones came earlier
     with pytest.raises(m.Invalid):
         m.slice_heat(heat, NAMES, 3)
 
@@ -252,12 +260,12 @@
     assert (first.zone, first.server_type, first.status, first.weight, first.age_s) == (
         0,
         1,
-        api.READY,
+        EndpointStatus.READY,
         1.5,
         -1.0,
     )
-    assert gone.status == api.GONE and (young.status, young.age_s, young.incarnation) == (
-        api.DRAINING,
+    assert gone.status == EndpointStatus.REMOVED and (young.status, young.age_s, young.incarnation) == (
+        EndpointStatus.DRAINING,
         2.5,
         60_000,
     )
@@ -266,18 +274,18 @@
 def test_orders_by_the_platforms_words() -> None:
     hosts = Hosts()
     s = hosts.number("s-1")
-    actions: list[api.Action] = [
-        api.SetWithdrawn(s, True),
-        api.SetWithdrawn(s, False),
-        api.SetWeight(2, s, 1.5),
-        api.SetWeight(2, s, 0.0),
-        api.SetWeight(3, s, 1.0),
-        api.SetWeight(2, 99, 1.0),
-        api.SetAdmission(api.ALL_SLICES, 0, 1.0, 1),
-        api.SetAdmission(2, 2, 0.25, 0),
-        api.SendCheckpoint(77),
-        api.SendHealthCheck(s),
-        api.LogMessage("x"),
+    actions: list[Action] = [
+        SetWithdrawn(s, True),
+        SetWithdrawn(s, False),
+        SetWeight(2, s, 1.5),
+        SetWeight(2, s, 0.0),
+        SetWeight(3, s, 1.0),
+        SetWeight(2, 99, 1.0),
+        SetAdmission(ALL_SLICES, 0, 1.0, 1),
+        SetAdmission(2, 2, 0.25, 0),
+        SendCheckpoint(77),
+        SendHealthCheck(s),
+        LogMessage("x"),
     ]
     made, wrong = orders(actions, NAMES, hosts.name, [2])
     assert [json.loads(o.text) for o in made] == [
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from puffintide import interface as api
+from puffintide.decisions.actions import SetWeight
+from puffintide.decisions.events import Event, HealthCheckResult, HealthCheckStatus, ServerLoadReport
 from tests.world import World
 
 HOME = range(0, 40, 4)  # the slices of server 1 in a world of 40 slices and four servers
@@ -31,7 +32,7 @@
 def test_every_table_gets_a_standby_line_once() -> None:
     world = World()
     world.run(10)
-    lines = [a for _, acts in world.log for a in acts if isinstance(a, api.SetWeight)]
+    lines = [a for _, acts in world.log for a in acts if isinstance(a, SetWeight)]
     assert len(lines) == world.settings.slice_count
     assert all(len(t) == 2 for t in world.tables.values())
 
@@ -51,12 +52,14 @@
         world.heat[number] = 2.85 if number in HOME else 1.2
     usual = world.reports
     losses = {"failing": (2, 10.0), "some lost on the way": (100, 500.0)}.get(sign)  # one of so many, in s
-    failed = [api.ServerLoadReport(1, 1, losses[0], 1, 0.2, losses[1], ())] if losses else []
+    failed = [ServerLoadReport(1, 1, losses[0], 1, 0.2, losses[1], ())] if losses else []
     world.reports = lambda: [*usual(), *failed]  # type: ignore[method-assign]
     for step in range(40):
+        lost = sign == "lost" and step % 2
+        status = HealthCheckStatus.TIMEOUT if lost else HealthCheckStatus.OK
         took = 0.02 if sign == "slowed" and step > 8 else 0.01
-        world.tell(*(api.HealthCheckResult(s, 0, 0.01, ()) for s in (2, 3, 4)))
-        world.tell(api.HealthCheckResult(1, 3 if sign == "lost" and step % 2 else 0, took, ()))
+        world.tell(*(HealthCheckResult(s, HealthCheckStatus.OK, 0.01, ()) for s in (2, 3, 4)))
+        world.tell(HealthCheckResult(1, status, took, ()))
         world.run(0.25)
     assert all(world.main(n) == {1} for n in HOME) == (sign == "none")
 
@@ -78,11 +81,11 @@
 class Late(World):
     """What a full server can't do is still waiting: nothing fails."""
 
-    def reports(self) -> list[api.Event]:
+    def reports(self) -> list[Event]:
         events = super().reports()
         return [
             replace(e, attempts=e.attempts - e.failed_attempts, failed_attempts=0)
-            if isinstance(e, api.ServerLoadReport)
+            if isinstance(e, ServerLoadReport)
             else e
             for e in events
         ]
@@ -150,7 +153,7 @@
     before = len(world.log)
     world.heat[0] = 40.0
     world.run(10)
-    late = [a for _, acts in world.log[before:] for a in acts if isinstance(a, api.SetWeight)]
+    late = [a for _, acts in world.log[before:] for a in acts if isinstance(a, SetWeight)]
     assert not late
 
 
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -10,10 +10,11 @@
 
 import pytest
 
-from puffintide import interface as api
 from puffintide.assigner.runtime import Runtime
 from puffintide.audit.records import read
+from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import EndpointListUpdate
 from puffintide.emulators.model import ServerModel
 from puffintide.protocol import messages as m
 from puffintide.proxy import engine
@@ -26,8 +27,8 @@
     """Tables are emptied, and nothing comes in place."""
     tick = Runtime._carry_out
 
-    def carry(self: Runtime, now: float, actions: tuple[api.Action, ...], out: Any) -> None:
-        empty = [replace(a, weight=0.0) if isinstance(a, api.SetWeight) else a for a in actions]
+    def carry(self: Runtime, now: float, actions: tuple[Action, ...], out: Any) -> None:
+        empty = [replace(a, weight=0.0) if isinstance(a, SetWeight) else a for a in actions]
         tick(self, now, tuple(empty), out)
 
     patch.setattr(Runtime, "_carry_out", carry)
@@ -43,7 +44,7 @@
     """No list is taken in after the first."""
     see = Director.see_list
 
-    def once(self: Director, event: api.EndpointListUpdate) -> None:
+    def once(self: Director, event: EndpointListUpdate) -> None:
         if not self.servers:
             see(self, event)
 
@@ -71,7 +72,7 @@
 
     def often(self: Director, plan: Any) -> None:
         publish(self, plan)
-        self.actions += [api.SetWeight(n, s, 1.0) for n, view in self.slices.items() for s in view.lines]
+        self.actions += [SetWeight(n, s, 1.0) for n, view in self.slices.items() for s in view.lines]
 
     patch.setattr(Director, "publish", often)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,16 @@
 
 import pytest
 
-from puffintide import interface as api
+from puffintide.decisions.actions import ALL_SLICES, Action, SetAdmission, SetWeight, SetWithdrawn
+from puffintide.decisions.events import (
+    EndpointListUpdate,
+    EndpointStatus,
+    ListUpdateType,
+    OwnershipChanged,
+    ProxyConnected,
+    StoredWeight,
+)
+from puffintide.decisions.settings import AdmissionMode
 from tests.world import World, server
 
 
@@ -12,11 +21,11 @@
     return [n for n in world.tables if sid in world.open(n)]
 
 
-@pytest.mark.parametrize("state", [api.DRAINING, api.GONE])
-def test_drained_server_leaves_every_table_within_a_round(state: int) -> None:
+@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_drained_server_leaves_every_table_within_a_round(state: EndpointStatus) -> None:
     world = World()
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, state),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, state),)))
     world.run(0.5)
     assert used(world, 1) == []
     assert all(world.tables.values())
@@ -25,7 +34,7 @@
 def test_server_missing_from_a_full_list_is_gone() -> None:
     world = World()
     world.run(5)
-    world.tell(api.EndpointListUpdate("full", 9, (server(2), server(3), server(4))))
+    world.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 9, (server(2), server(3), server(4))))
     world.run(0.5)
     assert used(world, 1) == []
 
@@ -33,11 +42,11 @@
 def test_slice_given_later_with_a_drained_server_is_moved_at_once() -> None:
     world = World()
     world.run(5)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.DRAINING),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.DRAINING),)))
     world.run(2)
-    world.tell(api.OwnershipChanged(5, False))
+    world.tell(OwnershipChanged(5, False))
     world.tables[5] = {1: 1.0}
-    world.tell(api.OwnershipChanged(5, True), api.StoredWeight(5, 1, 1.0))
+    world.tell(OwnershipChanged(5, True), StoredWeight(5, 1, 1.0))
     world.run(0.5)
     assert world.open(5) and 1 not in world.open(5)
 
@@ -46,8 +55,8 @@
     world = World()
     world.run(5)
     world.tables[5] = {}
-    world.tell(api.OwnershipChanged(5, False))
-    world.tell(api.OwnershipChanged(5, True))
+    world.tell(OwnershipChanged(5, False))
+    world.tell(OwnershipChanged(5, True))
     world.run(0.5)
     assert world.tables[5]
 
@@ -55,11 +64,11 @@
 def test_nothing_is_ordered_for_a_slice_taken_back() -> None:
     world = World()
     world.run(5)
-    world.tell(api.OwnershipChanged(5, False))
+    world.tell(OwnershipChanged(5, False))
     mark = len(world.log)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
     world.run(3)
-    later = [a for _, acts in world.log[mark:] for a in acts if isinstance(a, api.SetWeight)]
+    later = [a for _, acts in world.log[mark:] for a in acts if isinstance(a, SetWeight)]
     assert later and all(a.slice_id != 5 for a in later)
 
 
@@ -67,7 +76,7 @@
     world = World()
     world.run(5)
     for sid in (1, 2, 3):
-        world.tell(api.EndpointListUpdate("delta", 2, (server(sid, api.GONE),)))
+        world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(sid, EndpointStatus.REMOVED),)))
         world.run(1)
         assert all(world.tables.values())
 
@@ -75,14 +84,14 @@
 def test_added_lines_come_before_removed_ones() -> None:
     world = World()
     world.run(5)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     for _, actions in world.log:
         seen_removal: set[int] = set()
         for action in actions:
-            if isinstance(action, api.SetWeight) and action.weight == 0:
+            if isinstance(action, SetWeight) and action.weight == 0:
                 seen_removal.add(action.slice_id)
-            elif isinstance(action, api.SetWeight):
+            elif isinstance(action, SetWeight):
                 assert action.slice_id not in seen_removal
 
 
@@ -90,7 +99,7 @@
 def test_retries_never_go_past_proof_for_once(default: int) -> None:
     world = World(default_retry_mode=default)
     world.run(10)
-    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission)]
+    orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission)]
     for order in orders:
         assert order.retry_mode <= 1 or not (order.class_mask == 0 or order.class_mask & 0b10)
 
@@ -98,9 +107,9 @@
 def test_returning_server_is_filled_by_its_present_capacity() -> None:
     world = World()
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 3, (server(1, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, started=world.now),)))
     born = world.now
     for _ in range(16):
         world.run(0.5)
@@ -113,7 +122,7 @@
     for number in (0, 4, 8):
         world.heat[number] = 7.0
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     world.run(1.5)
     assert world.load(1) <= 0.5 * 30.0
 
@@ -122,7 +131,7 @@
 def test_cold_part_is_one_of_all_assigners(instances: int) -> None:
     world = World(assigner_count=instances, slice_count=12)
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(9, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
     for number in world.heat:
         world.heat[number] = 12.0
     world.capacity[9] = 30.0
@@ -133,13 +142,20 @@
 @pytest.mark.parametrize("pace", [1.0, 0.5, 0.25])
 def test_no_more_lines_wait_than_the_limit_however_slow_the_channel(pace: float) -> None:
     world = World(
-        slice_count=60, admission_mode="fraction", channel_capacity_entries=400.0, channel_entries_per_s=260.0
+        slice_count=60,
+        admission_mode=AdmissionMode.FRACTION,
+        channel_capacity_entries=400.0,
+        channel_entries_per_s=260.0,
     )
     world.pace = pace
     for step in range(40):
         sid = 1 + step // 2 % 4
         world.tell(
-            api.EndpointListUpdate("delta", step, (server(sid, api.READY if step % 2 else api.DRAINING),))
+            EndpointListUpdate(
+                ListUpdateType.DELTA,
+                step,
+                (server(sid, EndpointStatus.READY if step % 2 else EndpointStatus.DRAINING),),
+            )
         )
         world.heat = dict.fromkeys(world.heat, 0.5 if step % 6 < 3 else 6.0)
         world.run(1)
@@ -150,12 +166,10 @@
     world = World(max_messages_per_window=6, message_window_s=10.0)
     for step in range(40):
         sid = 1 + step % 4
-        state = api.GONE if step % 2 else api.READY
-        world.tell(api.EndpointListUpdate("delta", step, (server(sid, state),)))
+        state = EndpointStatus.REMOVED if step % 2 else EndpointStatus.READY
+        world.tell(EndpointListUpdate(ListUpdateType.DELTA, step, (server(sid, state),)))
         world.run(0.5)
-    sent = [
-        at for at, acts in world.log if any(isinstance(a, api.SetWeight | api.SetAdmission) for a in acts)
-    ]
+    sent = [at for at, acts in world.log if any(isinstance(a, SetWeight | SetAdmission) for a in acts)]
     for first in sent:
         assert sum(first <= at < first + 10.0 for at in sent) <= 6
 
@@ -166,7 +180,7 @@
     for step in range(20):
         world.heat[step % 3] = 1.0 + 30.0 * (step // 3 % 2)
         world.run(0.5)
-    sent = [at for at, acts in world.log if any(isinstance(a, api.SetWeight) for a in acts)]
+    sent = [at for at, acts in world.log if any(isinstance(a, SetWeight) for a in acts)]
     assert len(sent) > 3
     assert all(later - earlier >= 0.99 for earlier, later in pairwise(sent[1:]))
 
@@ -177,21 +191,25 @@
     world.mute.add(1)
     world.run(3)
     assert world.director.servers[1].level == 0
-    world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE), server(3, api.GONE))))
+    world.tell(
+        EndpointListUpdate(
+            ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED), server(3, EndpointStatus.REMOVED))
+        )
+    )
     world.run(1)
     assert all(set(t) == {1} for t in world.tables.values())
 
 
 def test_fleet_short_of_capacity_lets_in_less_of_the_cheapest_class() -> None:
-    world = World(admission_mode="fraction")
+    world = World(admission_mode=AdmissionMode.FRACTION)
     world.run(5)
     for number in world.heat:
         world.heat[number] = 16.0
     world.run(15)
     levels = world.director.levels
     assert min(levels.values()) < 0.9
-    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission) and a.fraction < 1]
-    assert orders and all(a.slice_id == api.ALL_SLICES for a in orders)
+    orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission) and a.fraction < 1]
+    assert orders and all(a.slice_id == ALL_SLICES for a in orders)
     for number in world.heat:
         world.heat[number] = 3.0
     world.run(20)
@@ -199,24 +217,22 @@
 
 
 def test_one_crowded_server_in_a_light_fleet_refuses_nobody() -> None:
-    world = World(admission_mode="fraction", slice_count=40)
+    world = World(admission_mode=AdmissionMode.FRACTION, slice_count=40)
     for number in world.heat:
         world.heat[number] = 1.0 if number % 4 else 3.6
     world.run(20)
-    assert not [
-        a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission) and a.fraction < 1
-    ]
+    assert not [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission) and a.fraction < 1]
 
 
 @pytest.mark.parametrize(("default", "most"), [(0, 0), (1, 1), (3, 1)])
 def test_further_tries_stay_within_proof_and_the_sites_own_way(default: int, most: int) -> None:
-    world = World(default_retry_mode=default, admission_mode="fraction")
+    world = World(default_retry_mode=default, admission_mode=AdmissionMode.FRACTION)
     for rate in (5.0, 14.0, 3.0):
         world.heat = dict.fromkeys(world.heat, rate)
         world.run(10)
-    orders = [a for _, acts in world.log for a in acts if isinstance(a, api.SetAdmission)]
+    orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission)]
     assert orders and all(a.retry_mode == most for a in orders)
-    assert default <= 1 or orders[0] == api.SetAdmission(api.ALL_SLICES, 0, 1.0, 1)
+    assert default <= 1 or orders[0] == SetAdmission(ALL_SLICES, 0, 1.0, 1)
 
 
 def test_many_cold_servers_alone_get_no_more_than_a_safe_part() -> None:
@@ -224,13 +240,17 @@
     world = World(slow_start_duration_s=20.0)
     world.run(10)
     born = world.now
-    world.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, started=born) for s in (1, 2))))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, started=born) for s in (1, 2))))
     for step in range(40):
         share = 0.25 + 0.75 * (world.now - born) / 20.0
         world.capacity.update({1: 30.0 * share, 2: 30.0 * share})
         world.run(0.25)
         if step == 15:
-            world.tell(api.EndpointListUpdate("delta", 3, tuple(server(s, api.GONE) for s in (3, 4))))
+            world.tell(
+                EndpointListUpdate(
+                    ListUpdateType.DELTA, 3, tuple(server(s, EndpointStatus.REMOVED) for s in (3, 4))
+                )
+            )
         if step == 3:
             world.heat = dict.fromkeys(world.heat, 9.0)
         assert step < 22 or max(world.load(1), world.load(2)) <= 0.7 * 3.0 * share * 30.0
@@ -243,7 +263,7 @@
     world.run(10)
     world.silent_reports = True
     world.run(8)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     world.run(0.5)
     assert world.load(1) <= 0.5 * 30.0
 
@@ -253,10 +273,10 @@
     for number in world.heat:
         world.heat[number] = 9.0
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(3)
     world.mute.add(1)
-    world.tell(api.EndpointListUpdate("delta", 3, (server(1, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, started=world.now),)))
     for _ in range(40):
         world.run(0.25)
         view = world.director.servers[1]
@@ -265,12 +285,14 @@
         assert view.level > 0 or world.load(1) <= 9.0
 
 
-def big_wave(world: World) -> list[list[api.Action]]:
+def big_wave(world: World) -> list[list[Action]]:
     """Half the fleet drains at once, more tables than the channel can rewrite within the grace."""
     world.heat = dict.fromkeys(world.heat, 40.0 / len(world.heat))
     world.run(5)
     mark = len(world.log)
-    world.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, api.DRAINING) for s in (1, 2))))
+    world.tell(
+        EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, EndpointStatus.DRAINING) for s in (1, 2)))
+    )
     world.run(1)
     return [acts for _, acts in world.log[mark:]]
 
@@ -283,15 +305,16 @@
         channel_header_entries=2.0,
     )
     orders = big_wave(world)
-    assert {
-        a.server_id for acts in orders for a in acts if isinstance(a, api.SetWithdrawn) and a.withdrawn
-    } == {1, 2}
+    assert {a.server_id for acts in orders for a in acts if isinstance(a, SetWithdrawn) and a.withdrawn} == {
+        1,
+        2,
+    }
     assert used(world, 1) == [] and used(world, 2) == []
 
 
 def test_small_drain_is_answered_by_tables_alone() -> None:
     world = World()
-    assert not any(isinstance(a, api.SetWithdrawn) for acts in big_wave(world) for a in acts)
+    assert not any(isinstance(a, SetWithdrawn) for acts in big_wave(world) for a in acts)
     assert used(world, 1) == []
 
 
@@ -303,7 +326,7 @@
         channel_header_entries=2.0,
     )
     big_wave(world)
-    world.tell(api.EndpointListUpdate("delta", 3, tuple(server(s) for s in (1, 2))))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, tuple(server(s) for s in (1, 2))))
     for _ in range(240):
         shut, before = set(world.withdrawn), [set(table) for table in world.tables.values()]
         world.run(0.25)
@@ -320,13 +343,13 @@
     )
     big_wave(world)
     mark = len(world.log)
-    world.tell(api.ProxyConnected(3, 0, 5.0, True))
+    world.tell(ProxyConnected(3, 0, 5.0, True))
     world.run(2)
     again = {
         a.server_id
         for _, acts in world.log[mark:]
         for a in acts
-        if isinstance(a, api.SetWithdrawn) and a.withdrawn
+        if isinstance(a, SetWithdrawn) and a.withdrawn
     }
     held = {s for t in world.tables.values() for s in t}
     assert again == {1, 2} & held != set()
@@ -339,11 +362,11 @@
     world.run(5)
     director = world.director
     for sid in (1, 2, 3):
-        director.servers[sid].entry = server(sid, api.GONE)
+        director.servers[sid].entry = server(sid, EndpointStatus.REMOVED)
         director.servers[sid].lost_since = world.now
     plan = {n: [4] for n in world.tables}
     orders = director.shut_out(plan, sorted(plan), room * 3.0, -1.0)
-    assert [a for a in orders if isinstance(a, api.SetWithdrawn) and a.withdrawn] == orders and len(
+    assert [a for a in orders if isinstance(a, SetWithdrawn) and a.withdrawn] == orders and len(
         orders
     ) == sent
     assert director.urgent == (sent < 3)
@@ -353,7 +376,7 @@
     world = World(slice_count=40, slow_start_duration_s=60.0)
     world.heat = dict.fromkeys(world.heat, 0.8)
     world.run(10)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, started=world.now),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     world.run(4)
     director = world.director
     kept = next(n for n in world.tables if 1 in world.main(n))
@@ -362,12 +385,12 @@
     director.actions, director.urgent, director.reported = [], True, world.now - 20.0  # reports are late
     director.next_publish = world.now + 1.0
     director.publish(plan | {kept: [*plan[kept], further]})
-    assert {a.slice_id for a in director.actions if isinstance(a, api.SetWeight)} == {kept}
+    assert {a.slice_id for a in director.actions if isinstance(a, SetWeight)} == {kept}
 
 
 def test_levels_rise_where_servers_are_less_busy_than_meant() -> None:
     """Refused clients come again and count in the heat, while the servers have room."""
-    world = World(admission_mode="fraction")
+    world = World(admission_mode=AdmissionMode.FRACTION)
     world.heat = dict.fromkeys(world.heat, 16.0)
     world.run(12)
     low = min(world.director.levels.values())
@@ -400,11 +423,11 @@
     world.heat |= {n: 6.0 for n in world.heat if n % 3}
     world.run(10)
     world.tell(
-        api.EndpointListUpdate("delta", 2, (server(9, started=world.now - 0.5),))
+        EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now - 0.5),))
     )  # good for 40% of 30 soon
     world.capacity[9] = 12.0
     world.run(1)
-    world.tell(api.EndpointListUpdate("delta", 3, (server(1, api.DRAINING),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, EndpointStatus.DRAINING),)))
     world.run(1)
     assert 9 not in world.main(0)
     cold = [n for n in (3, 6, 9) if 9 in world.main(n)]
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -7,13 +7,40 @@
 
 import pytest
 
-from puffintide import interface as api
 from puffintide.assigner.channel import Channel
 from puffintide.assigner.reports import Gatherer
 from puffintide.assigner.runtime import Runtime
 from puffintide.bench_adapter.__main__ import Host
 from puffintide.bench_adapter.codec import encode_action, frame
+from puffintide.decisions.actions import (
+    Action,
+    LogMessage,
+    SendCheckpoint,
+    SendHealthCheck,
+    SetAdmission,
+    SetTimer,
+    SetWeight,
+    SetWithdrawn,
+    WatchEndpoints,
+)
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    CheckpointAcknowledged,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    HealthCheckResult,
+    HealthCheckStatus,
+    ListUpdateType,
+    OwnershipChanged,
+    ProxyConnected,
+    ProxyDisconnected,
+    ServerLoadReport,
+    SliceLoadReport,
+    StoredWeight,
+    TimerFired,
+)
 from puffintide.decisions.settings import parse_settings
 from puffintide.protocol import messages as m
 from tests.test_drill import CONF, hello
@@ -23,11 +50,11 @@
 class Scripted:
     """Stands for the module: notes what it hears, answers as told."""
 
-    def __init__(self, *actions: api.Action) -> None:
+    def __init__(self, *actions: Action) -> None:
         self.actions = list(actions)
-        self.heard: list[api.Event] = []
+        self.heard: list[Event] = []
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
         self.heard += events
         return self.actions
 
@@ -46,72 +73,76 @@
 def test_each_event_reaches_the_module() -> None:
     module = Scripted()
     r = runtime(module)
-    entry = m.EndpointEntry(5, 1, 2, 3, api.READY, 2.0, 1, 4.0, "127.0.0.1:9")
+    entry = m.EndpointEntry(5, 1, 2, 3, EndpointStatus.READY, 2.0, 1, 4.0, "127.0.0.1:9")
     r.news(10.0, m.WatchEvent("full", 3, [entry]))
     r.charge(10.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 0.5, "127.0.0.1:9")]))
     r.left(10.0, 1)
     rest = (
-        api.CheckpointAcknowledged(0, 3, 0.1),
-        api.HealthCheckResult(5, 0, 0.1, ()),
-        api.ServerLoadReport(0, 5, 2, 1, 0.1, 0.5, (1.0,)),
-        api.SliceLoadReport(2, 0, 4, 0, 0.5),
+        CheckpointAcknowledged(0, 3, 0.1),
+        HealthCheckResult(5, HealthCheckStatus.OK, 0.1, ()),
+        ServerLoadReport(0, 5, 2, 1, 0.1, 0.5, (1.0,)),
+        SliceLoadReport(2, 0, 4, 0, 0.5),
     )
     r.hear(10.0, *rest)
     r.taken(10.0, 2)
     r.taken(10.0, 3)  # never had: nothing to tell
     r.tick(10.0)
     assert module.heard == [
-        api.EndpointListUpdate("cached", 1, ()),
-        api.ProxyConnected(0, 0, 5.0, True),
-        api.ProxyConnected(1, 1, 5.0, True),
-        api.EndpointListUpdate("full", 3, (api.Endpoint(5, 1, 2, 3, api.READY, 2.0, 6.0),)),
-        api.OwnershipChanged(2, True),
-        api.StoredWeight(2, 5, 0.5),
-        api.ProxyDisconnected(1),
+        EndpointListUpdate(ListUpdateType.CACHED, 1, ()),
+        ProxyConnected(0, 0, 5.0, True),
+        ProxyConnected(1, 1, 5.0, True),
+        EndpointListUpdate(
+            ListUpdateType.SNAPSHOT, 3, (Endpoint(5, 1, 2, 3, EndpointStatus.READY, 2.0, 6.0),)
+        ),
+        OwnershipChanged(2, True),
+        StoredWeight(2, 5, 0.5),
+        ProxyDisconnected(1),
         *rest,
-        api.OwnershipChanged(2, False),
+        OwnershipChanged(2, False),
     ]
 
 
 def test_the_time_of_a_start_stays_for_a_life_and_changes_with_the_next() -> None:
     module = Scripted()
     r = runtime(module)
-    entry = m.EndpointEntry(5, 0, 0, 0, api.READY, 1.0, 1, 2.0)
+    entry = m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 1, 2.0)
     r.news(10.0, m.WatchEvent("delta", 1, [entry]))
-    r.news(11.0, m.WatchEvent("delta", 2, [m.EndpointEntry(5, 0, 0, 0, api.DRAINING, 1.0, 1, 3.2)]))
-    r.news(20.0, m.WatchEvent("delta", 3, [m.EndpointEntry(5, 0, 0, 0, api.READY, 1.0, 2, 1.0)]))
+    r.news(
+        11.0, m.WatchEvent("delta", 2, [m.EndpointEntry(5, 0, 0, 0, EndpointStatus.DRAINING, 1.0, 1, 3.2)])
+    )
+    r.news(20.0, m.WatchEvent("delta", 3, [m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 2, 1.0)]))
     r.tick(20.0)
-    lists = [e for e in module.heard if isinstance(e, api.EndpointListUpdate)]
+    lists = [e for e in module.heard if isinstance(e, EndpointListUpdate)]
     assert [e.endpoints[0].started_at_s for e in lists[1:]] == [8.0, 8.0, 19.0]
 
 
 ORDERS = [
-    (api.SetWeight(2, 5, 0.5), lambda o: o.weights == [m.WeightEntry(2, 5, 0.5, 7, "127.0.0.1:9")]),
-    (api.SetWithdrawn(5, True), lambda o: o.withdrawn_servers == [5] and not o.readmitted_servers),
-    (api.SetWithdrawn(5, False), lambda o: o.readmitted_servers == [5] and not o.withdrawn_servers),
-    (api.SetAdmission(2, 1, 0.5, 1), lambda o: o.admission_levels == [m.AdmissionLevel(2, 1, 0.5, 1)]),
+    (SetWeight(2, 5, 0.5), lambda o: o.weights == [m.WeightEntry(2, 5, 0.5, 7, "127.0.0.1:9")]),
+    (SetWithdrawn(5, True), lambda o: o.withdrawn_servers == [5] and not o.readmitted_servers),
+    (SetWithdrawn(5, False), lambda o: o.readmitted_servers == [5] and not o.withdrawn_servers),
+    (SetAdmission(2, 1, 0.5, 1), lambda o: o.admission_levels == [m.AdmissionLevel(2, 1, 0.5, 1)]),
 ]
 
 
 @pytest.mark.parametrize("action, shown", ORDERS)
-def test_each_order_becomes_one_message_a_proxy(action: api.Action, shown) -> None:  # type: ignore[no-untyped-def]
-    r = runtime(Scripted(action, api.SendCheckpoint(9)))
+def test_each_order_becomes_one_message_a_proxy(action: Action, shown) -> None:  # type: ignore[no-untyped-def]
+    r = runtime(Scripted(action, SendCheckpoint(9)))
     r.charge(1.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0, "127.0.0.1:9")]))
     effects = r.tick(1.0)
     assert effects is not None and [p for p, _ in effects.orders] == [0, 1]
     for _, order in effects.orders:
         assert shown(order) and order.checkpoint_id == 9
         assert order.channel_cost == 2 + r.settings.channel_header_entries  # its own line, the mark, the head
-    assert bool(effects.writes) == isinstance(action, api.SetWeight)
+    assert bool(effects.writes) == isinstance(action, SetWeight)
 
 
 def test_the_other_actions_become_effects() -> None:
     r = runtime(
         Scripted(
-            api.SendHealthCheck(5),
-            api.WatchEndpoints(True),
-            api.LogMessage("hm"),
-            api.SetTimer(0.5, 3),
+            SendHealthCheck(5),
+            WatchEndpoints(True),
+            LogMessage("hm"),
+            SetTimer(0.5, 3),
         )
     )
     e = r.tick(1.0)
@@ -124,11 +155,11 @@
     r = Runtime(settings(slice_count=4))
     r.joined(0.0, 0, 0, 5.0, True)
     r.charge(0.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0)]))
-    r.hear(0.0, api.SliceLoadReport(2, 0, 4, 0, 0.5))
+    r.hear(0.0, SliceLoadReport(2, 0, 4, 0, 0.5))
     for k in range(40):
         r.news(k / 4, m.WatchEvent("failed", -1))
         assert r.tick(k / 4) is None and not r.busy()
-    entries = [m.EndpointEntry(s, 0, 0, 0, api.READY, 1.0, 1, -1.0) for s in (5, 6)]
+    entries = [m.EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, 1, -1.0) for s in (5, 6)]
     r.news(11.0, m.WatchEvent("full", 1, entries))
     for k in range(40):
         effects = r.tick(11.0 + k / 4)
@@ -137,23 +168,23 @@
 
 
 def test_timers_come_due_once_and_in_order() -> None:
-    module = Scripted(api.SetTimer(0.3, 2), api.SetTimer(0.1, 1))
+    module = Scripted(SetTimer(0.3, 2), SetTimer(0.1, 1))
     r = runtime(module)
     r.tick(1.0)
     module.actions = []
     r.tick(1.2)
     r.tick(1.25)
     r.tick(1.5)
-    assert [e.timer_id for e in module.heard if isinstance(e, api.TimerFired)] == [1, 2]
+    assert [e.timer_id for e in module.heard if isinstance(e, TimerFired)] == [1, 2]
 
 
 def test_lines_of_slices_not_in_charge_are_not_sent() -> None:
-    r = runtime(Scripted(api.SetWeight(3, 5, 1.0)))
+    r = runtime(Scripted(SetWeight(3, 5, 1.0)))
     effects = r.tick(1.0)
     assert effects is not None and effects.orders == [] and effects.writes == []
 
 
-def list_body(number: int, version: int, form: int, servers: Sequence[api.Endpoint]) -> bytes:
+def list_body(number: int, version: int, form: int, servers: Sequence[Endpoint]) -> bytes:
     rows = b"".join(
         struct.pack(
             "<IBHHBfd", s.server_id, s.zone, s.server_type, s.cell, s.status, s.weight, s.started_at_s
@@ -164,18 +195,18 @@
     return listed + struct.pack("<BHIQB", 1, 0, number, version, form)
 
 
-def drill_event(event: api.Event) -> bytes:
+def drill_event(event: Event) -> bytes:
     match event:
-        case api.EndpointListUpdate():
+        case EndpointListUpdate():
             form = {"delta": 0, "cached": 1, "full": 3}[event.update_type]
             return list_body(0, event.version, form, event.endpoints)
-        case api.TimerFired(name):
+        case TimerFired(name):
             return struct.pack("<BHI", 2, 0, name)
-        case api.ProxyConnected(proxy, zone, rate, fresh):
+        case ProxyConnected(proxy, zone, rate, fresh):
             return struct.pack("<BHHBfB", 6, 0, proxy, zone, rate, fresh)
-        case api.CheckpointAcknowledged(proxy, number, took):
+        case CheckpointAcknowledged(proxy, number, took):
             return struct.pack("<BHdHQ", 8, 0, took, proxy, number)
-        case api.ServerLoadReport():
+        case ServerLoadReport():
             e = event
             head = struct.pack(
                 "<BHBIIIdd",
@@ -189,11 +220,11 @@
                 e.interval_s,
             )
             return head + struct.pack(f"<B{len(e.load_values)}f", len(e.load_values), *e.load_values)
-        case api.SliceLoadReport(number, kind, count, bad, span):
+        case SliceLoadReport(number, kind, count, bad, span):
             return struct.pack("<BHHHIId", 11, 0, number, kind, count, bad, span)
-        case api.OwnershipChanged(number, given):
+        case OwnershipChanged(number, given):
             return struct.pack("<BHHB", 12, 0, number, given)
-        case api.StoredWeight(number, server, weight):
+        case StoredWeight(number, server, weight):
             return struct.pack("<BHfIH", 13, 0, weight, server, number)
     raise AssertionError(event)
 
@@ -209,17 +240,17 @@
         self.batches = 0
         self.ordered = 0
 
-    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        due = {e.timer_id for e in events if isinstance(e, api.TimerFired)}
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
+        due = {e.timer_id for e in events if isinstance(e, TimerFired)}
         body = b"".join(drill_event(e) for e in events)
         reply = self.host.answer(now, body)
         lives: dict[int, list[m.TableEntry]] = {}
         for e in events:
-            if isinstance(e, api.StoredWeight):
+            if isinstance(e, StoredWeight):
                 lives.setdefault(e.slice_id, []).append(m.TableEntry(e.server_id, e.weight))
         for e in events:
             match e:
-                case api.EndpointListUpdate():
+                case EndpointListUpdate():
                     rows = [
                         m.EndpointEntry(
                             s.server_id,
@@ -234,48 +265,49 @@
                         for s in e.endpoints
                     ]
                     self.runtime.news(now, m.WatchEvent(e.update_type, e.version, rows))
-                case api.OwnershipChanged(number, True):
+                case OwnershipChanged(number, True):
                     self.runtime.charge(now, m.SliceOwnership(number, 1, 0, lives.get(number, [])))
-                case api.ProxyConnected(proxy, zone, rate, fresh):
+                case ProxyConnected(proxy, zone, rate, fresh):
                     self.runtime.joined(now, proxy, zone, rate, fresh)
-                case api.StoredWeight() | api.TimerFired():
+                case StoredWeight() | TimerFired():
                     pass  # came with its charge; the runtime's own timers wake the module
                 case _:
                     self.runtime.hear(now, e)
         if due and self.runtime.next_timer() is None:
-            self.runtime.hear(now, *(api.TimerFired(name) for name in sorted(due)))
+            self.runtime.hear(now, *(TimerFired(name) for name in sorted(due)))
         effects = self.runtime.tick(now)
         assert effects is not None
         mine = frame([encode_action(0, action) for action in effects.actions])
         assert mine == reply, f"batch {self.batches} at {now}"
         self.batches += 1
-        self.ordered += any(isinstance(a, api.SetWeight) for a in effects.actions)
+        self.ordered += any(isinstance(a, SetWeight) for a in effects.actions)
         return list(effects.actions)
 
 
 def test_the_runtime_gives_the_same_actions_as_the_drill_action_for_action() -> None:
     conf = dict(CONF, report={"names": ["busy"]})
-    family = dict(CONF["familyInfo"], slice_count=12, strikes=3, warmKeys=True)  # type: ignore[call-overload]
+    family = dict(CONF["familyInfo"], slices=12, strikes=3, warmKeys=True)  # type: ignore[call-overload]
     conf["familyInfo"] = family
     world = World(slice_count=12)
     through = Through(conf)
     world.director = through
     world.settings = replace(world.settings, slice_count=12)
-    servers = tuple(api.Endpoint(s, 0, 0, 0, 1, 1.0, 0.0) for s in (1, 2, 3, 4))
-    events: list[api.Event] = [api.EndpointListUpdate("cached", 1, servers)]
-    events += [api.ProxyConnected(p, 0, 10.0, True) for p in range(3)]
+    servers = tuple(Endpoint(s, 0, 0, 0, EndpointStatus.READY, 1.0, 0.0) for s in (1, 2, 3, 4))
+    events: list[Event] = [EndpointListUpdate(ListUpdateType.CACHED, 1, servers)]
+    events += [ProxyConnected(p, 0, 10.0, True) for p in range(3)]
     for number in range(12):
-        events += [api.OwnershipChanged(number, True), api.StoredWeight(number, 1 + number % 4, 1.0)]
-    world.tell(*events, api.TimerFired(1))
+        events += [OwnershipChanged(number, True), StoredWeight(number, 1 + number % 4, 1.0)]
+    world.tell(*events, TimerFired(1))
     world.run(6)
     world.mute = {2}
     world.heat[3] = 40.0
     world.run(8)
-    gone = api.Endpoint(3, 0, 0, 0, api.GONE, 1.0, 0.0)
-    world.tell(api.EndpointListUpdate("delta", 2, (gone,)))
+    gone = Endpoint(3, 0, 0, 0, EndpointStatus.REMOVED, 1.0, 0.0)
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (gone,)))
     world.mute = set()
     world.run(5)
-    world.tell(api.EndpointListUpdate("delta", 3, (api.Endpoint(3, 0, 0, 0, 1, 1.0, world.now - 0.5),)))
+    back = Endpoint(3, 0, 0, 0, EndpointStatus.READY, 1.0, world.now - 0.5)
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (back,)))
     world.run(12)
     assert through.batches > 100 and through.ordered > 10
 
@@ -333,7 +365,7 @@
 
 def test_sums_add_up_whatever_the_report_lines_allow() -> None:
     gather = Gatherer(lines_per_s=4.0)
-    heard: list[api.ServerLoadReport] = []
+    heard: list[ServerLoadReport] = []
     for step in range(40):
         now = 10 + step * 0.5
         for proxy in range(3):
@@ -341,7 +373,7 @@
             gather.add(now, proxy % 2, m.UsageReport(0.5, rows if step < 20 else [], []))
         events = gather.take(now)
         assert len(events) <= 4
-        heard += [e for e in events if isinstance(e, api.ServerLoadReport)]
+        heard += [e for e in events if isinstance(e, ServerLoadReport)]
     assert sum(e.attempts for e in heard) == 20 * 3 * 5 * 2
     assert sum(e.failed_attempts for e in heard) == 20 * 3 * 5
     assert {(e.proxy_zone, e.server_id) for e in heard[:10]} == {
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -5,8 +5,23 @@
 
 import pytest
 
-from puffintide import interface as api
+from puffintide.decisions.actions import SetAdmission, SetWeight
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ListUpdateType,
+    OwnershipChanged,
+    PeerObservation,
+    ProxyConnected,
+    ServerLoadReport,
+    SliceLoadReport,
+    StoredWeight,
+    TimerFired,
+)
+from puffintide.decisions.settings import AdmissionMode
 from tests.world import START, World, server, settings
 
 SERVERS, EACH = range(1, 11), 12
@@ -29,12 +44,12 @@
         self.answered = 1.0  # part of what came that was answered so far
         entries = tuple(server(s) for s in servers)
         for k, director in enumerate(self.directors):
-            events: list[api.Event] = [
-                api.EndpointListUpdate("cached", 1, entries),
-                api.ProxyConnected(0, 0, 10.0, True),
+            events: list[Event] = [
+                EndpointListUpdate(ListUpdateType.CACHED, 1, entries),
+                ProxyConnected(0, 0, 10.0, True),
             ]
             for n in self.mine(k):
-                events += [api.OwnershipChanged(n, True), api.StoredWeight(n, self.on[n], 1.0)]
+                events += [OwnershipChanged(n, True), StoredWeight(n, self.on[n], 1.0)]
             director.handle(self.now, events)
 
     def mine(self, k: int) -> list[int]:
@@ -43,9 +58,7 @@
     def kill(self, k: int, heir: int) -> None:
         """Its slices go to another, with their tables."""
         for n in self.held[k]:
-            self.hear(
-                self.directors[heir], api.OwnershipChanged(n, True), api.StoredWeight(n, self.on[n], 1.0)
-            )
+            self.hear(self.directors[heir], OwnershipChanged(n, True), StoredWeight(n, self.on[n], 1.0))
         self.held[heir] += self.held[k]
         self.held[k] = []
 
@@ -57,33 +70,33 @@
             self.now += 0.25
             for k, director in enumerate(self.directors):
                 came = round(self.heat * 10)
-                events: list[api.Event] = [api.SliceLoadReport(n, 0, came, 0, 10.0) for n in self.mine(k)]
+                events: list[Event] = [SliceLoadReport(n, 0, came, 0, 10.0) for n in self.mine(k)]
                 for sid in sorted(self.ready):
                     tries, total = self.load(sid, self.mine(k)), self.load(sid, range(5 * EACH))
                     tries *= self.answered
                     good = tries * min(1.0, 30.0 / max(total, 1.0))
                     values = (min(1.0, total / 30.0),) if director.set.load_value_names else ()
                     counts = round(tries * 10), round((tries - good) * 10)
-                    events.append(api.ServerLoadReport(0, sid, *counts, 0.2, 10.0, values))
-                self.hear(director, *events, api.TimerFired(1))
+                    events.append(ServerLoadReport(0, sid, *counts, 0.2, 10.0, values))
+                self.hear(director, *events, TimerFired(1))
 
-    def hear(self, director: Director, *events: api.Event) -> None:
+    def hear(self, director: Director, *events: Event) -> None:
         for action in director.handle(self.now, events):
-            if isinstance(action, api.SetWeight) and action.weight >= 1:
+            if isinstance(action, SetWeight) and action.weight >= 1:
                 self.on[action.slice_id] = action.server_id
-            if isinstance(action, api.SetAdmission):
+            if isinstance(action, SetAdmission):
                 self.lowest = min(self.lowest, action.fraction)
 
-    def tell(self, *entries: api.Endpoint) -> None:
+    def tell(self, *entries: Endpoint) -> None:
         self.ready = {s for s in self.ready if s not in {e.server_id for e in entries}}
-        self.ready |= {e.server_id for e in entries if e.status == api.READY}
+        self.ready |= {e.server_id for e in entries if e.status == EndpointStatus.READY}
         for director in self.directors:
-            self.hear(director, api.EndpointListUpdate("delta", 2, entries))
+            self.hear(director, EndpointListUpdate(ListUpdateType.DELTA, 2, entries))
 
 
 def test_where_nothing_tells_load_an_idle_fleet_refuses_nobody() -> None:
     """No load reports, and most servers hold no slice of one assigner; the start brings heat before answers."""
-    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode="fraction")
+    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION)
     before = dict(fleet.on)
     for fleet.answered in (0.0, 0.3, 0.6):  # at the start heat comes first, and answers late
         fleet.run(0.25)
@@ -95,7 +108,7 @@
 
 
 def test_nobody_is_refused_before_anything_told_what_servers_can_do() -> None:
-    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode="fraction")
+    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION)
     fleet.answered = 0.0
     fleet.run(6)
     assert fleet.lowest == 1.0
@@ -112,7 +125,7 @@
 
 
 def test_where_nothing_tells_load_a_crowd_is_refused_in_part() -> None:
-    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode="fraction")
+    fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION)
     fleet.run(10)
     fleet.heat = 60.0  # 90 on servers that can do 30
     fleet.run(10)
@@ -125,7 +138,7 @@
     fleet.run(10)
     fleet.tell(*(server(s, started=fleet.now) for s in range(11, 16)))
     fleet.run(1)
-    fleet.tell(*(server(s, state=api.DRAINING) for s in range(1, 6)))
+    fleet.tell(*(server(s, state=EndpointStatus.DRAINING) for s in range(1, 6)))
     if killed:
         fleet.run(1)
         fleet.kill(1, heir=3)
@@ -142,7 +155,7 @@
         owners = []
         for k in range(count):
             director = Director(settings(assigner_index=k, assigner_count=count, slice_count=4 * count))
-            director.handle(START, [api.OwnershipChanged(n, True) for n in range(4 * held)])
+            director.handle(START, [OwnershipChanged(n, True) for n in range(4 * held)])
             owners.append([director.ours(sid) for sid in range(500)])
         assert {sum(each) for each in zip(*owners, strict=True)} == {held}
 
@@ -160,7 +173,7 @@
     for sid in range(2, 16):  # a server drains each half second
         if sid == 4:
             world.heat = {n: 10.0 if world.main(n) == {1} else 0.5 for n in world.heat}
-        world.tell(api.EndpointListUpdate("delta", sid, (server(sid, api.DRAINING),)))
+        world.tell(EndpointListUpdate(ListUpdateType.DELTA, sid, (server(sid, EndpointStatus.DRAINING),)))
         world.run(0.5)
     assert (
         sum(world.main(n) == {1} for n in world.tables if world.heat[n] > 1) <= 1
@@ -173,30 +186,28 @@
     world.heat = dict.fromkeys(world.heat, 3.0)
     world.run(20)
     before = world.director.capacity(1)
-    world.tell(*(api.OwnershipChanged(n, False) for n in range(left, 48)))
+    world.tell(*(OwnershipChanged(n, False) for n in range(left, 48)))
     for step in range(160):
         world.now += 0.25
         # Reports of before still come for 4 s, late; then those of what is left.
         met = range(1, 9) if step < 16 and not left else range(1, left + 1)
         rate = 18 if step < 16 and not left else 3
-        told = [api.ServerLoadReport(0, sid, 10 * rate, 0, 0.2, 10.0, (0.6,)) for sid in met]
-        world.tell(*told, api.TimerFired(1))
+        told = [ServerLoadReport(0, sid, 10 * rate, 0, 0.2, 10.0, (0.6,)) for sid in met]
+        world.tell(*told, TimerFired(1))
         assert 0.6 * before < world.director.capacity(1) < 1.6 * before
 
 
 def test_what_others_found_out_counts_until_it_is_found_out_here() -> None:
     fresh = Director(settings(assigner_count=3))
-    fresh.handle(START, [api.EndpointListUpdate("cached", 1, (server(1), server(2)))])
-    fresh.handle(
-        START, [api.PeerObservation(-1, capacity_per_s=7.0), api.PeerObservation(1, recovery_level=0)]
-    )
+    fresh.handle(START, [EndpointListUpdate(ListUpdateType.CACHED, 1, (server(1), server(2)))])
+    fresh.handle(START, [PeerObservation(-1, capacity_per_s=7.0), PeerObservation(1, recovery_level=0)])
     assert fresh.findings() == (7.0, {1: 0})
-    fresh.handle(START, [api.PeerObservation(-1, capacity_per_s=9.0)])
+    fresh.handle(START, [PeerObservation(-1, capacity_per_s=9.0)])
     assert (
         fresh.findings()[0] == 7.0
     )  # one copy is as good as the other, and none takes the place of what stands
     world = World(assigner_count=3)
     world.run(20)
     own = world.director.findings()
-    world.tell(api.PeerObservation(-1, capacity_per_s=900.0), api.PeerObservation(1, recovery_level=0))
+    world.tell(PeerObservation(-1, capacity_per_s=900.0), PeerObservation(1, recovery_level=0))
     assert own[0] and world.director.findings() == own
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,14 @@
 
 import pytest
 
-from puffintide import interface as api
+from puffintide.decisions.events import (
+    EndpointListUpdate,
+    EndpointStatus,
+    ListUpdateType,
+    OwnershipChanged,
+    ServerLoadReport,
+    TimerFired,
+)
 from tests.world import World, server
 
 
@@ -31,7 +38,7 @@
     world.now += 0.25
     sys.setprofile(tally)
     try:
-        world.director.handle(world.now, [api.TimerFired(1)])
+        world.director.handle(world.now, [TimerFired(1)])
     finally:
         sys.setprofile(None)
     return count
@@ -53,7 +60,7 @@
     orders = {n: id(world.director.ranking(n)) for n in world.heat}
     world.run(6)
     assert {n: id(world.director.ranking(n)) for n in world.heat} == orders
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     assert all(1 not in world.director.ranking(n) for n in world.heat)
 
 
@@ -61,9 +68,9 @@
 def test_list_that_shrinks_to_one_or_none_does_no_harm(left: int) -> None:
     world = big_world(20)
     world.run(4)
-    world.tell(api.EndpointListUpdate("full", 2, tuple(server(s) for s in range(1, left + 1))))
+    world.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(server(s) for s in range(1, left + 1))))
     world.run(8)
-    world.tell(api.EndpointListUpdate("full", 3, tuple(server(s) for s in range(1, 21))))
+    world.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 3, tuple(server(s) for s in range(1, 21))))
     world.run(20)
     assert all(world.open(n) for n in world.heat)
 
@@ -71,7 +78,7 @@
 def test_site_without_proxies_is_planned_for_all_the_same() -> None:
     world = World(proxy_count=0)
     world.run(5)
-    world.tell(api.EndpointListUpdate("delta", 2, (server(1, api.GONE),)))
+    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     assert all(1 not in t for t in world.tables.values())
 
@@ -83,9 +90,9 @@
     before = world.director.per_size
     assert before is not None
     view = world.director
-    view.handle(world.now, [api.OwnershipChanged(3, False)])
+    view.handle(world.now, [OwnershipChanged(3, False)])
     for v in view.servers.values():
         v.good.clear()
     world.now += 0.25
-    view.handle(world.now, [api.ServerLoadReport(0, 1, 5, 0, 0.2, 1.0, (0.5, 1.0, 200.0)), api.TimerFired(1)])
+    view.handle(world.now, [ServerLoadReport(0, 1, 5, 0, 0.2, 1.0, (0.5, 1.0, 200.0)), TimerFired(1)])
     assert view.per_size == before
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,8 +8,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from puffintide import interface as api
+from puffintide.decisions.actions import SetWeight
 from puffintide.decisions.director import FULL, Director
+from puffintide.decisions.events import (
+    AssignerCountChanged,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ListUpdateType,
+    OwnershipChanged,
+    ProxyConnected,
+    ServerLoadReport,
+    ZoneCommandReceived,
+    ZoneOperation,
+)
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import (
     DEGRADED,
@@ -30,8 +43,10 @@
 ZONE = {s: s % 2 for s in SERVERS}
 
 
-def entry(sid: int, state: int = api.READY, started: float = 0.0, zone: int | None = None) -> api.Endpoint:
-    return api.Endpoint(sid, ZONE[sid] if zone is None else zone, 0, 0, state, 2.0, started)
+def entry(
+    sid: int, state: EndpointStatus = EndpointStatus.READY, started: float = 0.0, zone: int | None = None
+) -> Endpoint:
+    return Endpoint(sid, ZONE[sid] if zone is None else zone, 0, 0, state, 2.0, started)
 
 
 class Plan:
@@ -42,9 +57,9 @@
         self.plan = ZonePlan(replace(world.settings, zone_count=zones), ZoneLimits(spill))
         self.now = 1000.0
         self.view = {s: View(True, 0.5) for s in SERVERS}
-        self.tell(api.EndpointListUpdate("full", 1, tuple(entry(s) for s in SERVERS)))
+        self.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 1, tuple(entry(s) for s in SERVERS)))
 
-    def tell(self, *events: api.Event) -> None:
+    def tell(self, *events: Event) -> None:
         for event in events:
             self.plan.observe(self.now, event)
 
@@ -55,10 +70,10 @@
             found = self.plan.decide(self.now, self.view)
         return found
 
-    def zone(self, zone: int, state: int, fresh: bool = False) -> None:
+    def zone(self, zone: int, state: EndpointStatus, fresh: bool = False) -> None:
         started = self.now if fresh else 0.0
         rows = tuple(entry(s, state, started) for s in SERVERS if ZONE[s] == zone)
-        self.tell(api.EndpointListUpdate("delta", 2, rows))
+        self.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, rows))
 
     def phase(self, zone: int) -> str:
         return self.plan.states()[zone].phase
@@ -68,13 +83,13 @@
         for name, share in failed.items():
             of, to = int(name[1]), int(name[2])
             for s in (s for s in SERVERS if ZONE[s] == to):
-                self.tell(api.ServerLoadReport(of, s, 20, round(20 * share), 0.05, 0.5, ()))
+                self.tell(ServerLoadReport(of, s, 20, round(20 * share), 0.05, 0.5, ()))
 
 
 def test_a_lost_zone_spills_up_to_the_stated_limit_and_the_rest_is_told() -> None:
     plan = Plan(spill=0.5)
     plan.run(60)
-    plan.zone(0, api.GONE)
+    plan.zone(0, EndpointStatus.REMOVED)
     bounds = plan.run(1)
     # The other's own usual load is 0.5 of it, and half of its spare may go to others: it is filled up to 0.75.
     assert plan.phase(0) == LOST and all(FULL * bounds[s] == pytest.approx(0.75, abs=0.01) for s in bounds)
@@ -86,9 +101,9 @@
 def test_a_first_return_grows_while_it_is_stood_and_goes_back_when_not() -> None:
     plan = Plan()
     plan.run(20)
-    plan.zone(0, api.GONE)
+    plan.zone(0, EndpointStatus.REMOVED)
     plan.run(5)
-    plan.zone(0, api.READY)
+    plan.zone(0, EndpointStatus.READY)
     seen = [plan.run(0.25)[2]]
     assert plan.phase(0) == RETURNING and seen == [START]
     for _ in range(3):
@@ -104,9 +119,9 @@
 def test_cold_servers_are_left_to_the_module_and_a_return_ends_when_they_are_warm() -> None:
     plan = Plan()
     plan.run(20)
-    plan.zone(0, api.GONE)
+    plan.zone(0, EndpointStatus.REMOVED)
     plan.run(5)
-    plan.zone(0, api.READY, fresh=True)
+    plan.zone(0, EndpointStatus.READY, fresh=True)
     assert plan.run(9)[2] == 1.0 and plan.phase(0) == RETURNING
     plan.run(2)  # ten seconds after their start
     assert plan.phase(0) == WELL
@@ -115,10 +130,10 @@
 def test_servers_that_are_told_one_by_one_as_restarted_are_cold_before_the_module_has_seen_it() -> None:
     """The first version asked the module, which took them for warm, and held them at START in an overload."""
     world = eight(Zoned)
-    world.zone(0, api.GONE)
+    world.zone(0, EndpointStatus.REMOVED)
     world.run(12)
     for s in (2, 4, 6, 8):
-        world.tell(api.EndpointListUpdate("delta", 3, (server(s, started=world.now),)))
+        world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(s, started=world.now),)))
         assert world.director.plan.bounds[s] == 1.0
         world.run(0.25)
 
@@ -126,10 +141,10 @@
 def test_a_return_goes_on_where_all_are_as_full() -> None:
     plan = Plan()
     plan.run(20)
-    plan.zone(0, api.GONE)
+    plan.zone(0, EndpointStatus.REMOVED)
     plan.run(5)
     plan.view = {s: View(True, 0.99) for s in SERVERS}
-    plan.zone(0, api.READY)
+    plan.zone(0, EndpointStatus.READY)
     plan.run(1 / RATE)
     assert plan.phase(0) == WELL
 
@@ -137,13 +152,13 @@
 def test_a_server_that_falls_on_return_waits_until_the_rest_is_done() -> None:
     plan = Plan()
     plan.run(20)
-    plan.zone(0, api.GONE)
+    plan.zone(0, EndpointStatus.REMOVED)
     plan.run(5)
-    plan.zone(0, api.READY)
+    plan.zone(0, EndpointStatus.READY)
     plan.run(2)
-    plan.tell(api.EndpointListUpdate("delta", 3, (entry(2, api.GONE),)))
+    plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (entry(2, EndpointStatus.REMOVED),)))
     plan.run(0.5)
-    plan.tell(api.EndpointListUpdate("delta", 4, (entry(2, api.READY, plan.now),)))
+    plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 4, (entry(2, EndpointStatus.READY, plan.now),)))
     rest: list[float] = []
     while plan.phase(0) == RETURNING:
         bounds = plan.run(1)
@@ -158,9 +173,9 @@
     plan.run(20)
     returns = 0
     for _ in range(240 // period):
-        plan.zone(0, api.GONE)
+        plan.zone(0, EndpointStatus.REMOVED)
         plan.run(period / 2)
-        plan.zone(0, api.READY)
+        plan.zone(0, EndpointStatus.READY)
         before = plan.phase(0)
         for _ in range(period * 2):
             plan.run(0.25)
@@ -176,9 +191,9 @@
     plan = Plan()
     plan.run(20)
     for _ in range(2):
-        plan.zone(0, api.GONE)
+        plan.zone(0, EndpointStatus.REMOVED)
         plan.run(2)
-        plan.zone(0, api.READY)
+        plan.zone(0, EndpointStatus.READY)
         plan.run(1)
     assert plan.phase(0) == HELD and plan.run(HOLD_S - 2)[2] == 0.0
     plan.run(3)
@@ -189,8 +204,8 @@
     plan = Plan()
     plan.run(20)
     for s in (2, 4, 6):
-        for state in (api.DRAINING, api.GONE):
-            plan.tell(api.EndpointListUpdate("delta", 2, (entry(s, state),)))
+        for state in (EndpointStatus.DRAINING, EndpointStatus.REMOVED):
+            plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (entry(s, state),)))
             plan.run(3)
     assert plan.phase(0) == WELL
     assert set(plan.run(1).values()) == {1.0}
@@ -231,7 +246,7 @@
 
 def test_reports_that_stop_are_told_from_a_loss() -> None:
     plan = Plan()
-    plan.tell(api.ProxyConnected(1, 0, 1.0, True), api.ProxyConnected(2, 1, 1.0, True))
+    plan.tell(ProxyConnected(1, 0, 1.0, True), ProxyConnected(2, 1, 1.0, True))
     for _ in range(20):
         plan.ways(w11=0.0, w10=0.0)  # nothing of zone 0's proxies
         plan.view = {s: View(True, 0.5, probed=True) for s in SERVERS}
@@ -241,11 +256,11 @@
 
 def test_two_of_three_zones_lost_one_after_the_other() -> None:
     plan = Plan(spill=0.5, zones=3)
-    plan.tell(api.EndpointListUpdate("full", 2, tuple(entry(s, zone=s % 3) for s in SERVERS)))
+    plan.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(entry(s, zone=s % 3) for s in SERVERS)))
     plan.run(30)
     for zone in (0, 1):
-        rows = tuple(entry(s, api.GONE, zone=zone) for s in SERVERS if s % 3 == zone)
-        plan.tell(api.EndpointListUpdate("delta", 3, rows))
+        rows = tuple(entry(s, EndpointStatus.REMOVED, zone=zone) for s in SERVERS if s % 3 == zone)
+        plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, rows))
         bounds = plan.run(5)
     assert [s.phase for s in plan.plan.states()] == [LOST, LOST, WELL]
     # The limit is from its own load in ordinary times: a second loss does not raise it.
@@ -255,12 +270,12 @@
 def test_the_hand_drains_by_steps_holds_at_once_and_returns_at_its_pace() -> None:
     plan = Plan()
     plan.run(20)
-    plan.tell(api.ZoneCommandReceived(0, "drain", 2.0))
+    plan.tell(ZoneCommandReceived(0, ZoneOperation.DRAIN, 2.0))
     falling = [plan.run(1)[2] for _ in range(8)]
     assert falling == sorted(falling, reverse=True) and 0 < falling[1] < 1 and falling[-1] == 0.0
-    plan.tell(api.ZoneCommandReceived(0, "return", 1.0))
+    plan.tell(ZoneCommandReceived(0, ZoneOperation.RETURN, 1.0))
     assert plan.run(0.25)[2] == pytest.approx(START + RATE / 4)
-    plan.tell(api.ZoneCommandReceived(0, "hold", 1.0))
+    plan.tell(ZoneCommandReceived(0, ZoneOperation.HOLD, 1.0))
     assert plan.run(0.25)[2] == 0.0
     assert plan.run(500)[2] == 0.0  # as long as it stands
 
@@ -290,15 +305,19 @@
         ids = [s for s in SERVERS if ZONE[s] == zone]
         match what:
             case "gone" | "ready":
-                plan.zone(zone, api.GONE if what == "gone" else api.READY)
+                plan.zone(zone, EndpointStatus.REMOVED if what == "gone" else EndpointStatus.READY)
             case "drain":
-                plan.tell(api.EndpointListUpdate("delta", 2, tuple(entry(s, api.DRAINING) for s in ids)))
+                plan.tell(
+                    EndpointListUpdate(
+                        ListUpdateType.DELTA, 2, tuple(entry(s, EndpointStatus.DRAINING) for s in ids)
+                    )
+                )
             case "silent" | "answer":
                 plan.view |= {s: View(what == "answer", 0.5) for s in ids}
             case "hot" | "cool":
                 plan.view |= {s: View(True, 0.99 if what == "hot" else 0.3) for s in ids}
             case "hold" | "return":
-                plan.tell(api.ZoneCommandReceived(zone, what, 1.0))
+                plan.tell(ZoneCommandReceived(zone, ZoneOperation(what), 1.0))
         for _ in range(quarters):
             phases = {z: s.phase for z, s in enumerate(plan.plan.states())}
             bounds = plan.run(0.25)
@@ -318,12 +337,14 @@
 def test_between_lost_and_back_nothing_flips() -> None:
     plan = Plan()
     plan.run(20)
-    plan.zone(0, api.GONE)
+    plan.zone(0, EndpointStatus.REMOVED)
     plan.run(1)
-    plan.tell(api.EndpointListUpdate("delta", 2, (entry(2, api.READY, plan.now),)))  # one of four
+    plan.tell(
+        EndpointListUpdate(ListUpdateType.DELTA, 2, (entry(2, EndpointStatus.READY, plan.now),))
+    )  # one of four
     plan.run(5)
     assert plan.phase(0) == LOST
-    plan.tell(api.EndpointListUpdate("delta", 2, (entry(4, api.READY, plan.now),)))
+    plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (entry(4, EndpointStatus.READY, plan.now),)))
     plan.run(1)
     assert plan.phase(0) == RETURNING
 
@@ -334,15 +355,15 @@
 class Zoned(World):
     make = staticmethod(lambda settings: ZonedDirector(settings, ZoneLimits()))
 
-    def zone(self, zone: int, state: int) -> None:
+    def zone(self, zone: int, state: EndpointStatus) -> None:
         """Struck from the list or told again; its servers go on running all the time."""
         ids = [s for s in self.capacity if s % 2 == zone]
-        self.tell(api.EndpointListUpdate("delta", 2, tuple(server(s, state) for s in ids)))
+        self.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, state) for s in ids)))
 
     def waves(self, since: float) -> list[int]:
         """New lines of each batch of orders."""
         made = [
-            sum(isinstance(a, api.SetWeight) and a.weight >= 1 for a in acts)
+            sum(isinstance(a, SetWeight) and a.weight >= 1 for a in acts)
             for t, acts in self.log
             if t >= since
         ]
@@ -364,11 +385,11 @@
     largest = {}
     for make in (Plain, Zoned):
         world = eight(make)
-        world.zone(0, api.GONE)
+        world.zone(0, EndpointStatus.REMOVED)
         world.run(12)
         assert all(world.open(n) for n in world.tables)
         began = world.now
-        world.zone(0, api.READY)
+        world.zone(0, EndpointStatus.READY)
         world.run(60)
         home = sum(world.load(s) for s in SERVERS if s % 2 == 0)
         assert home > 0.8 * 38.4  # of what stood there before
@@ -378,15 +399,15 @@
 
 def test_a_drain_by_hand_empties_a_zone_as_far_as_there_is_room_and_never_a_slice() -> None:
     world = eight(Zoned)
-    world.tell(api.ZoneCommandReceived(0, "drain", 1.0))
+    world.tell(ZoneCommandReceived(0, ZoneOperation.DRAIN, 1.0))
     world.run(30)
     assert all(s % 2 for n in world.tables for s in world.main(n))
     assert all(world.open(n) for n in world.tables)
     world.tell(
-        api.ZoneCommandReceived(1, "hold", 1.0)
+        ZoneCommandReceived(1, ZoneOperation.HOLD, 1.0)
     )  # now all are out: tables stay, and new ones are filled
     world.tables[3] = {}
-    world.tell(api.OwnershipChanged(3, False), api.OwnershipChanged(3, True))
+    world.tell(OwnershipChanged(3, False), OwnershipChanged(3, True))
     world.run(10)
     assert all(world.open(n) for n in world.tables)
 
@@ -395,7 +416,7 @@
     world = eight(Zoned)
     world.heat = dict.fromkeys(world.heat, 3.2)  # 0.85: one zone can't carry both
     world.run(20)
-    world.tell(api.ZoneCommandReceived(0, "drain", 1.0))
+    world.tell(ZoneCommandReceived(0, ZoneOperation.DRAIN, 1.0))
     world.run(40)
     for s in SERVERS:
         assert world.load(s) <= 1.1 * world.capacity[s]
@@ -406,7 +427,7 @@
     for tiers in ((), ((0, 1), (1, 0))):
         world = eight(Zoned, zone_distances=tiers)
         mine = [n for n in world.tables if world.main(n) == {2}]
-        world.tell(api.EndpointListUpdate("delta", 2, (server(2, api.GONE),)))
+        world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
         world.run(3)
         spread[bool(tiers)] = {s % 2 for n in mine for s in world.main(n)}
     assert spread == {False: {0, 1}, True: {0}}
@@ -420,7 +441,7 @@
             servers=SERVERS, slice_count=64, proxy_count=3, assigner_count=4, load_value_names=("busy", "rif")
         )
         world.heat = {n: 1.2 if world.tables[n] != {2: 1.0} else 4.5 for n in world.heat}
-        world.tell(api.AssignerCountChanged(count))
+        world.tell(AssignerCountChanged(count))
         world.run(20)
         moved[count] = sum(2 not in world.main(n) for n in world.tables if n % 8 == 1)
     assert moved[1] > moved[4]
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,16 +6,31 @@
 from dataclasses import replace
 from typing import Any
 
-from puffintide import interface as api
+from puffintide.decisions.actions import Action, SendCheckpoint, SetAdmission, SetWeight, SetWithdrawn
 from puffintide.decisions.director import Director
+from puffintide.decisions.events import (
+    CheckpointAcknowledged,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ListUpdateType,
+    OwnershipChanged,
+    ProxyConnected,
+    ServerLoadReport,
+    SliceLoadReport,
+    StoredWeight,
+    TimerFired,
+)
+from puffintide.decisions.settings import AdmissionMode, RepeatSafety, RequestClass, Settings
 
 START = 1000.0
 
 
-def settings(**changes: Any) -> api.Settings:
-    safe = api.RequestClass("repeatable", "all", 0.0, 1.0, 4.0, 3.0, False)
-    once = api.RequestClass("once", "all", 0.0, 1.5, 5.0, 5.0, False)
-    base = api.Settings(
+def settings(**changes: Any) -> Settings:
+    safe = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 1.0, 4.0, 3.0, False)
+    once = RequestClass(RepeatSafety.NON_IDEMPOTENT, "all", 0.0, 1.5, 5.0, 5.0, False)
+    base = Settings(
         assigner_index=0,
         assigner_count=1,
         seed=7,
@@ -29,7 +44,7 @@
         default_retry_mode=0,
         retry_wait_objectives=1.0,
         proxy_ejection_failures=3,
-        admission_mode="silent",
+        admission_mode=AdmissionMode.NONE,
         channel_entries_per_s=10000.0,
         channel_header_entries=12.0,
         channel_capacity_entries=15000.0,
@@ -52,21 +67,23 @@
     return replace(base, **changes)
 
 
-def server(sid: int, state: int = api.READY, started: float = 0.0, weight: float = 1.0) -> api.Endpoint:
-    return api.Endpoint(sid, sid % 2, 0, 0, state, weight, started)
+def server(
+    sid: int, state: EndpointStatus = EndpointStatus.READY, started: float = 0.0, weight: float = 1.0
+) -> Endpoint:
+    return Endpoint(sid, sid % 2, 0, 0, state, weight, started)
 
 
 class World:
     """One assigner, its servers and the store; rates are given, loads follow from the tables."""
 
-    make: Callable[[api.Settings], Any] = Director
+    make: Callable[[Settings], Any] = Director
 
     def __init__(self, servers: Sequence[int] = (1, 2, 3, 4), **changes: Any) -> None:
         self.settings = settings(**changes)
         self.director = self.make(self.settings)
         self.now = START
         self.tables: dict[int, dict[int, float]] = {}
-        self.log: list[tuple[float, list[api.Action]]] = []
+        self.log: list[tuple[float, list[Action]]] = []
         self.heat = dict.fromkeys(range(self.settings.slice_count), 5.0)
         self.capacity = dict.fromkeys(servers, 30.0)
         self.mute: set[int] = set()
@@ -76,32 +93,31 @@
         self.busy_until = START
         self.under_way: list[tuple[float, int]] = []  # when a marked message will be applied by all
         self.most_waiting = 0.0
-        events: list[api.Event] = [api.EndpointListUpdate("cached", 1, tuple(server(s) for s in servers))]
-        events += [api.ProxyConnected(p, 0, 10.0, True) for p in range(self.settings.proxy_count)]
+        events: list[Event] = [
+            EndpointListUpdate(ListUpdateType.CACHED, 1, tuple(server(s) for s in servers))
+        ]
+        events += [ProxyConnected(p, 0, 10.0, True) for p in range(self.settings.proxy_count)]
         for number in range(self.settings.slice_count):
             home = servers[number % len(servers)]
-            events += [api.OwnershipChanged(number, True), api.StoredWeight(number, home, 1.0)]
+            events += [OwnershipChanged(number, True), StoredWeight(number, home, 1.0)]
             self.tables[number] = {home: 1.0}
         self.tell(*events)
 
-    def tell(self, *events: api.Event) -> list[api.Action]:
-        actions: list[api.Action] = self.director.handle(self.now, events)
+    def tell(self, *events: Event) -> list[Action]:
+        actions: list[Action] = self.director.handle(self.now, events)
         self.log.append((self.now, actions))
-        lines = sum(
-            isinstance(a, api.SetWeight | api.SetAdmission | api.SetWithdrawn | api.SendCheckpoint)
-            for a in actions
-        )
+        lines = sum(isinstance(a, SetWeight | SetAdmission | SetWithdrawn | SendCheckpoint) for a in actions)
         if lines:
             speed = self.settings.channel_entries_per_s * self.pace
             sent = (lines + self.settings.channel_header_entries) * self.settings.proxy_count
             self.busy_until = max(self.busy_until, self.now) + sent / speed
             self.most_waiting = max(self.most_waiting, (self.busy_until - self.now) * speed)
         for action in actions:
-            if isinstance(action, api.SendCheckpoint):
+            if isinstance(action, SendCheckpoint):
                 self.under_way.append((self.busy_until + self.settings.channel_delay_s, action.checkpoint_id))
-            if isinstance(action, api.SetWithdrawn):
+            if isinstance(action, SetWithdrawn):
                 (self.withdrawn.add if action.withdrawn else self.withdrawn.discard)(action.server_id)
-            if isinstance(action, api.SetWeight):
+            if isinstance(action, SetWeight):
                 table = self.tables.setdefault(action.slice_id, {})
                 if action.weight > 0:
                     if self.settings.single_writer:
@@ -123,20 +139,18 @@
         """Rounds of 0.25 s with reports each 0.5 s."""
         for step in range(round(seconds * 4)):
             self.now += 0.25
-            events: list[api.Event] = [api.TimerFired(1)]
+            events: list[Event] = [TimerFired(1)]
             if step % 2 == 0 and not self.silent_reports:
                 events = self.reports() + events
             for due, number in [(d, n) for d, n in self.under_way if d <= self.now]:
                 self.under_way.remove((due, number))
-                events += [
-                    api.CheckpointAcknowledged(p, number, 0.0) for p in range(self.settings.proxy_count)
-                ]
+                events += [CheckpointAcknowledged(p, number, 0.0) for p in range(self.settings.proxy_count)]
             self.tell(*events)
 
-    def reports(self) -> list[api.Event]:
-        events: list[api.Event] = []
+    def reports(self) -> list[Event]:
+        events: list[Event] = []
         for number, rate in sorted(self.heat.items()):
-            events.append(api.SliceLoadReport(number, 0, round(rate * 10), 0, 10.0))
+            events.append(SliceLoadReport(number, 0, round(rate * 10), 0, 10.0))
         for sid, capacity in sorted(self.capacity.items()):
             rate = self.load(sid)
             tries = round(rate * 10)
@@ -144,7 +158,7 @@
                 continue
             good = 0 if sid in self.mute else round(min(rate, capacity) * 10)
             values = () if sid in self.mute else (min(1.0, rate / capacity),)
-            events.append(api.ServerLoadReport(0, sid, tries, tries - good, 0.2, 10.0, values))
+            events.append(ServerLoadReport(0, sid, tries, tries - good, 0.2, 10.0, values))
         return events
 
     def open(self, number: int) -> dict[int, float]:
@@ -158,4 +172,4 @@
         return {s for s, w in table.items() if w > top / 2}
 
     def moves(self) -> int:
-        return sum(isinstance(a, api.SetWeight) and a.weight >= 1 for _, acts in self.log for a in acts)
+        return sum(isinstance(a, SetWeight) and a.weight >= 1 for _, acts in self.log for a in acts)
