--- a/Makefile
+++ b/Makefile
@@ -16,5 +16,5 @@
 
 test: install
 	$(BIN)/ruff format --check . && $(BIN)/ruff check . && $(BIN)/mypy
-	$(BIN)/pytest -q -n 6 -m "not processes"
-	$(BIN)/pytest -q -m processes
+	$(BIN)/pytest -q -n 8 --dist worksteal -m "not processes"
+	$(BIN)/pytest -q -n 3 --dist loadgroup -m processes
--- a/puffintide/scenarios/place.py
+++ b/puffintide/scenarios/place.py
@@ -11,7 +11,9 @@
 from puffintide.config.loader import Config
 from puffintide.scenarios.tap import Link
 
-FIRST_PORT, LAST_PORT = 20000, 32000  # below the ports that the system deals to those who dial
+FIRST_PORT = 20000
+LAST_PORT = 32000  # exclusive; ephemeral ports begin above
+FIRST_SCENARIO_PORT = 26000  # the range below is for tests that run beside a scenario
 
 
 class PortError(Exception):
@@ -19,27 +21,37 @@
 
 
 class Ports:
-    """Deals ports that nobody listens on, from a start that differs between runs."""
+    """Allocates free ports of a range, each once.
 
-    def __init__(self, start: int) -> None:
-        self.next = FIRST_PORT + start % (LAST_PORT - FIRST_PORT)
-        self.dealt: set[int] = set()
+    Args:
+        start: offset in the range at which the search begins; one that differs between runs avoids collisions.
+        first: lowest port of the range.
+        last: end of the range, exclusive.
+    """
+
+    def __init__(self, start: int, first: int = FIRST_PORT, last: int = LAST_PORT) -> None:
+        self.first = first
+        self.last = last
+        self.next = first + start % (last - first)
+        self.allocated: set[int] = set()
 
     def take(self) -> int:
-        for _ in range(LAST_PORT - FIRST_PORT):
-            port, self.next = self.next, self.next + 1
-            if self.next >= LAST_PORT:
-                self.next = FIRST_PORT
-            if port in self.dealt:
+        """A port that nobody listens on. Raises PortError when none is left."""
+        for _ in range(self.last - self.first):
+            port = self.next
+            self.next += 1
+            if self.next >= self.last:
+                self.next = self.first
+            if port in self.allocated:
                 continue
             with socket.socket() as probe:
                 try:
                     probe.bind(("127.0.0.1", port))
                 except OSError:
                     continue
-            self.dealt.add(port)
+            self.allocated.add(port)
             return port
-        raise PortError(f"no free port from {FIRST_PORT} to {LAST_PORT}")
+        raise PortError(f"no free port from {self.first} to {self.last}")
 
 
 def at(port: int) -> str:
@@ -78,7 +90,7 @@
 
 def lay(config: Config, start: int) -> Place:
     """Ports for a day's configuration. start: where to look first. Raises PortError."""
-    ports = Ports(start)
+    ports = Ports(start, FIRST_SCENARIO_PORT)
     d, fleet = config.deployment, config.fleet
     assert fleet is not None
     zones = len(d.zones)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,9 @@
-"""KNOWN-RED.txt at the root names tests that fail for a real fault which waits to be mended: `test id | cause |
-issue`, a line each, three at most. They run; their failures are printed by name and don't fail the run. What does
-is a line that can't be read, one too many, one that names no test, and one whose test passes: that has to go."""
+"""KNOWN-RED.txt at the root names tests that fail for a real fault that waits to be fixed.
+
+One entry a line, at most three: `test id | command and seed | what was seen | issue`. These tests run; their
+failures are printed by name and don't fail the run. What does fail it is an entry that is malformed, one too many,
+one that names no test, and one whose test passes: that has to go.
+"""
 
 from __future__ import annotations
 
@@ -9,47 +12,51 @@
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+KNOWN_RED_FILE = "KNOWN-RED.txt"
+MAX_ENTRIES = 3
+FIELDS = "test id | command and seed | what was seen | issue"
 
 
-def known_red(text: str) -> dict[str, str]:
-    """Reasons by test id. Raises pytest.UsageError, with the line."""
+def parse_known_red(text: str) -> dict[str, str]:
+    """Reasons by test id. Raises pytest.UsageError with the line."""
     known: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split("|")]
-        if len(fields) != 3 or not all(fields) or "::" not in fields[0]:
-            raise pytest.UsageError(f"{FILE}:{number}: not 'test id | cause | issue': {line[:100]!r}")
+        if len(fields) != len(FIELDS.split("|")) or not all(fields) or "::" not in fields[0]:
+            raise pytest.UsageError(f"{KNOWN_RED_FILE}:{number}: not '{FIELDS}': {line[:100]!r}")
         if fields[0] in known:
-            raise pytest.UsageError(f"{FILE}:{number}: {fields[0]} is named twice")
-        known[fields[0]] = f"{fields[1]} | {fields[2]}"
-    if len(known) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(known)} lines, {MOST} at most")
+            raise pytest.UsageError(f"{KNOWN_RED_FILE}:{number}: {fields[0]} is named twice")
+        known[fields[0]] = " | ".join(fields[1:])
+    if len(known) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{KNOWN_RED_FILE}: {len(known)} lines, {MAX_ENTRIES} at most")
     return known
 
 
-def listed(config: pytest.Config) -> dict[str, str]:
-    path = config.rootpath / FILE
-    return known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
+def read_known_red(config: pytest.Config) -> dict[str, str]:
+    path = config.rootpath / KNOWN_RED_FILE
+    return parse_known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    listed(config)  # a run that is handed out to others ends here as well
+    read_known_red(config)  # a run that is distributed over workers ends here as well
 
 
 @pytest.hookimpl(tryfirst=True)  # before any is deselected
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    by_id = {item.nodeid: item for item in items}
-    files = {nodeid.split("::")[0] for nodeid in by_id}
-    chosen = any("::" in arg for arg in config.args)  # single tests: the others of a file are not collected
-    for test, reason in listed(config).items():
-        place = test.split("::")[0]
-        item = by_id.get(test)
+    item_by_id = {item.nodeid: item for item in items}
+    files = {nodeid.split("::")[0] for nodeid in item_by_id}
+    single_tests_chosen = any(
+        "::" in argument for argument in config.args
+    )  # a file's others are not collected
+    for test_id, reason in read_known_red(config).items():
+        file = test_id.split("::")[0]
+        item = item_by_id.get(test_id)
         if item is not None:
-            item.add_marker(pytest.mark.xfail(strict=True, reason=f"in {FILE}: {reason}"))
-        elif not Path(config.rootpath / place).is_file() or (place in files and not chosen):
-            raise pytest.UsageError(f"{FILE}: {test} names no test")
+            item.add_marker(pytest.mark.xfail(strict=True, reason=f"in {KNOWN_RED_FILE}: {reason}"))
+        elif not Path(config.rootpath / file).is_file() or (file in files and not single_tests_chosen):
+            raise pytest.UsageError(f"{KNOWN_RED_FILE}: {test_id} names no test")
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -20,9 +20,12 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
-from puffintide.scenarios.place import Ports
+from puffintide.scenarios.place import FIRST_PORT, Ports
 
-PORTS = Ports(os.getpid() * 53)
+WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
+PORTS_PER_WORKER = 1000  # test processes that run side by side have disjoint ranges
+FIRST_WORKER_PORT = FIRST_PORT + WORKER * PORTS_PER_WORKER
+PORTS = Ports(os.getpid() * 53, FIRST_WORKER_PORT, FIRST_WORKER_PORT + PORTS_PER_WORKER)
 LIMIT_S = 15.0  # no wait is longer
 SECTIONS = {
     "deployment": {"name": "t", "zones": "a, b", "assigners": "2", "proxies": "3", "slices": "8"},
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -23,7 +23,7 @@
 from puffintide.scenarios.kinds import KINDS, script
 from puffintide.store.book import Book
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("scenario")]  # one run serves many tests
 
 ROOT = Path(__file__).parent.parent
 BAD_DAY = ROOT / "days" / "bad-day.ini"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -15,9 +15,12 @@
 @pytest.mark.parametrize("k", [1, 2])
 def test_some(k): assert k == 1
 """
-MORE = "".join(f"test_it.py::t{k} | one too many | #1\n" for k in (1, 2))
-RED = "test_it.py::test_red | the cause | #1\n"
-SOME = "test_it.py::test_some[2] | another | #2\n"
+MORE = "".join(f"test_it.py::t{k} | pytest | one too many | #1\n" for k in (1, 2))
+RED = "test_it.py::test_red | pytest, seed 7 | the cause | #1\n"
+SOME = "test_it.py::test_some[2] | pytest | another | #2\n"
+PASSES = "test_it.py::test_green | pytest | it passes | #3\n"
+NO_TEST = "test_it.py::test_gone | pytest | no such test | #3\n"
+NO_FILE = "test_gone.py::test_red | pytest | no such file | #3\n"
 
 
 @pytest.mark.parametrize(
@@ -25,20 +28,20 @@
     [
         ("", 1, "*FAILED test_it.py::test_red*"),
         (RED, 1, "*FAILED test_it.py::test_some[[]2]*"),  # the others count as ever
-        (RED + "\n" + SOME, 0, "*KNOWN RED: test_it.py::test_red | in KNOWN-RED.txt: the cause | #1*"),
-        (RED + SOME + "test_it.py::test_green | it passes | #3\n", 1, "*FAILED test_it.py::test_green*"),
         (
-            RED + SOME + "test_it.py::test_gone | no such test | #3\n",
-            4,
-            "*test_it.py::test_gone names no test*",
+            RED + "\n" + SOME,
+            0,
+            "*KNOWN RED: test_it.py::test_red | in KNOWN-RED.txt: pytest, seed 7 | the cause | #1*",
         ),
+        (RED + SOME + PASSES, 1, "*FAILED test_it.py::test_green*"),
+        (RED + SOME + NO_TEST, 4, "*test_it.py::test_gone names no test*"),
+        (RED + SOME + NO_FILE, 4, "*test_gone.py::test_red names no test*"),
         (
-            RED + SOME + "test_gone.py::test_red | no such file | #3\n",
+            "test_it.py::test_red | pytest | no issue\n" + SOME,
             4,
-            "*test_gone.py::test_red names no test*",
+            "*KNOWN-RED.txt:1: not 'test id | command and seed | what was seen | issue'*",
         ),
-        ("test_it.py::test_red | no issue\n" + SOME, 4, "*KNOWN-RED.txt:1: not 'test id | cause | issue'*"),
-        ("test_it.py | a whole file | #1\n" + SOME, 4, "*KNOWN-RED.txt:1: not*"),
+        ("test_it.py | pytest | a complete file | #1\n" + SOME, 4, "*KNOWN-RED.txt:1: not*"),
         (RED + RED + SOME, 4, "*KNOWN-RED.txt:2: test_it.py::test_red is named twice*"),
         (RED + SOME + MORE, 4, "*4 lines, 3 at most*"),
     ],
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -503,7 +503,7 @@
     p.node.signal(signal.SIGHUP)
     p.node.until("reloaded")
     told = {r["key"] for r in p.node.logged("reload_ignored")}
-    assert told == {"settings.slices", "settings.drain_grace_s", "names.zones"}
+    assert told == {"settings.slice_count", "settings.drain_grace_s", "names.zones"}
     p.news = p.opened(NEWS, to)
     p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)  # of zone a, as the settings in force have it
     p.drain(1)
