--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -81,7 +81,7 @@
                         self.later(self.now + 0.001, f"full{e.server}", e.key)
                     self.arm(e.server)
                 case Finish(_, status):
-                    self.good += status == m.OK
+                    self.good += status == m.AttemptStatus.OK
                 case Cancel() | Close():
                     pass  # it stops no work
 
@@ -113,7 +113,7 @@
                 if self.armed.get(which) == self.now:
                     del self.armed[which]
                 for key in self.servers[which].due(self.now):
-                    self.do(self.engine.answered(self.now, which, key, m.OK, []))
+                    self.do(self.engine.answered(self.now, which, key, m.AttemptStatus.OK, []))
                 self.arm(which)
             elif what == "slow":
                 for k, server in enumerate(self.servers):
@@ -121,7 +121,7 @@
                     server.slow = float(which)
                     self.arm(k)
             else:
-                self.do(self.engine.answered(self.now, int(what[4:]), which, m.FULL, []))
+                self.do(self.engine.answered(self.now, int(what[4:]), which, m.AttemptStatus.SATURATED, []))
 
 
 def rows(seed: int) -> list[tuple[float, int, float, float, int]]:
--- a/puffintide/assigner/prober.py
+++ b/puffintide/assigner/prober.py
@@ -51,7 +51,7 @@
             return
         self.id += 1
         self.out = (self.id, now)
-        self.timer = self.reactor.callLater(self.timeout_s, self._end, m.TIMEOUT, ())
+        self.timer = self.reactor.callLater(self.timeout_s, self._end, m.AttemptStatus.TIMEOUT, ())
         if self.stream is not None:
             self.stream.send(m.HealthCheckRequest(self.id))
         elif self.id > 1:
@@ -71,7 +71,7 @@
     def _lost(self, why: str) -> None:
         had, self.stream = self.stream is not None, None
         if self.out is not None:
-            self._end(m.RESET if had else m.UNREACHABLE, ())
+            self._end(m.AttemptStatus.RESET if had else m.AttemptStatus.UNREACHABLE, ())
 
     def _end(self, status: int, values: tuple[float, ...]) -> None:
         if self.out is None:
@@ -80,8 +80,8 @@
         self.out = None
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        if status == m.TIMEOUT and self.stream is None:
-            status = m.UNREACHABLE
+        if status == m.AttemptStatus.TIMEOUT and self.stream is None:
+            status = m.AttemptStatus.UNREACHABLE
         self.done(status, took, values)
 
     def stop(self) -> None:
--- a/puffintide/audit/rules.py
+++ b/puffintide/audit/rules.py
@@ -444,7 +444,7 @@
                     if made.group == "zone" and self.zones.get(server) != self.zones.get(first_server):
                         self.result.broken("no effect twice", r.came, who, first.number, r.number)
             answer = answered.get((r.conn, t.attempt_id))
-            if first is None and not (answer is not None and answer[1] == m.FULL):
+            if first is None and not (answer is not None and answer[1] == m.AttemptStatus.SATURATED):
                 first, first_server = r, server
 
     def _cold(self, life: Life, tries: list[tuple[Record, m.AttemptRequest, bool]]) -> None:
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -151,10 +151,14 @@
             return
         arrival, born, number, timer = found
         timer.cancel()
-        if reply.status == m.OK:
+        if reply.status == m.AttemptStatus.OK:
             self._end(arrival, born, number, True, "")
         else:
-            why = {m.FULL: "refused", m.TIMEOUT: "timeout"}.get(reply.status, f"status {reply.status}")
+            reasons: dict[int, str] = {
+                m.AttemptStatus.SATURATED: "refused",
+                m.AttemptStatus.TIMEOUT: "timeout",
+            }
+            why = reasons.get(reply.status, f"status {reply.status}")
             self._again(arrival, born, number, reply.retry_after_s, why, safe=not reply.may_have_executed)
 
     def _again(
--- a/puffintide/emulators/fleet.py
+++ b/puffintide/emulators/fleet.py
@@ -170,7 +170,7 @@
             case m.AttemptRequest():
                 server.next_job += 1
                 if not model.offer(now, server.next_job, message.work_s, message.key):
-                    stream.send(m.AttemptResponse(message.attempt_id, m.FULL, server.told))
+                    stream.send(m.AttemptResponse(message.attempt_id, m.AttemptStatus.SATURATED, server.told))
                 else:
                     server.jobs[server.next_job] = (stream, message.attempt_id, False)
                 if model.fallen:
@@ -183,7 +183,7 @@
                     server.jobs[server.next_job] = (stream, message.check_id, True)
                     self._work(server)
                 else:
-                    stream.send(m.HealthCheckResponse(message.check_id, m.FULL))
+                    stream.send(m.HealthCheckResponse(message.check_id, m.AttemptStatus.SATURATED))
             case m.CancelAttempt():
                 pass  # it stops nothing
             case _:
@@ -203,9 +203,9 @@
             if server.hang or stream.ended:
                 continue
             if probe:
-                stream.send(m.HealthCheckResponse(message_id, m.OK, server.told))
+                stream.send(m.HealthCheckResponse(message_id, m.AttemptStatus.OK, server.told))
             else:
-                stream.send(m.AttemptResponse(message_id, m.OK, server.told))
+                stream.send(m.AttemptResponse(message_id, m.AttemptStatus.OK, server.told))
         due = model.next_due()
         if server.timer is not None and server.timer.active():
             server.timer.cancel()
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -12,12 +12,7 @@
 from dataclasses import dataclass, field
 
 from puffintide.protocol.messages import (
-    ERROR,
-    FULL,
-    OK,
-    RESET,
-    TIMEOUT,
-    UNREACHABLE,
+    AttemptStatus,
     ProxyUpdate,
     SliceOwnership,
     UsageReport,
@@ -113,7 +108,7 @@
     sent_at: float | None = None
     ran_at: float | None = None
     ran_zone: int = -1
-    ran_status: int = TIMEOUT  # what the client is told of it, where no later try is answered
+    ran_status: int = AttemptStatus.TIMEOUT  # what the client is told of it, where no later try is answered
     only_zone: int = -1
     tried: frozenset[int] = frozenset()
     held: bool = False
@@ -184,7 +179,7 @@
         for key in list(self.held):
             request = self.requests[key]
             if levels and not self._let_in(request.slice, request.request_class, zero_only=True):
-                effects += self._finish(now, key, FULL)
+                effects += self._finish(now, key, AttemptStatus.SATURATED)
             else:
                 del self.held[key]
                 request.held = False
@@ -208,7 +203,7 @@
         self.counter.request(now, assigner, number, request_class)
         deadline = now + left_s - min(self.limits.reserve_s, left_s / 4)
         if len(self.requests) >= self.limits.open_most or not self._let_in(number, request_class):
-            return [Finish(ref, FULL, self.limits.again_s, False)]
+            return [Finish(ref, AttemptStatus.SATURATED, self.limits.again_s, False)]
         self._next += 1
         self._by_ref[ref] = self._next
         self.requests[self._next] = _Request(ref, request, number, request_class, deadline, assigner)
@@ -258,7 +253,7 @@
     def _hold(self, now: float, key: int) -> list[Effect]:
         request = self.requests[key]
         if request.tried or len(self.held) >= self.limits.held_most:
-            return self._finish(now, key, FULL)
+            return self._finish(now, key, AttemptStatus.SATURATED)
         request.held = True
         self.held[key] = None
         request.timer = self._set_timer(min(now + self.limits.hold_s, request.deadline), "hold", key)
@@ -303,7 +298,9 @@
         for key in [*found.out, *found.waiting]:
             if key in self.requests:
                 sent = key in found.out
-                effects += self._failed_try(now, key, RESET if sent else UNREACHABLE, proved=not sent)
+                effects += self._failed_try(
+                    now, key, AttemptStatus.RESET if sent else AttemptStatus.UNREACHABLE, proved=not sent
+                )
         return effects
 
     def answered(self, now: float, server: int, key: int, status: int, values: list[float]) -> list[Effect]:
@@ -312,26 +309,32 @@
             self.late_answers += 1
             return []
         request = self.requests[key]
-        if status == OK:
+        if status == AttemptStatus.OK:
             self._failed.pop(server, None)
             took = now - (request.sent_at if request.sent_at is not None else now)
             self.counter.tried(now, request.assigner, server, took, values)
-            return self._finish(now, key, OK)
-        return self._failed_try(now, key, status if status else ERROR, proved=status == FULL, values=values)
+            return self._finish(now, key, AttemptStatus.OK)
+        return self._failed_try(
+            now,
+            key,
+            status if status else AttemptStatus.ERROR,
+            proved=status == AttemptStatus.SATURATED,
+            values=values,
+        )
 
     def never_sent(self, now: float, server: int, key: int) -> list[Effect]:
         """A try could not be written: its own connection was refused, or did not stand in time."""
         found = self.servers.get(server)
         if found is None or found.out.pop(key, 0) is not None or key not in self.requests:
             return []
-        return self._failed_try(now, key, UNREACHABLE, proved=True)
+        return self._failed_try(now, key, AttemptStatus.UNREACHABLE, proved=True)
 
     def broke(self, now: float, server: int, key: int) -> list[Effect]:
         """A try's own connection ended after something of it was written."""
         found = self.servers.get(server)
         if found is None or found.out.pop(key, 0) is not None or key not in self.requests:
             return []
-        return self._failed_try(now, key, RESET, proved=False)
+        return self._failed_try(now, key, AttemptStatus.RESET, proved=False)
 
     def pin(self, ref: Ref) -> None:
         """No further try: its body can't be sent again, or its answer has begun to go out."""
@@ -371,7 +374,7 @@
 
     def _finish(self, now: float, key: int, status: int) -> list[Effect]:
         request = self.requests.pop(key)
-        if request.ran_at is not None and status in (FULL, UNREACHABLE):
+        if request.ran_at is not None and status in (AttemptStatus.SATURATED, AttemptStatus.UNREACHABLE):
             status = request.ran_status  # a refusal says that nothing ran, whatever a later try met
         self._by_ref.pop(request.ref, None)
         self.held.pop(key, None)
@@ -379,10 +382,10 @@
         if found is not None:
             found.waiting.pop(key, None)
             found.out.pop(key, None)
-        if status != OK:
+        if status != AttemptStatus.OK:
             self.counter.unanswered(now, request.assigner, request.slice, request.request_class)
-        refused = status in (FULL, UNREACHABLE)
-        ran = status == OK or request.ran_at is not None
+        refused = status in (AttemptStatus.SATURATED, AttemptStatus.UNREACHABLE)
+        ran = status == AttemptStatus.OK or request.ran_at is not None
         return [Finish(request.ref, status, self.limits.again_s if refused else 0.0, ran)]
 
     def gave_up(self, now: float, ref: Ref) -> list[Effect]:
@@ -395,7 +398,7 @@
         if request.sent_at is not None:
             effects.append(Cancel(request.server, key))
             self.counter.tried(now, request.assigner, request.server, None, [])
-        self._finish(now, key, TIMEOUT)
+        self._finish(now, key, AttemptStatus.TIMEOUT)
         return effects
 
     # Time -----------------------------------------------------------------------------------------
@@ -424,7 +427,7 @@
                 effects.append(Close(which))
                 effects += self.server_lost(now, which)
             elif what == "hold":
-                effects += self._finish(now, which, FULL)
+                effects += self._finish(now, which, AttemptStatus.SATURATED)
             else:
                 effects += self._late(now, which)
         return effects
@@ -439,7 +442,9 @@
             found.waiting.pop(key, None)
             if found.out.pop(key, 0) is None:
                 effects.append(Cancel(request.server, key))
-        return effects + self._failed_try(now, key, TIMEOUT if sent else UNREACHABLE, proved=not sent)
+        return effects + self._failed_try(
+            now, key, AttemptStatus.TIMEOUT if sent else AttemptStatus.UNREACHABLE, proved=not sent
+        )
 
     def take_sums(self, now: float, assigner: int, least_s: float) -> UsageReport | None:
         return self.counter.take(now, assigner, least_s)
--- a/puffintide/proxy/http.py
+++ b/puffintide/proxy/http.py
@@ -39,7 +39,11 @@
     b"content-length",
     b"expect",
 }
-STATUS = {m.FULL: 503, m.UNREACHABLE: 503, m.TIMEOUT: 504}
+STATUS: dict[int, int] = {
+    m.AttemptStatus.SATURATED: 503,
+    m.AttemptStatus.UNREACHABLE: 503,
+    m.AttemptStatus.TIMEOUT: 504,
+}
 READ_MOST = 1 << 16  # bytes of a body that wait on one side before the other is paused
 Headers = list[tuple[bytes, bytes]]
 
@@ -406,7 +410,7 @@
             if event.status_code == 503 and headers.get(b"x-puffintide-ran") == b"no":
                 self.exchange, exchange.back = None, None
                 hang_up(self.transport)
-                self.owner.answered(self.server, self.key, m.FULL)
+                self.owner.answered(self.server, self.key, m.AttemptStatus.SATURATED)
                 return
             exchange.committed = True
             self.owner.engine.pin(exchange.ref)
@@ -649,7 +653,7 @@
         if not exchange.ended:
             exchange.ended = True
             exchange.front.answer_end()
-        self.answered(server, key, m.OK)
+        self.answered(server, key, m.AttemptStatus.OK)
 
     def _cancel(self, key: int) -> None:
         if key in self.waits:
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -312,7 +312,7 @@
 
     def ask(self, stream: Stream, ask: m.ClientRequest) -> None:
         if self._end is not None:  # nothing of it has run: another proxy can take it
-            stream.send(m.ClientResponse(ask.request_id, m.FULL, 0.0, False))
+            stream.send(m.ClientResponse(ask.request_id, m.AttemptStatus.SATURATED, 0.0, False))
             return
         self.next_ref += 1
         ref = self.next_ref
--- a/tests/records.py
+++ b/tests/records.py
@@ -118,7 +118,7 @@
         kind: int = READ,
         request: int | None = None,
         attempt: int = 0,
-        status: int | None = m.OK,
+        status: int | None = m.AttemptStatus.OK,
         answered: float = 0.1,
         work: float = 0.05,
         went: float | None = -1.0,
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -131,9 +131,9 @@
     engine.due(1.6)
     second = engine.server_up(1.6, other)
     assert isinstance(second[0], Send)
-    (end,) = engine.answered(1.7, other, second[0].key, m.FULL, [])
+    (end,) = engine.answered(1.7, other, second[0].key, m.AttemptStatus.SATURATED, [])
     assert isinstance(end, Finish) and end.ran
-    assert end.status == m.TIMEOUT and end.again_s == 0
+    assert end.status == m.AttemptStatus.TIMEOUT and end.again_s == 0
 
 
 def test_what_is_gone_is_forgotten() -> None:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -28,9 +28,9 @@
     t = Tape()
     for k in range(40):
         t.request(101 + k * 0.1, k % 4, k % 3, k % 4, kind=READ)
-    t.request(102, 0, kind=ONCE, status=m.FULL)
+    t.request(102, 0, kind=ONCE, status=m.AttemptStatus.SATURATED)
     t.request(102.2, 1, kind=ONCE, request=t.requests, attempt=1)  # proved never to have run
-    t.request(103, 0, kind=KEYED, status=m.ERROR)
+    t.request(103, 0, kind=KEYED, status=m.AttemptStatus.ERROR)
     t.request(104.9, 2, kind=KEYED, request=t.requests, attempt=1)  # within window and zone
     t.news(110, 0, t.entry(0, state=2))
     t.request(111.9, 0, number=0)  # within the grace
@@ -109,7 +109,7 @@
 
 def twice(kind: int, first: int, second: int, gap: float, **how: object) -> Tape:
     t = eventful()
-    status = how.pop("status", m.ERROR)
+    status = how.pop("status", m.AttemptStatus.ERROR)
     number = t.request(140, first, kind=kind, status=status, **how)  # type: ignore[arg-type]
     t.request(140 + gap, second, kind=kind, request=number, attempt=1)
     return t
@@ -118,8 +118,8 @@
 def thrice() -> Tape:
     """The first was full, the second may have run, the third is one too many."""
     t = eventful()
-    number = t.request(140, 0, kind=ONCE, status=m.FULL)
-    t.request(140.3, 1, kind=ONCE, request=number, attempt=1, status=m.ERROR)
+    number = t.request(140, 0, kind=ONCE, status=m.AttemptStatus.SATURATED)
+    t.request(140.3, 1, kind=ONCE, request=number, attempt=1, status=m.AttemptStatus.ERROR)
     t.request(140.6, 2, kind=ONCE, request=number, attempt=2)
     return t
 
@@ -127,15 +127,15 @@
 TWICE_FORMS: list[Bend] = [
     lambda: twice(ONCE, 0, 1, 0.2),
     lambda: twice(ONCE, 0, 0, 0.2),
-    lambda: twice(ONCE, 0, 1, 0.2, status=m.RESET),
-    lambda: twice(ONCE, 0, 1, 1.0, status=m.TIMEOUT),
+    lambda: twice(ONCE, 0, 1, 0.2, status=m.AttemptStatus.RESET),
+    lambda: twice(ONCE, 0, 1, 1.0, status=m.AttemptStatus.TIMEOUT),
     lambda: twice(ONCE, 0, 1, 0.2, status=None),
-    lambda: twice(ONCE, 0, 1, 0.2, status=m.OK),
+    lambda: twice(ONCE, 0, 1, 0.2, status=m.AttemptStatus.OK),
     lambda: twice(ONCE, 0, 1, 0.2, went=None, status=None),
     lambda: twice(KEYED, 0, 2, 2.5),
     lambda: twice(KEYED, 0, 1, 0.5),
     lambda: twice(KEYED, 1, 0, 0.5, status=None),
-    lambda: twice(KEYED, 0, 3, 0.5, status=m.TIMEOUT),
+    lambda: twice(KEYED, 0, 3, 0.5, status=m.AttemptStatus.TIMEOUT),
     thrice,
 ]
 
@@ -305,7 +305,7 @@
 ALMOST: list[Bend] = [
     lambda: bare(until=142.9),
     lambda: bare((0, 1), "out", until=142.8),
-    lambda: twice(ONCE, 0, 1, 0.2, status=m.FULL),
+    lambda: twice(ONCE, 0, 1, 0.2, status=m.AttemptStatus.SATURATED),
     lambda: twice(KEYED, 0, 2, 1.9),
     lambda: twice(READ, 0, 1, 9.0),
     lambda: late(after=1.9),
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -149,7 +149,7 @@
     ran: dict[tuple[int, int], int] = defaultdict(int)
     for who, made, status in sends(tmp_path):
         tries[who] += 1
-        ran[who] += made.class_index == 2 and status != m.FULL  # once: it may have run
+        ran[who] += made.class_index == 2 and status != m.AttemptStatus.SATURATED  # once: it may have run
     assert tries and max(tries.values()) <= 1 + FURTHER[mode]
     assert max(ran.values()) <= 1
     asked = verdict.service.asked
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -185,8 +185,12 @@
     assert isinstance(connect, Connect)
     (send,) = e.server_up(1.1, connect.server)
     assert isinstance(send, Send) and send.left_s < 1.9 and send.ref == "a"
-    assert e.answered(1.3, send.server, send.key, m.OK, [3.0]) == [Finish("a", m.OK, 0.0, True)]
-    assert e.answered(1.4, send.server, send.key, m.OK, []) == [] and e.late_answers == 1  # a second answer
+    assert e.answered(1.3, send.server, send.key, m.AttemptStatus.OK, [3.0]) == [
+        Finish("a", m.AttemptStatus.OK, 0.0, True)
+    ]
+    assert (
+        e.answered(1.4, send.server, send.key, m.AttemptStatus.OK, []) == [] and e.late_answers == 1
+    )  # a second answer
     sums = e.take_sums(2.0, 0, 0.5)
     assert sums is not None and sums.servers == [m.ServerUsage(send.server, 1, 0, 0.2, [3.0])]
     assert sums.slices == [m.SliceUsage(0, READ, 1, 0)] and e.take_sums(2.5, 0, 0.5) is None
@@ -195,13 +199,15 @@
 def test_without_an_order_no_further_try_is_made_whatever_happens() -> None:
     e = engine()
     send = start(e, 1.0)
-    assert e.server_lost(1.1, send.server) == [Finish(1, m.RESET, 0.0, True)]
+    assert e.server_lost(1.1, send.server) == [Finish(1, m.AttemptStatus.RESET, 0.0, True)]
     e = engine()
     send = start(e, 1.0)
-    assert e.answered(1.1, send.server, send.key, m.FULL, []) == [Finish(1, m.FULL, 0.5, False)]
+    assert e.answered(1.1, send.server, send.key, m.AttemptStatus.SATURATED, []) == [
+        Finish(1, m.AttemptStatus.SATURATED, 0.5, False)
+    ]
     e = engine()
     (connect,) = e.asked(1.0, 1, 1, 0, READ, 4.0)
-    assert e.due(1.3) == [Close(connect.server), Finish(1, m.UNREACHABLE, 0.5, False)]  # type: ignore[union-attr]
+    assert e.due(1.3) == [Close(connect.server), Finish(1, m.AttemptStatus.UNREACHABLE, 0.5, False)]  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("kind", [READ, KEYED, ONCE])
@@ -213,7 +219,7 @@
         (connect,) = only(effects, Connect)
         if how == "full":
             (send,) = e.server_up(1.0, connect.server)
-            effects = e.answered(1.1, send.server, send.key, m.FULL, [])  # type: ignore[union-attr]
+            effects = e.answered(1.1, send.server, send.key, m.AttemptStatus.SATURATED, [])  # type: ignore[union-attr]
         elif how == "refused":
             effects = e.server_lost(1.1, connect.server)
         else:
@@ -222,7 +228,9 @@
         assert again.server != connect.server
         (second,) = only(e.server_up(1.3, again.server), Send)
         assert second.number == 1
-        assert e.answered(1.4, second.server, second.key, m.FULL, []) == [Finish(1, m.FULL, 0.5, False)]
+        assert e.answered(1.4, second.server, second.key, m.AttemptStatus.SATURATED, []) == [
+            Finish(1, m.AttemptStatus.SATURATED, 0.5, False)
+        ]
 
 
 def test_a_once_request_that_may_have_run_is_never_sent_again() -> None:
@@ -235,7 +243,9 @@
         e = engine()
         e.order(0.5, 0, mode(way))
         send = start(e, 1.0, kind=ONCE)
-        assert e.answered(1.2, send.server, send.key, m.ERROR, []) == [Finish(1, m.ERROR, 0.0, True)]
+        assert e.answered(1.2, send.server, send.key, m.AttemptStatus.ERROR, []) == [
+            Finish(1, m.AttemptStatus.ERROR, 0.0, True)
+        ]
 
 
 def test_a_keyed_repeat_stays_in_its_zone_and_window() -> None:
@@ -256,8 +266,10 @@
     late.order(0.5, 0, mode(2))
     send = start(late, 1.0, kind=KEYED, left_s=9.0)
     late.limits = replace(late.limits, retry_wait_aims=3.0)
-    (finish,) = late.answered(3.1, send.server, send.key, m.ERROR, [])  # the window of two seconds is over
-    assert finish == Finish(1, m.ERROR, 0.0, True)
+    (finish,) = late.answered(
+        3.1, send.server, send.key, m.AttemptStatus.ERROR, []
+    )  # the window of two seconds is over
+    assert finish == Finish(1, m.AttemptStatus.ERROR, 0.0, True)
 
 
 def test_a_request_without_a_server_waits_and_is_refused_or_served() -> None:
@@ -265,14 +277,14 @@
     e.order(0.5, 0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[0, 1, 2]))
     assert e.asked(1.0, 1, 1, 0, READ, 4.0) == []
     assert e.asked(1.1, 2, 2, 0, READ, 4.0) == []
-    assert e.due(1.21) == [Finish(1, m.FULL, 0.5, False)]
+    assert e.due(1.21) == [Finish(1, m.AttemptStatus.SATURATED, 0.5, False)]
     effects = e.order(1.25, 0, m.ProxyUpdate(2, 0.0, 1.0, readmitted_servers=[1]))
     assert [c.server for c in only(effects, Connect)] == [1]
     e.asked(1.3, 3, 3, 1, READ, 4.0)
     few = engine(held_most=1)
     few.order(0.5, 0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[0, 1, 2]))
     few.asked(1.0, 1, 1, 0, READ, 4.0)
-    assert few.asked(1.0, 2, 2, 0, READ, 4.0) == [Finish(2, m.FULL, 0.5, False)]
+    assert few.asked(1.0, 2, 2, 0, READ, 4.0) == [Finish(2, m.AttemptStatus.SATURATED, 0.5, False)]
 
 
 def test_a_level_of_0_stops_what_is_held_and_refuses_at_once() -> None:
@@ -280,8 +292,8 @@
     e.order(0.5, 0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[0, 1, 2]))
     e.asked(1.0, 1, 1, 0, READ, 4.0)
     e.asked(1.0, 2, 2, 0, ONCE, 4.0)
-    assert e.order(1.1, 0, mode(0, 0.0, classes=1)) == [Finish(1, m.FULL, 0.5, False)]
-    assert e.asked(1.1, 3, 3, 0, READ, 4.0) == [Finish(3, m.FULL, 0.5, False)]
+    assert e.order(1.1, 0, mode(0, 0.0, classes=1)) == [Finish(1, m.AttemptStatus.SATURATED, 0.5, False)]
+    assert e.asked(1.1, 3, 3, 0, READ, 4.0) == [Finish(3, m.AttemptStatus.SATURATED, 0.5, False)]
     assert len(e.held) == 1
 
 
@@ -297,7 +309,7 @@
     )
     second = start(e, 1.2, ref=2)
     assert (send.server, second.server) == (0, 5)
-    assert e.answered(1.3, 0, send.key, m.OK, []) == [Finish(1, m.OK, 0.0, True)]
+    assert e.answered(1.3, 0, send.key, m.AttemptStatus.OK, []) == [Finish(1, m.AttemptStatus.OK, 0.0, True)]
 
 
 def test_writes_stop_a_lease_after_the_assigner_is_lost_until_it_orders_again() -> None:
@@ -308,7 +320,7 @@
     assert only(e.asked(10.9, 1, 1, 0, KEYED, 4.0), Connect)
     assert e.asked(11.1, 2, 2, 0, KEYED, 4.0) == []  # held, then refused
     assert e.asked(11.1, 3, 3, 0, READ, 4.0) != [] or e.requests
-    assert Finish(2, m.FULL, 0.5, False) in e.due(11.3)
+    assert Finish(2, m.AttemptStatus.SATURATED, 0.5, False) in e.due(11.3)
     e.charges(11.4, [m.SliceOwnership(0, 9, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")])])
     assert e.asked(11.4, 5, 5, 0, KEYED, 4.0) == []  # the store knows of no move that is under way
     e.due(11.6)
@@ -321,7 +333,13 @@
     failed = 0
     for ref in range(4):
         send = start(e, 1.0 + ref / 100, ref=ref)
-        e.answered(1.0 + ref / 100, send.server, send.key, m.ERROR if send.server == 0 else m.OK, [])
+        e.answered(
+            1.0 + ref / 100,
+            send.server,
+            send.key,
+            m.AttemptStatus.ERROR if send.server == 0 else m.AttemptStatus.OK,
+            [],
+        )
         failed += send.server == 0
     assert failed == 2
     assert {start(e, 1.5, ref=100 + k).server for k in range(40)} == {1}
@@ -396,11 +414,19 @@
                     take(e.server_lost(now, server))
             case 4 | 5 if out:
                 send = out.pop(rng.randrange(len(out)))
-                status = rng.choice((m.OK, m.OK, m.OK, m.FULL, m.ERROR))
-                proved[send.key] = status == m.FULL
+                status = rng.choice(
+                    (
+                        m.AttemptStatus.OK,
+                        m.AttemptStatus.OK,
+                        m.AttemptStatus.OK,
+                        m.AttemptStatus.SATURATED,
+                        m.AttemptStatus.ERROR,
+                    )
+                )
+                proved[send.key] = status == m.AttemptStatus.SATURATED
                 take(e.answered(now, send.server, send.key, status, []))
                 if rng.random() < 0.1:
-                    take(e.answered(now, send.server, send.key, m.OK, []))
+                    take(e.answered(now, send.server, send.key, m.AttemptStatus.OK, []))
             case 6:
                 server = rng.randrange(4)
                 out = [s for s in out if s.server != server]
@@ -444,7 +470,7 @@
     assert asked_sum == 0 and len(ways) == 3
     sent = sum(len(row) for row in sends.values())
     assert tries_sum >= sent  # tries that never went out count as failed too
-    finished_badly = sum(f.status != m.OK for f in ended.values())
+    finished_badly = sum(f.status != m.AttemptStatus.OK for f in ended.values())
     refused_at_the_door = finished_badly - unanswered_sum
     assert 0 <= refused_at_the_door <= finished_badly
 
--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -81,8 +81,8 @@
         tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
         assert (tried.request_id, tried.slice_id, tried.key, tried.attempt_number) == (1, 0, 77, 0)
         assert tried.remaining_s < 2.0
-        server.send(m.AttemptResponse(tried.attempt_id, m.OK, [4.0]))
-        assert reply(client, 1) == m.ClientResponse(1, m.OK)
+        server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK, [4.0]))
+        assert reply(client, 1) == m.ClientResponse(1, m.AttemptStatus.OK)
         sums = assigner.until(lambda x: isinstance(x, m.UsageReport))
         assert sums.servers[0].attempts == 1 and sums.servers[0].load_values == [4.0]
         assert sums.slices == [m.SliceUsage(0, 0, 1, 0)]
@@ -106,8 +106,10 @@
         server = setting.servers[1].accept("server")  # server 0's kernel accepts, and nobody greets
         for _ in (1, 2):
             tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
-            server.send(m.AttemptResponse(tried.attempt_id, m.OK))
-        assert {client.until(lambda x: isinstance(x, m.ClientResponse)).status for _ in (1, 2)} == {m.OK}
+            server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
+        assert {client.until(lambda x: isinstance(x, m.ClientResponse)).status for _ in (1, 2)} == {
+            m.AttemptStatus.OK
+        }
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "byte by byte", "nothing", "rubbish"])
@@ -155,11 +157,13 @@
             case "rubbish":
                 server.raw(b'{"t":"answer","id":"no"}\n')
         found = reply(client, 1)
-        assert found.status in (m.RESET, m.TIMEOUT) and found.may_have_executed
+        assert found.status in (m.AttemptStatus.RESET, m.AttemptStatus.TIMEOUT) and found.may_have_executed
         assert time.monotonic() - began < 5
         if how in ("byte by byte", "nothing"):
             assert server.until(lambda x: isinstance(x, m.CancelAttempt)) == m.CancelAttempt(tried.attempt_id)
-            server.send(m.AttemptResponse(tried.attempt_id, m.OK))  # too late: it counts for nothing
+            server.send(
+                m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK)
+            )  # too late: it counts for nothing
             with pytest.raises(TimeoutError):
                 client.read(0.2)
 
@@ -179,8 +183,8 @@
         client.send(m.ClientRequest(1, 0, 5, 2.0))
         server = setting.servers[0].accept("server")
         tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
-        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
-        assert reply(client, 1).status == m.OK
+        server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
+        assert reply(client, 1).status == m.AttemptStatus.OK
 
 
 def test_clients_that_break_the_rules_lose_their_own_stream_alone(setting: Setting) -> None:
@@ -203,7 +207,9 @@
         met = [line.read() for line in crowd]
         assert sum(isinstance(x, m.ConnectionRejected) for x in met) >= 10
         good.send(m.ClientRequest(1, 0, 5, 1.0))
-        assert reply(good, 1).status == m.FULL  # no table yet: refused at once after the hold
+        assert (
+            reply(good, 1).status == m.AttemptStatus.SATURATED
+        )  # no table yet: refused at once after the hold
 
 
 def test_out_of_files_it_serves_those_it_has_and_recovers(setting: Setting) -> None:
@@ -224,8 +230,8 @@
         first.send(m.ClientRequest(1, 0, 5, 3.0))
         server = setting.servers[0].accept("server")
         tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
-        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
-        assert reply(first, 1).status == m.OK
+        server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
+        assert reply(first, 1).status == m.AttemptStatus.OK
         assert setting.client()
 
 
@@ -271,8 +277,8 @@
         client.send(m.ClientRequest(1, 0, 5, 3.0))
         server = setting.servers[1].accept("server")
         tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
-        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
-        assert reply(client, 1).status == m.OK
+        server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
+        assert reply(client, 1).status == m.AttemptStatus.OK
         time.sleep(1.1)
         while True:  # readings of the start
             try:
@@ -296,7 +302,9 @@
         time.sleep(0.3)
         client = setting.client()
         client.send(m.ClientRequest(1, 1, 5, 3.0))
-        assert reply(client, 1).status == m.FULL  # no write before the assigner's first order
+        assert (
+            reply(client, 1).status == m.AttemptStatus.SATURATED
+        )  # no write before the assigner's first order
         assigner.send(m.ProxyUpdate(1, 0.0, 1.0))
         time.sleep(0.2)
         client.send(m.ClientRequest(2, 1, 5, 3.0))
@@ -305,8 +313,8 @@
         assigner.send(m.ProxyUpdate(2, 0.0, 1.0, cleared_slices=[0], checkpoint_id=1 << 20))
         with pytest.raises(TimeoutError):
             assigner.until(lambda x: isinstance(x, m.CheckpointReply), 0.5)
-        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
-        assert reply(client, 2).status == m.OK
+        server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
+        assert reply(client, 2).status == m.AttemptStatus.OK
         assert assigner.until(lambda x: isinstance(x, m.CheckpointReply)).checkpoint_id == 1 << 20
 
 
@@ -324,8 +332,8 @@
                 socket.create_connection(("127.0.0.1", setting.port), 5).close()
         client.send(m.ClientRequest(2, 0, 77, 3.0))
         assert reply(client, 2) == m.ClientResponse(
-            2, m.FULL, 0.0, False
+            2, m.AttemptStatus.SATURATED, 0.0, False
         )  # proved: another proxy can take it
-        server.send(m.AttemptResponse(tried.attempt_id, m.OK))
-        assert reply(client, 1) == m.ClientResponse(1, m.OK)
+        server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
+        assert reply(client, 1) == m.ClientResponse(1, m.AttemptStatus.OK)
         assert client.read() is None and running.wait(15) == 0
