--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -594,7 +594,7 @@
     results = [e for e in heard if type(e).__name__ == "HealthCheckResult" and e.server_id == number]
     assert len(results) >= 2 and {e.status for e in results[1:]} == {status}
     if status == 0:
-        assert results[0].values == (2.0,) and results[0].took_s == pytest.approx(0.005, abs=0.002)
+        assert results[0].load_values == (2.0,) and results[0].elapsed_s == pytest.approx(0.005, abs=0.002)
 
 
 def test_a_kept_connection_that_was_closed_is_no_failed_probe(platform: Platform) -> None:
