--- /dev/null
+++ b/tests/platform_peers.py
@@ -0,0 +1,223 @@
+"""The parties of the platform, played by a test: each answer goes out when the test says so."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import os
+import queue
+import socket
+import struct
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from tests.peers import LIMIT_S
+
+
+class Wire:
+    """A connection that the program has dialled: its requests in turn, and back whatever bytes the test sends."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        sock.settimeout(None)
+        self.sock, self.target = sock, ""
+        self.ended = threading.Event()  # by the program, or by close() and reset()
+        self.requests: queue.Queue[tuple[str, bytes]] = queue.Queue()  # method with target, body
+
+    def read(self, came: Callable[[Wire, str, bytes], None]) -> None:
+        buffer = b""
+        with contextlib.suppress(OSError, ValueError):
+            while data := self.sock.recv(1 << 16):
+                buffer += data
+                while b"\r\n\r\n" in buffer:
+                    head, rest = buffer.split(b"\r\n\r\n", 1)
+                    lines = head.decode().split("\r\n")
+                    fields = dict(line.lower().split(": ", 1) for line in lines[1:])
+                    size = int(fields.get("content-length", "0"))
+                    if len(rest) < size:
+                        break
+                    self.target = lines[0].rsplit(" ", 1)[0]
+                    body, buffer = rest[:size], rest[size:]
+                    came(self, self.target, body)
+        self.ended.set()
+
+    def send(self, data: bytes) -> None:
+        self.sock.sendall(data)
+
+    def begin(self) -> None:
+        """The head of an answer without end."""
+        self.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+
+    def lines(self, *rows: Any) -> None:
+        """Lines of such an answer, in one piece; bytes go as they are, without an end of line."""
+        text = b"".join(r if isinstance(r, bytes) else json.dumps(r).encode() + b"\n" for r in rows)
+        self.send(b"%x\r\n%b\r\n" % (len(text), text))
+
+    def answer(self, body: bytes, status: int = 200) -> None:
+        self.send(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
+
+    def close(self) -> None:
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RDWR)
+        self.sock.close()
+
+    def reset(self) -> None:
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        self.close()
+
+
+class Address:
+    """An address of the platform. Requests wait here until the test asks for them."""
+
+    def __init__(self) -> None:
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
+        self.name = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.wires: list[Wire] = []
+        self._came: queue.Queue[tuple[Wire, str, bytes]] = queue.Queue()
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self) -> None:
+        with contextlib.suppress(OSError):
+            while True:
+                wire = Wire(self.listener.accept()[0])
+                self.wires.append(wire)
+                came = lambda *row: self._came.put(row)  # noqa: E731
+                threading.Thread(target=wire.read, args=(came,), daemon=True).start()
+
+    def next(self, target: str, limit_s: float = LIMIT_S) -> tuple[Wire, str, bytes]:
+        """The next request that begins so; others stay for later. Raises TimeoutError."""
+        others, end = [], time.monotonic() + limit_s
+        try:
+            while True:
+                row = self._came.get(timeout=max(0.0, end - time.monotonic()))
+                if row[1].startswith(target):
+                    return row
+                others.append(row)
+        except queue.Empty:
+            raise TimeoutError(f"no {target}; others: {[row[1] for row in others]}") from None
+        finally:
+            for row in others:
+                self._came.put(row)
+
+    def waiting(self, target: str) -> bool:
+        """Whether such a request has come that nobody asked for."""
+        try:
+            self._came.put(self.next(target, 0.0))
+        except TimeoutError:
+            return False
+        return True
+
+    def close(self) -> None:
+        self.listener.close()
+        for wire in self.wires:
+            wire.close()
+
+
+class Store:
+    """What a relay keeps: tables, servers shut out, and each order as it was received."""
+
+    def __init__(self, tables: dict[int, dict[str, float]]) -> None:
+        self.tables = {s: dict(table) for s, table in tables.items()}
+        self.out: set[str] = set()
+        self.received: list[dict[str, Any]] = []
+
+    def take(self, body: bytes, carry_out: bool = True) -> bytes:
+        """A call; gives the answer's body."""
+        rows = json.loads(body)["orders"]
+        self.received += rows
+        for row in rows if carry_out else []:
+            match row:
+                case {"do": "SET", "group": group, "host": host, "share": share}:
+                    self.tables[group][host] = share
+                    if share <= 0:
+                        del self.tables[group][host]
+                case {"do": "OUT", "host": host}:
+                    self.out.add(host)
+                case {"do": "IN", "host": host}:
+                    self.out.discard(host)
+        return b'{"accepted":%d}' % len(rows)
+
+    def named(self) -> set[str]:
+        """Hosts that a proxy may still send to."""
+        return {host for table in self.tables.values() for host in table} - self.out
+
+    def held(self, *slices: int) -> list[dict[str, Any]]:
+        """How the news gives these slices, with their lines; all, if none are named."""
+        rows: list[dict[str, Any]] = []
+        for s in slices or sorted(self.tables):
+            rows.append(given(s))
+            rows += [held(s, host, share) for host, share in self.tables[s].items()]
+        return rows
+
+
+def joined(number: int, fresh: bool = False) -> dict[str, Any]:
+    row = {"sidecar": number, "az": "a", "share": 5.0, "standing": fresh}
+    return {"type": "joined", "object": row}
+
+
+def given(slice_: int, yes: bool = True) -> dict[str, Any]:
+    return {"type": "given", "object": {"partition": slice_, "yes": yes}}
+
+
+def held(slice_: int, host: str, share: float = 1.0) -> dict[str, Any]:
+    return {"type": "held", "object": {"partition": slice_, "host": host, "share": share}}
+
+
+SIGN: dict[str, Any] = {}  # of life
+LOUD = "import puffintide.platform.log as log; log.BURST = log.PER_S = 1e6"  # every row is written
+NODE = "import puffintide.platform.__main__ as main; raise SystemExit(main.main())"
+
+
+class NodeProcess:
+    """One real assigner of the platform; its log row by row. hook: Python that runs in it first."""
+
+    def __init__(self, path: Path, config: dict[str, Any], hook: str = "") -> None:
+        self.path, self.config = path, config
+        self.write()
+        self.rows: list[dict[str, Any]] = []
+        self._more = threading.Condition()
+        words = [sys.executable, "-c", "\n".join((LOUD, hook, NODE))]
+        env = {**os.environ, "GW_CONFIG": str(path)}
+        self.process = subprocess.Popen(words, env=env, text=True, stderr=subprocess.PIPE)
+        threading.Thread(target=self._read, daemon=True).start()
+
+    def write(self, **changes: Any) -> None:
+        self.config |= changes
+        new = self.path.with_suffix(".new")
+        new.write_text(json.dumps(self.config))
+        new.replace(self.path)
+
+    def _read(self) -> None:
+        assert self.process.stderr is not None
+        for line in self.process.stderr:
+            with self._more:
+                self.rows.append(json.loads(line) if line.startswith("{") else {"event": "?", "text": line})
+                self._more.notify_all()
+
+    def logged(self, event: str, **fields: Any) -> list[dict[str, Any]]:
+        return [r for r in list(self.rows) if r["event"] == event and fields.items() <= r.items()]
+
+    def until(self, event: str, count: int = 1, limit_s: float = LIMIT_S, **fields: Any) -> dict[str, Any]:
+        """The count-th such row, once it is there."""
+        with self._more:
+            found = self._more.wait_for(lambda: len(self.logged(event, **fields)) >= count, limit_s)
+        assert found, f"no {event} {fields}; last: {self.rows[-5:]}"
+        return self.logged(event, **fields)[count - 1]
+
+    def dial(self) -> socket.socket:
+        host, port = self.config["listen"].split(":")
+        return socket.create_connection((host, int(port)), LIMIT_S)
+
+    def signal(self, number: int) -> None:
+        self.process.send_signal(number)
+
+    def descriptors(self) -> int:
+        return len(os.listdir(f"/proc/{self.process.pid}/fd"))
+
+    def end(self) -> None:
+        self.process.kill()
+        self.process.wait()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -17,7 +17,8 @@
 
 import pytest
 
-from tests.peers import PORTS, SIGN, Address, NodeProcess, Store, Wire, given, held, joined
+from tests.peers import PORTS
+from tests.platform_peers import SIGN, Address, NodeProcess, Store, Wire, given, held, joined
 from tests.test_node_service import entry, settings
 
 pytestmark = pytest.mark.processes
