--- a/puffintide/platform/config.py
+++ b/puffintide/platform/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from puffintide.decisions.settings import Settings, SettingsError, parse_settings
-from puffintide.platform.names import Names
+from puffintide.platform.identifiers import Names
 
 FILE_MOST = 16 << 20
 
--- a/puffintide/platform/listing.py
+++ b/puffintide/platform/endpoint_list.py
@@ -20,7 +20,8 @@
         """How the module is told a list or changes: "full", "delta" or "cached"; None: not at all. A whole list
         with entries that can't be read is told as changes: such an entry is not one that is missing. One that is
         older than what is held (from an agent that is behind) must not undo it: a server that drains would be sent
-        to again."""
+        to again.
+        """
         if known:
             self.version = told.seq
             return "cached"
--- a/puffintide/platform/probe.py
+++ b/puffintide/platform/health_check_client.py
@@ -9,8 +9,8 @@
 from twisted.python.failure import Failure
 
 from puffintide.platform.config import Address
-from puffintide.platform.http import Exchange, Unreadable
-from puffintide.platform.names import (
+from puffintide.platform.http_exchange import Exchange, Unreadable
+from puffintide.platform.identifiers import (
     ANSWERED,
     BROKEN_OFF,
     ERROR,
@@ -115,7 +115,8 @@
 
     def dial(self) -> None:
         """A kept connection was closed on us before it was used: tells nothing of the task. The same probe, within
-        the same time, goes by a new one."""
+        the same time, goes by a new one.
+        """
         if self.since is not None:
             self.link = _Link(self)
 
--- a/puffintide/platform/request.py
+++ b/puffintide/platform/http_request.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from puffintide.platform.config import Address
-from puffintide.platform.http import Exchange, Unreadable
+from puffintide.platform.http_exchange import Exchange, Unreadable
 
 GRACE_S = (
     0.01  # before a wait ends, what has come in meanwhile is read: this process may have been late itself
--- a/puffintide/platform/names.py
+++ b/puffintide/platform/identifiers.py
@@ -117,7 +117,8 @@
 
 def probe_end(status: int, took_s: float, timeout_s: float) -> int:
     """An answer's meaning. Who is turned away at the door hears so at once; a 503 that took longer than half of the
-    time a probe has is of a task that gave the wait up."""
+    time a probe has is of a task that gave the wait up.
+    """
     if status == 503:
         return TURNED_AWAY if took_s < timeout_s / 2 else TIMED_OUT
     return ANSWERED if status == 200 else ERROR
--- a/puffintide/platform/listener.py
+++ b/puffintide/platform/listener.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from puffintide.platform import messages as m
-from puffintide.platform.lines import Lines, TooLong
+from puffintide.platform.line_buffer import Lines, TooLong
 
 LINE_MOST = 1 << 20
 STRANGER_LINE_MOST = 4096  # nothing that is due before joining is longer
--- a/puffintide/platform/messages.py
+++ b/puffintide/platform/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from puffintide.decisions.events import EndpointStatus, ServerLoadReport, SliceLoadReport
-from puffintide.platform.names import Hosts, Names
+from puffintide.platform.identifiers import Hosts, Names
 from puffintide.protocol.checks import COUNT_MOST, SPAN_MOST
 from puffintide.protocol.messages import EndpointEntry
 
--- a/puffintide/platform/calls.py
+++ b/puffintide/platform/relay_client.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from puffintide.platform.config import Address
-from puffintide.platform.relay import Outbox, Tables, Verdict
-from puffintide.platform.request import Outcome, Request
-from puffintide.platform.snapshot import SnapshotRead
+from puffintide.platform.http_request import Outcome, Request
+from puffintide.platform.relay_outbox import Outbox, Tables, Verdict
+from puffintide.platform.relay_snapshot import SnapshotRead
 
 TARGET = "/api/txn"
 CONNECT_S = 0.5
--- a/puffintide/platform/relay.py
+++ b/puffintide/platform/relay_outbox.py
@@ -21,7 +21,7 @@
     SetWeight,
     SetWithdrawn,
 )
-from puffintide.platform.names import Names
+from puffintide.platform.identifiers import Names
 
 BYTES_MOST = 60_000
 WRAP = len('{"orders":[]}')
@@ -92,7 +92,8 @@
 
     def holds(self, order: Order) -> bool:
         """Whether it may be sent again. A slice that was taken may have been given anew meanwhile, with a table
-        that our former lines must not be laid over."""
+        that our former lines must not be laid over.
+        """
         return order.line is None or order.line[0] not in self.void
 
 
@@ -109,7 +110,8 @@
 @dataclass(slots=True)
 class Outbox:
     """put() orders, next() the call to make now, then answered() with what became of it, and snapshot_read() with
-    what stands where that was asked for."""
+    what stands where that was asked for.
+    """
 
     messages_most: int = 0  # messages that one proxy may be written within span_s; 0: no limit
     span_s: float = 10.0
@@ -205,7 +207,8 @@
 
     def snapshot_read(self, now: float, tables: Tables | None, whole: bool = True) -> Verdict:
         """What stands after a call in doubt; None: it could not be had. whole: all of it was told, by the
-        protocol's own sign; else a pause ended it, and lines may be missing."""
+        protocol's own sign; else a pause ended it, and lines may be missing.
+        """
         if tables is not None:
             self._again_s = AGAIN_S
             return Verdict(event="call_settled", fields={"carried": self.seen(now, tables, whole)})
@@ -232,7 +235,8 @@
     def taken(self, now: float, accepted: int) -> Order | None:
         """The answer. The order after the last accepted is bad: the rest goes on without it. It is sent once more,
         last, as an answer may be wrong in ways that can be read; not accepted again, it is passed over and given
-        back."""
+        back.
+        """
         call = self._end()
         self._invalid = 0
         if accepted > 0:
@@ -265,7 +269,8 @@
     def seen(self, now: float, tables: Tables, whole: bool) -> bool:
         """The tables in charge, seen after the call that is out: it was carried out whole, or not at all. Missing
         tables tell nothing; where all are, it counts as not carried out, as an order must not be lost. Nor does a
-        line that is missing tell that it was taken away, unless all was told."""
+        line that is missing tell that it was taken away, unless all was told.
+        """
         assert self._out is not None
         call = self._out
         lines = [o.line for o in call.orders if o.line is not None and call.holds(o) and o.line[0] in tables]
--- a/puffintide/platform/snapshot.py
+++ b/puffintide/platform/relay_snapshot.py
@@ -10,10 +10,10 @@
 
 from puffintide.platform import messages as m
 from puffintide.platform.config import Address
-from puffintide.platform.http import Exchange, Unreadable
-from puffintide.platform.lines import Lines, TooLong
-from puffintide.platform.standing import Standing, Tables
-from puffintide.platform.watch import LINE_MOST
+from puffintide.platform.http_exchange import Exchange, Unreadable
+from puffintide.platform.line_buffer import Lines, TooLong
+from puffintide.platform.relay_state import Standing, Tables
+from puffintide.platform.watch_stream import LINE_MOST
 
 CONNECT_S = 0.5
 QUIET_S = 0.06  # after so long without a line what stands has most likely been told
--- a/puffintide/platform/standing.py
+++ b/puffintide/platform/relay_state.py
@@ -149,6 +149,7 @@
 def read_anew(stored: Mapping[int, float], believed: Mapping[int, float], ours: Collection[int]) -> bool:
     """Whether the table of a slice that was ours before a watch and is ours still is to be read anew. Lines to the
     servers in `ours` are still on their way or were sent just now, so the store may be behind. Where it differs
-    otherwise, another has had the slice meanwhile, and what it wrote holds."""
+    otherwise, another has had the slice meanwhile, and what it wrote holds.
+    """
     keys = stored.keys() | believed.keys()
     return any(abs(stored.get(s, 0.0) - believed.get(s, 0.0)) > 1e-3 for s in keys - set(ours))
--- a/puffintide/platform/news.py
+++ b/puffintide/platform/relay_watch.py
@@ -7,9 +7,9 @@
 
 from puffintide.platform import messages as m
 from puffintide.platform.config import Address
-from puffintide.platform.http import Unreadable
-from puffintide.platform.standing import Changes, Standing
-from puffintide.platform.watch import Watch
+from puffintide.platform.http_exchange import Unreadable
+from puffintide.platform.relay_state import Changes, Standing
+from puffintide.platform.watch_stream import Watch
 
 SETTLE_S = 0.15  # after so long without a line, what has come of what stands at the relay is passed on
 GIVEN_S = 0.03  # and the lines of a slice just given
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -20,18 +20,18 @@
     StoredWeight,
 )
 from puffintide.platform import messages as m
-from puffintide.platform import relay
-from puffintide.platform.calls import Caller
+from puffintide.platform import relay_outbox as relay
 from puffintide.platform.config import Config, ConfigError, address, load
-from puffintide.platform.http import Unreadable
+from puffintide.platform.endpoint_list import BEHIND_S, Listing
+from puffintide.platform.health_check_client import Prober
+from puffintide.platform.http_exchange import Unreadable
+from puffintide.platform.identifiers import Hosts
 from puffintide.platform.lifecycle import Lifecycle, reloaded
 from puffintide.platform.listener import Listener
-from puffintide.platform.listing import BEHIND_S, Listing
-from puffintide.platform.names import Hosts
-from puffintide.platform.news import NewsFeed
-from puffintide.platform.probe import Prober
-from puffintide.platform.standing import Changes, read_anew, table_anew
-from puffintide.platform.watch import Watch
+from puffintide.platform.relay_client import Caller
+from puffintide.platform.relay_state import Changes, read_anew, table_anew
+from puffintide.platform.relay_watch import NewsFeed
+from puffintide.platform.watch_stream import Watch
 from puffintide.protocol.messages import SliceOwnership, TableEntry
 from puffintide.protocol.messages import WatchEvent as ListNews
 
--- a/puffintide/platform/watch.py
+++ b/puffintide/platform/watch_stream.py
@@ -9,8 +9,8 @@
 from twisted.python.failure import Failure
 
 from puffintide.platform.config import Address
-from puffintide.platform.http import Exchange, Unreadable
-from puffintide.platform.lines import Lines, TooLong
+from puffintide.platform.http_exchange import Exchange, Unreadable
+from puffintide.platform.line_buffer import Lines, TooLong
 
 CONNECT_S = 1.0  # a connection that can be had at all stands well within
 CHECK_S = 0.5
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -23,13 +23,13 @@
 from puffintide.decisions.events import EndpointStatus, ServerLoadReport, SliceLoadReport
 from puffintide.platform import messages as m
 from puffintide.platform.config import ConfigError, parse
-from puffintide.platform.http import Exchange, Unreadable
-from puffintide.platform.lines import Lines, TooLong
-from puffintide.platform.listing import BEHIND_S, Listing
+from puffintide.platform.endpoint_list import BEHIND_S, Listing
+from puffintide.platform.http_exchange import Exchange, Unreadable
+from puffintide.platform.identifiers import Hosts, Names, draw, parse_text_report, probe_end
+from puffintide.platform.line_buffer import Lines, TooLong
 from puffintide.platform.log import Log
-from puffintide.platform.names import Hosts, Names, draw, parse_text_report, probe_end
-from puffintide.platform.relay import BYTES_MOST, Order, Outbox, orders, read_answer
-from puffintide.platform.standing import Changes, Standing, read_anew, table_anew
+from puffintide.platform.relay_outbox import BYTES_MOST, Order, Outbox, orders, read_answer
+from puffintide.platform.relay_state import Changes, Standing, read_anew, table_anew
 from puffintide.protocol.messages import EndpointEntry
 from tests.test_drill import CONF
 
@@ -121,7 +121,7 @@
 def test_two_hosts_on_one_number_are_told_apart(monkeypatch: pytest.MonkeyPatch) -> None:
     real = draw
     monkeypatch.setattr(
-        "puffintide.platform.names.draw", lambda host, salt=0: real(host, salt) if salt else 7
+        "puffintide.platform.identifiers.draw", lambda host, salt=0: real(host, salt) if salt else 7
     )
     hosts = Hosts()
     assert hosts.number("x") == 7 and hosts.number("y") != 7
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -22,9 +22,9 @@
 
 from puffintide.assigner.runtime import Effects
 from puffintide.platform.config import load
+from puffintide.platform.endpoint_list import BEHIND_S
+from puffintide.platform.http_request import Outcome, Request
 from puffintide.platform.listener import ACCEPTS
-from puffintide.platform.listing import BEHIND_S
-from puffintide.platform.request import Outcome, Request
 from puffintide.platform.service import Service
 from tests.deployment import Party, Reactor
 from tests.test_drill import CONF
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -27,11 +27,12 @@
 SERVERS, SLICES = 4, 6
 # Waits are long, so that on a busy machine no time-out gets between what a test puts in order.
 PATIENT = """
-import puffintide.platform.calls as calls, puffintide.platform.snapshot as snapshot
-import puffintide.platform.news as news, puffintide.platform.probe as probe
+import puffintide.platform.relay_client as relay_client, puffintide.platform.relay_snapshot as relay_snapshot
+import puffintide.platform.relay_watch as relay_watch
+import puffintide.platform.health_check_client as health_check_client
 import puffintide.platform.service as service, puffintide.decisions.director as policy
-calls.ANSWER_S = snapshot.MOST_S = probe.TIMEOUT_S = 20
-service.LIST_SILENT_S = news.SILENT_S = 60
+relay_client.ANSWER_S = relay_snapshot.MOST_S = health_check_client.TIMEOUT_S = 20
+service.LIST_SILENT_S = relay_watch.SILENT_S = 60
 """
 
 
@@ -601,7 +602,7 @@
 
 @pytest.mark.parametrize("away", ["relay", "discovery", "both"])
 def test_it_serves_though_others_are_away_at_the_start(make: Callable[..., Platform], away: str) -> None:
-    p = make(hook=PATIENT + "service.READY_S = 0.5; service.LIST_SILENT_S = news.SILENT_S = 1")
+    p = make(hook=PATIENT + "service.READY_S = 0.5; service.LIST_SILENT_S = relay_watch.SILENT_S = 1")
     if away == "discovery":
         p.news = p.opened(NEWS)
         p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
