--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -18,7 +18,7 @@
 import click
 
 from puffintide.assigner.channel import Channel
-from puffintide.assigner.reports import Gatherer
+from puffintide.assigner.load_reports import LoadReportAggregator
 from puffintide.assigner.runtime import Runtime
 from puffintide.decisions.actions import SetWeight, SetWithdrawn
 from puffintide.decisions.events import CheckpointAcknowledged, HealthCheckResult, HealthCheckStatus
@@ -85,16 +85,16 @@
     """Costs a second by part, the longest round, lines waiting at the most, drains that were carried out."""
     servers = max(8, slices // SLICES_A_SERVER)
     runtime = Runtime(settings(slices, proxies, width))
-    channel, gather = Channel(12500.0 * width, 1e12), Gatherer(300.0)
+    channel, gather = Channel(12500.0 * width, 1e12), LoadReportAggregator(300.0)
     cost, carried = Cost(), 0
     now = 1000.0
     rows = [m.EndpointEntry(s, s % 2, 0, 0, 1, 4.0, 1, -1.0, f"127.0.0.1:{9000 + s}") for s in range(servers)]
-    runtime.news(now, m.WatchEvent("full", 1, rows))
+    runtime.on_watch_event(now, m.WatchEvent("full", 1, rows))
     for p in range(proxies):
-        channel.join(p)
-        runtime.joined(now, p, p % 2, 1.0, True)
+        channel.add_proxy(p)
+        runtime.on_proxy_connected(now, p, p % 2, 1.0, True)
     for n in range(slices):
-        runtime.charge(now, m.SliceOwnership(n, n + 1, 0, [m.TableEntry(n % servers, 1.0, "")]))
+        runtime.on_ownership_granted(now, m.SliceOwnership(n, n + 1, 0, [m.TableEntry(n % servers, 1.0, "")]))
     sums = [
         encode(
             m.UsageReport(
@@ -116,37 +116,37 @@
             for p, line in enumerate(sums):
                 message = decode(line)
                 assert isinstance(message, m.UsageReport)
-                gather.add(now, p % 2, message)
-            runtime.hear(now, *gather.take(now))
+                gather.add_usage(now, p % 2, message)
+            runtime.add_events(now, *gather.take_reports(now))
             cost.add("sums", began)
         if tick % 12 == 8:
             lost = tick // 12
-            runtime.news(
+            runtime.on_watch_event(
                 now,
                 m.WatchEvent("delta", tick, [m.EndpointEntry(lost % servers, 0, 0, 0, 2, 4.0, 1, -1.0, "")]),
             )
-        runtime.hear(
+        runtime.add_events(
             now,
             *(HealthCheckResult(s, HealthCheckStatus.OK, 0.004, (3.0,)) for s in range(tick % 3, servers, 3)),
         )
         due = [x for x in pending if x[0] <= now]
         pending = [x for x in pending if x[0] > now]
-        runtime.hear(now, *(CheckpointAcknowledged(p, mark, 0.4) for _, p, mark in due))
+        runtime.add_events(now, *(CheckpointAcknowledged(p, mark, 0.4) for _, p, mark in due))
         began = time.process_time()
         effects = runtime.tick(now)
         cost.add("module", began)
         if effects is not None:
-            for proxy, order in effects.orders:
-                channel.put(proxy, order)
+            for proxy, order in effects.proxy_updates:
+                channel.enqueue(proxy, order)
             carried += any(isinstance(a, SetWeight | SetWithdrawn) for a in effects.actions)
         began = time.process_time()
-        sent, _ = channel.take(now)
+        sent, _ = channel.dequeue(now)
         for proxy, order in sent:
             encode(order)
             if order.checkpoint_id is not None:
                 pending.append((now + 0.4, proxy, order.checkpoint_id))
         cost.add("orders", began)
-    return {k: v / seconds for k, v in cost.parts.items()}, cost.longest, channel.most_waiting, carried
+    return {k: v / seconds for k, v in cost.parts.items()}, cost.longest, channel.max_queued_entries, carried
 
 
 @click.command()
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -78,7 +78,7 @@
 
     def look(d: Deployment) -> None:
         for service in d.assigners.values():
-            decider: Any = service.runtime.decider
+            decider: Any = service.runtime.director
             views = getattr(decider, "director", decider).servers
             ejected.update(s for s, view in views.items() if view.level == 0)
 
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -36,13 +36,13 @@
 
 def child(me: int, addresses: list[str], life: int, slices: int, first: int, store: str) -> None:
     """One assigner's streams. It holds each slice from `first` on whose turn is its own; -1 none."""
-    from puffintide.assigner.ordered import Ordered
     from puffintide.config.schema import PeersSection
+    from puffintide.owned_tables import OwnedTables
     from puffintide.protocol.clock import monotonic_reactor
     from puffintide.protocol.stream import Acceptor, Dialler, Stream
-    from puffintide.replication.findings import Findings, Heard
-    from puffintide.replication.peers import Peers
-    from puffintide.replication.tables import newest
+    from puffintide.replication.peer_observations import Findings, Heard
+    from puffintide.replication.peer_sessions import Peers
+    from puffintide.replication.table_replicas import newest
 
     reactor: Any = monotonic_reactor()
     size, late = 0, 0.0
@@ -77,11 +77,11 @@
 
     section = PeersSection(addresses=addresses, catch_up_s=60.0)
     peers = Peers(reactor, section, me, life, slices, Log(), lambda: None)
-    ordered, tokens = Ordered(), dict[int, int]()
+    ordered, tokens = OwnedTables(), dict[int, int]()
     lines = [m.TableEntry(7, 1.0, "127.0.0.1:9007", 0), m.TableEntry(8, 0.004, "127.0.0.1:9008", 1)]
     for number in range(me, slices, len(addresses)) if first >= 0 else ():
         tokens[number] = number + 1
-        ordered.charge(m.SliceOwnership(number, number + 1, me, lines, 1), goes_on=False)
+        ordered.on_ownership_granted(m.SliceOwnership(number, number + 1, me, lines, 1), goes_on=False)
     found = Findings(1.0, {})
     peers.flush(tokens, ordered, found, Heard())
     hello = m.Hello(m.PROTOCOL_VERSION, "assigner", me, 0, "t", incarnation=life)
@@ -128,7 +128,7 @@
 
     def change() -> None:
         for number in list(tokens)[:20]:
-            ordered.written(2, [m.WeightEntry(number, 9, 1.0, tokens[number], "127.0.0.1:9009", 0)])
+            ordered.apply_writes(2, [m.WeightEntry(number, 9, 1.0, tokens[number], "127.0.0.1:9009", 0)])
         peers.flush(tokens, ordered, found, Heard())
 
     reactor.run()
--- a/puffintide/assigner/channel.py
+++ b/puffintide/assigner/channel.py
@@ -27,24 +27,24 @@
     """
 
     def __init__(self, lines_per_s: float, limit: float, span_s: float = 10.0) -> None:
-        self.lines_per_s = lines_per_s
-        self.limit = limit
+        self.entries_per_s = lines_per_s
+        self.capacity_entries = limit
         self._queue: deque[tuple[int, ProxyUpdate]] = deque()
         self._free_at = 0.0  # when the last message taken had left at the stated pace
         self._parked: dict[int, _Parked] = {}
         self._waiting = 0.0
-        self.most_waiting = 0.0
-        self.sent = 0  # messages in all, and the most to one proxy within span_s, for the log
-        self.most_messages = 0
+        self.max_queued_entries = 0.0
+        self.messages_sent = 0  # messages in all, and the most to one proxy within span_s, for the log
+        self.max_messages_per_window = 0
         self._span_s = span_s
         self._recent: dict[int, deque[float]] = {}
         self._given_up: list[int] = []
 
-    def join(self, proxy: int) -> None:
-        self.leave(proxy)
+    def add_proxy(self, proxy: int) -> None:
+        self.remove_proxy(proxy)
         self._parked[proxy] = _Parked()
 
-    def leave(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
         """What waits for the proxy is lost with its stream."""
         self._parked.pop(proxy, None)
         self._recent.pop(proxy, None)
@@ -53,24 +53,24 @@
             self._queue = deque((to, order) for to, order in self._queue if to != proxy)
             self._waiting -= lost
 
-    def put(self, proxy: int, order: ProxyUpdate) -> None:
+    def enqueue(self, proxy: int, order: ProxyUpdate) -> None:
         if proxy in self._parked:
             self._queue.append((proxy, order))
             self._waiting += order.channel_cost
-            while self.waiting() > self.limit and self._give_up():
+            while self.queued_entries() > self.capacity_entries and self._give_up():
                 pass
-            self.most_waiting = max(self.most_waiting, self.waiting())
+            self.max_queued_entries = max(self.max_queued_entries, self.queued_entries())
 
-    def waiting(self) -> float:
+    def queued_entries(self) -> float:
         """Lines that wait, heads included, whether in the queue or held back by a proxy that does not read."""
         return self._waiting + sum(parked.lines for parked in self._parked.values())
 
-    def take(self, now: float) -> tuple[list[tuple[int, ProxyUpdate]], list[int]]:
+    def dequeue(self, now: float) -> tuple[list[tuple[int, ProxyUpdate]], list[int]]:
         """(messages that leave now, proxies whose stream is given up as they hold back too much)."""
         out: list[tuple[int, ProxyUpdate]] = []
         while self._queue:
             proxy, order = self._queue[0]
-            leaves = max(self._free_at, order.ordered_at_s) + order.channel_cost / self.lines_per_s
+            leaves = max(self._free_at, order.ordered_at_s) + order.channel_cost / self.entries_per_s
             if leaves > now:
                 break
             self._queue.popleft()
@@ -91,7 +91,7 @@
         worst = max(sorted(self._parked), key=lambda p: self._parked[p].lines, default=None)
         if worst is None or not self._parked[worst].lines:
             return False
-        self.leave(worst)
+        self.remove_proxy(worst)
         self._given_up.append(worst)
         return True
 
@@ -100,8 +100,8 @@
         recent.append(now)
         while recent[0] < now - self._span_s:
             recent.popleft()
-        self.sent += 1
-        self.most_messages = max(self.most_messages, len(recent))
+        self.messages_sent += 1
+        self.max_messages_per_window = max(self.max_messages_per_window, len(recent))
 
     def set_writable(self, now: float, proxy: int, writable: bool) -> list[ProxyUpdate]:
         """Tells that a proxy reads again or not; gives what it had held back."""
@@ -118,9 +118,9 @@
             self._count(proxy, now)
         return orders
 
-    def next_due(self) -> float | None:
+    def next_departure_at(self) -> float | None:
         """When the next message leaves, if one waits."""
         if not self._queue:
             return None
         order = self._queue[0][1]
-        return max(self._free_at, order.ordered_at_s) + order.channel_cost / self.lines_per_s
+        return max(self._free_at, order.ordered_at_s) + order.channel_cost / self.entries_per_s
--- a/puffintide/assigner/listed.py
+++ b/puffintide/assigner/endpoint_list.py
@@ -14,18 +14,18 @@
 SAVE_S = 0.2  # news of so long is written at once
 
 
-class Listed:
+class EndpointList:
     """path: of the file; empty: none is kept."""
 
     def __init__(self, reactor: Any, path: str, log: Any) -> None:
         self.reactor, self.path, self.log = reactor, path, log
         self.version = -1
-        self.told = False  # by its source, in this life
+        self.received_from_source = False  # by its source, in this life
         self.entries: dict[int, tuple[m.EndpointEntry, float]] = {}  # and when each was heard
         self._saving: Any = None
 
-    def heard(self, news: m.WatchEvent) -> None:
-        self.version, self.told = news.version, news.update_type != "cached"
+    def on_watch_event(self, news: m.WatchEvent) -> None:
+        self.version, self.received_from_source = news.version, news.update_type != "cached"
         if news.update_type != "delta":
             self.entries = {}
         now = float(self.reactor.seconds())
@@ -54,5 +54,5 @@
         except CacheError as error:
             self.log.warning("list_cache_unread", reason=str(error))
             return None
-        self.heard(news)
+        self.on_watch_event(news)
         return news
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -21,19 +21,19 @@
 from puffintide.decisions.settings import Settings
 from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
-FIRST_MARK = 1 << 20  # the module's own are below 2^16
+FIRST_CHECKPOINT_ID = 1 << 20  # the module's own are below 2^16
 PATIENCE = 0.8  # of the time that a slice may be without a server, for writes in hand to end
 MESSAGES = 2  # to a proxy for each batch, where the module counts one
 STOP, KEEP = "stop", "keep"
 
-Orders = list[tuple[int, ProxyUpdate]]
+AddressedUpdates = list[tuple[int, ProxyUpdate]]
 
 
 @dataclass(slots=True)
-class Steps:
+class HandoverSteps:
     """What the service does now: messages for the channel, and lines for the store."""
 
-    orders: Orders = field(default_factory=list)
+    proxy_updates: AddressedUpdates = field(default_factory=list)
     writes: list[tuple[int, list[WeightEntry]]] = field(default_factory=list)  # batch and lines
 
 
@@ -41,7 +41,7 @@
 class _Move:
     batch: int
     lines: list[WeightEntry]
-    later: Orders  # what goes along with the lines: the module's mark
+    later: AddressedUpdates  # what goes along with the lines: the module's mark
     mark: int
     waiting: set[int]  # proxies that have not answered
     until: float = 0.0  # not longer than this
@@ -56,21 +56,21 @@
         self.lease_s, self.longest_s, self.patience_s = lease_s, longest_s, patience_s
         self.head_lines = head_lines
         self.moves: deque[_Move] = deque()
-        self.mark = FIRST_MARK
+        self.mark = FIRST_CHECKPOINT_ID
         self.proxies: set[int] = set()
         self.left_at: dict[int, float] = {}
 
     # What comes in --------------------------------------------------------------------------------
 
-    def joined(self, now: float, proxy: int) -> Steps:
+    def on_proxy_connected(self, now: float, proxy: int) -> HandoverSteps:
         """From its first order on it takes writes: at once, or with the lines of the move that is under way."""
         self.proxies.add(proxy)
         self.left_at.pop(proxy, None)
         if self.moves:
-            return Steps()
-        return Steps(orders=[(proxy, ProxyUpdate(0, now, self.head_lines))])
+            return HandoverSteps()
+        return HandoverSteps(proxy_updates=[(proxy, ProxyUpdate(0, now, self.head_lines))])
 
-    def left(self, now: float, proxy: int) -> Steps:
+    def on_proxy_disconnected(self, now: float, proxy: int) -> HandoverSteps:
         """It is no longer heard; what it has in hand is waited out."""
         self.proxies.discard(proxy)
         self.left_at[proxy] = now
@@ -78,17 +78,19 @@
             if proxy in move.waiting:
                 move.waiting.discard(proxy)
                 move.gone_until = max(move.gone_until, now + self.lease_s + self.longest_s)
-        return self.due(now)
+        return self.advance(now)
 
-    def put(self, now: float, batch: int, lines: list[WeightEntry], orders: Orders) -> Steps:
+    def add_batch(
+        self, now: float, batch: int, lines: list[WeightEntry], orders: AddressedUpdates
+    ) -> HandoverSteps:
         """A batch of the module. Whatever has no lines goes on at once."""
-        steps = Steps()
+        steps = HandoverSteps()
         slices = sorted({line.slice_id for line in lines})
         if not slices:
-            steps.orders = orders
+            steps.proxy_updates = orders
             return steps
         beside: dict[int, ProxyUpdate] = {}
-        later: Orders = []
+        later: AddressedUpdates = []
         for proxy, order in orders:
             rest = msgspec.structs.replace(
                 order,
@@ -112,20 +114,20 @@
             )
         self.moves.append(_Move(batch, lines, later, 0, set()))
         if len(self.moves) == 1:
-            steps.orders = self._stop(now, beside)
+            steps.proxy_updates = self._stop(now, beside)
         else:
-            steps.orders = sorted(beside.items())
+            steps.proxy_updates = sorted(beside.items())
         return steps
 
-    def applied(self, now: float, proxy: int, mark: int) -> Steps:
+    def on_checkpoint_reply(self, now: float, proxy: int, mark: int) -> HandoverSteps:
         for move in list(self.moves)[:1]:
             if move.mark == mark:
                 move.waiting.discard(proxy)
-        return self.due(now)
+        return self.advance(now)
 
-    def written(self, now: float, batch: int) -> Steps:
+    def on_write_acknowledged(self, now: float, batch: int) -> HandoverSteps:
         """The store has kept all up to this batch; lines that it refused were taken out before (refused)."""
-        steps = Steps()
+        steps = HandoverSteps()
         while self.moves and self.moves[0].stage == KEEP and self.moves[0].batch <= batch:
             move = self.moves.popleft()
             later = dict(move.later)
@@ -135,28 +137,28 @@
                 made = msgspec.structs.replace(
                     order, batch=move.batch, weights=list(move.lines), channel_cost=cost
                 )
-                steps.orders.append((proxy, made))
+                steps.proxy_updates.append((proxy, made))
             if self.moves:
-                steps.orders += self._stop(now)
+                steps.proxy_updates += self._stop(now)
         return steps
 
-    def refused(self, number: int) -> None:
+    def drop_slice(self, number: int) -> None:
         """The slice is another's by now: its lines go to nobody."""
         for move in self.moves:
             move.lines = [line for line in move.lines if line.slice_id != number]
 
-    def again(self) -> list[tuple[int, list[WeightEntry]]]:
+    def unacknowledged_writes(self) -> list[tuple[int, list[WeightEntry]]]:
         """What the store has not told to be kept, for when it is back."""
         return [(move.batch, move.lines) for move in list(self.moves)[:1] if move.stage == KEEP]
 
-    def token(self, number: int, token: int) -> None:
+    def on_token_renewed(self, number: int, token: int) -> None:
         """The slice is ours under a new token, in an unbroken tenure."""
         for move in self.moves:
             move.lines = [_under(line, number, token) for line in move.lines]
 
     # Time -----------------------------------------------------------------------------------------
 
-    def _stop(self, now: float, beside: dict[int, ProxyUpdate] | None = None) -> Orders:
+    def _stop(self, now: float, beside: dict[int, ProxyUpdate] | None = None) -> AddressedUpdates:
         """Begins with all batches that wait, as one."""
         move = self.moves.popleft()
         while self.moves:
@@ -168,7 +170,7 @@
         recent = [at for at in self.left_at.values() if now - at < self.lease_s + self.longest_s]
         move.gone_until = max((at + self.lease_s + self.longest_s for at in recent), default=0.0)
         slices = sorted({line.slice_id for line in move.lines})
-        orders: Orders = []
+        orders: AddressedUpdates = []
         for proxy in sorted(self.proxies):
             rest = (beside or {}).get(proxy, ProxyUpdate(move.batch, now, self.head_lines))
             cost = rest.channel_cost + len(slices) + 1
@@ -182,9 +184,9 @@
             )
         return orders
 
-    def due(self, now: float) -> Steps:
+    def advance(self, now: float) -> HandoverSteps:
         """To be called now and then while a move is under way."""
-        steps = Steps()
+        steps = HandoverSteps()
         if self.moves and self.moves[0].stage == STOP:
             move = self.moves[0]
             ended = not move.waiting and now >= move.gone_until
@@ -206,7 +208,7 @@
     )
 
 
-def budgeted(settings: Settings) -> Settings:
+def with_handover_budget(settings: Settings) -> Settings:
     """What the module is told, so that all of a batch's messages stay within messages_most."""
     if not settings.max_messages_per_window:
         return settings
--- a/puffintide/assigner/prober.py
+++ b/puffintide/assigner/health_checks.py
@@ -11,7 +11,7 @@
 from puffintide.tls.context import Contexts
 
 
-class Prober:
+class HealthChecker:
     """Probes of one server over a stream that is kept; one probe is under way at a time."""
 
     def __init__(
@@ -24,7 +24,7 @@
         done: Callable[[int, float, tuple[float, ...]], None],
     ) -> None:
         """done: with status, time taken and the load report's values."""
-        self.reactor, self.address, self.hello, self.tls, self.done = reactor, address, hello, tls, done
+        self.reactor, self.address, self.hello, self.tls, self.on_result = reactor, address, hello, tls, done
         self.timeout_s = timeout_s
         self.stream: Stream | None = None
         self.out: tuple[int, float] | None = None  # id and when it was asked for
@@ -46,7 +46,7 @@
             tls=self.tls,
         ).start()
 
-    def probe(self, now: float) -> None:
+    def check(self, now: float) -> None:
         if self.out is not None:
             return
         self.id += 1
@@ -82,7 +82,7 @@
             self.timer.cancel()
         if status == m.TIMEOUT and self.stream is None:
             status = m.UNREACHABLE
-        self.done(status, took, values)
+        self.on_result(status, took, values)
 
     def stop(self) -> None:
         self.dialler.stop()
--- a/puffintide/assigner/reports.py
+++ b/puffintide/assigner/load_reports.py
@@ -25,17 +25,17 @@
 Key = tuple[int, int, int]  # (kind: 0 servers, 1 slices; zone or slice; server or class)
 
 
-class Gatherer:
+class LoadReportAggregator:
     """add() what proxies send, take() once a period what the module is told."""
 
     def __init__(self, lines_per_s: float) -> None:
-        self.lines_per_s = lines_per_s
+        self.entries_per_s = lines_per_s
         self._pairs: dict[Key, _Pair] = {}  # oldest first: a pair is put anew at the end when it is told
         self._told: dict[Key, float] = {}
         self._credit = 0.0
         self._last: float | None = None
 
-    def add(self, now: float, zone: int, sums: UsageReport) -> None:
+    def add_usage(self, now: float, zone: int, sums: UsageReport) -> None:
         for s in sums.servers:
             pair = self._pair(now, (0, zone, s.server_id), sums.interval_s)
             pair.count += s.attempts
@@ -55,12 +55,12 @@
             pair = self._pairs[key] = _Pair(min(since, now - span_s / 2))
         return pair
 
-    def take(self, now: float) -> list[Event]:
+    def take_reports(self, now: float) -> list[Event]:
         """Report events that fit, oldest first."""
         span = now - self._last if self._last is not None else 0.5
         self._last = now
         self._told = {key: at for key, at in self._told.items() if now - at < TOLD_S}
-        self._credit = min(self._credit + span * self.lines_per_s, self.lines_per_s)
+        self._credit = min(self._credit + span * self.entries_per_s, self.entries_per_s)
         events: list[Event] = []
         while self._pairs and self._credit >= 1:
             key = next(iter(self._pairs))
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -10,14 +10,18 @@
 import msgspec
 
 from puffintide.assigner.channel import Channel
-from puffintide.assigner.handover import FIRST_MARK, Steps, budgeted, handover_for
-from puffintide.assigner.listed import Listed
-from puffintide.assigner.ordered import Ordered
-from puffintide.assigner.orders import Orders
-from puffintide.assigner.prober import Prober
-from puffintide.assigner.reports import Gatherer
+from puffintide.assigner.endpoint_list import EndpointList
+from puffintide.assigner.handover import (
+    FIRST_CHECKPOINT_ID,
+    HandoverSteps,
+    with_handover_budget,
+    handover_for,
+)
+from puffintide.assigner.health_checks import HealthChecker
+from puffintide.assigner.load_reports import LoadReportAggregator
+from puffintide.assigner.proxy_updates import ProxyUpdateSender
 from puffintide.assigner.runtime import Effects, Runtime
-from puffintide.assigner.stored import Stored
+from puffintide.assigner.store_client import StoreClient
 from puffintide.config.loader import Config, settings
 from puffintide.decisions.actions import SetAdmission, SetWeight, SetWithdrawn
 from puffintide.decisions.director import Director
@@ -27,14 +31,15 @@
     HealthCheckResult,
     HealthCheckStatus,
 )
+from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
 from puffintide.protocol.checks import NEWS_KINDS, wrong_sums
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
 from puffintide.protocol.stream import Acceptor, Dialler, Handler, Stream
-from puffintide.replication.findings import Findings, Heard
-from puffintide.replication.peers import Peers
-from puffintide.replication.tables import newest
+from puffintide.replication.peer_observations import Findings, Heard
+from puffintide.replication.peer_sessions import Peers
+from puffintide.replication.table_replicas import newest
 from puffintide.tls.context import Contexts
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import ZoneLimits
@@ -53,46 +58,54 @@
         self, reactor: Any, config: Config, log: Any, life: int, tls: Contexts | None = None
     ) -> None:
         assert config.assigner is not None
-        self.reactor, self.config, self.me, self.log, self.life = reactor, config, config.assigner, log, life
+        self.reactor, self.config, self.process, self.log, self.incarnation = (
+            reactor,
+            config,
+            config.assigner,
+            log,
+            life,
+        )
         self.tls = tls
-        self.settings = settings(config, self.me.id, self.me.zone, self.me.seed)
+        self.settings = settings(config, self.process.id, self.process.zone, self.process.seed)
         self.handover = handover_for(self.settings, config.charge.write_lease_s)
         if self.handover is not None:
-            self.settings = budgeted(self.settings)
+            self.settings = with_handover_budget(self.settings)
         limits = ZoneLimits(config.zones.spill)
-        self.zoned = ZonedDirector(self.settings, limits) if config.zones.plan else None
-        zoned = self.zoned
+        self.zone_director = ZonedDirector(self.settings, limits) if config.zones.plan else None
+        zoned = self.zone_director
         self.runtime = Runtime(self.settings, (lambda _: zoned) if zoned is not None else Director)
-        self.ordered = Ordered()
+        self.owned_tables = OwnedTables()
         self.channel = Channel(
             self.settings.channel_entries_per_s,
             self.settings.channel_capacity_entries,
             self.settings.message_window_s,
         )
-        self.orders = Orders(reactor, self.channel)
-        self.proxies = self.orders.proxies
-        self.reports = Gatherer(self.settings.report_entries_per_s)
-        self.draw = random.Random(f"{self.me.seed}:{self.me.id}:{life}").random
+        self.proxy_updates = ProxyUpdateSender(reactor, self.channel)
+        self.proxies = self.proxy_updates.streams
+        self.load_reports = LoadReportAggregator(self.settings.report_entries_per_s)
+        self.draw = random.Random(f"{self.process.seed}:{self.process.id}:{life}").random
         self.list: Stream | None = None
-        self.listed = Listed(reactor, self.me.list_cache, log)
-        self.probers: dict[int, Prober] = {}
+        self.endpoint_list = EndpointList(reactor, self.process.list_cache, log)
+        self.health_checkers: dict[int, HealthChecker] = {}
         self.tick_at: Any = None
         self.handover_at: Any = None
         self.busy_s = 0.0
         self.rounds = 0
         self.decisions = 0
-        self.peers = (
-            Peers(reactor, config.peers, self.me.id, life, self.settings.slice_count, log, self._to_store)
+        self.peer_sessions = (
+            Peers(
+                reactor, config.peers, self.process.id, life, self.settings.slice_count, log, self._to_store
+            )
             if config.peers is not None
             else None
         )
-        copies = self._copies if self.peers is not None else None
-        self.stored = Stored(
+        copies = self._copies if self.peer_sessions is not None else None
+        self.store_client = StoreClient(
             reactor,
-            self.me.id,
+            self.process.id,
             self.runtime,
-            self.ordered,
-            self.reports,
+            self.owned_tables,
+            self.load_reports,
             self.handover,
             log,
             self._schedule,
@@ -104,72 +117,93 @@
 
     def hello(self) -> m.Hello:
         name = self.config.deployment.name
-        return m.Hello(m.PROTOCOL_VERSION, "assigner", self.me.id, self.me.zone, name, incarnation=self.life)
+        return m.Hello(
+            m.PROTOCOL_VERSION,
+            "assigner",
+            self.process.id,
+            self.process.zone,
+            name,
+            incarnation=self.incarnation,
+        )
 
     def store_hello(self) -> m.Hello:
-        token = max(self.runtime.tokens.values(), default=0)
+        token = max(self.runtime.fencing_tokens.values(), default=0)
         return msgspec.structs.replace(self.hello(), highest_token=token)
 
     def factory(self) -> Acceptor:
         def me() -> m.Welcome:
-            return m.Welcome(m.PROTOCOL_VERSION, "assigner", self.me.id, self.life)
+            return m.Welcome(m.PROTOCOL_VERSION, "assigner", self.process.id, self.incarnation)
 
         return Acceptor(self.reactor, me, self._from_dialled, self._proxy_lost, self._judge)
 
     def _judge(self, hello: Greeting) -> str | None:
         assert isinstance(hello, m.Hello)
-        if hello.role not in ("proxy", "operator") and (hello.role != "assigner" or self.peers is None):
+        if hello.role not in ("proxy", "operator") and (
+            hello.role != "assigner" or self.peer_sessions is None
+        ):
             return f"role {hello.role!r} is not served by an assigner"
         if hello.deployment != self.config.deployment.name:
             return f"deployment {hello.deployment!r} is not {self.config.deployment.name!r}"
         if hello.role == "proxy" and not 0 <= hello.id < 65535:
             return f"proxy number {hello.id} is not below 65535"
-        return self.peers.judge(hello) if self.peers is not None and hello.role == "assigner" else None
+        return (
+            self.peer_sessions.judge(hello)
+            if self.peer_sessions is not None and hello.role == "assigner"
+            else None
+        )
 
     def start(self) -> None:
         self._load_list()
-        if self.peers is None:
+        if self.peer_sessions is None:
             self._to_store()
         else:  # first what the others hold, at most for a while, then charge
-            self.peers.start(self._dial)
-            self.reactor.callLater(self.peers.section.every_s, self._share)
-        self._dial(self.me.list, self._from_list, self._list_lost)
+            self.peer_sessions.start(self._dial)
+            self.reactor.callLater(self.peer_sessions.section.every_s, self._share)
+        self._dial(self.process.list, self._from_list, self._list_lost)
         self._schedule(0.0)
         self.reactor.callLater(self.settings.report_period_s, self._gather)
         self.reactor.callLater(STATS_S, self._stats)
 
     def _to_store(self) -> None:
-        self._dial(self.me.store, self.stored.heard, self.stored.lost, self.store_hello)
+        self._dial(
+            self.process.store, self.store_client.on_message, self.store_client.on_lost, self.store_hello
+        )
 
     def _findings(self) -> Findings:
-        return Findings(*self.runtime.decider.findings())
+        return Findings(*self.runtime.director.findings())
 
     def _heard(self) -> Heard:
-        entries = self.runtime.entries
+        entries = self.runtime.endpoints
         return Heard(
             {sid: entry.incarnation for sid, entry in entries.items()},
-            {sid: at for sid, (_, at) in self.listed.entries.items() if self.listed.told},
+            {
+                sid: at
+                for sid, (_, at) in self.endpoint_list.entries.items()
+                if self.endpoint_list.received_from_source
+            },
             {sid for sid, entry in entries.items() if entry.status == EndpointStatus.DRAINING},
         )
 
     def _flush(self) -> None:
-        assert self.peers is not None
-        news = self.peers.flush(self.runtime.tokens, self.ordered, self._findings(), self._heard())
+        assert self.peer_sessions is not None
+        news = self.peer_sessions.flush(
+            self.runtime.fencing_tokens, self.owned_tables, self._findings(), self._heard()
+        )
         if news:
-            self.runtime.hear(self.now(), *news)
+            self.runtime.add_events(self.now(), *news)
             self._schedule()
 
     def _copies(self, changed: set[int] | None) -> Iterator[m.ReplicationDelta]:
-        assert self.peers is not None
+        assert self.peer_sessions is not None
         self._flush()
-        return newest(self.peers.replica, self.now, changed)
+        return newest(self.peer_sessions.replica, self.now, changed)
 
     def _share(self) -> None:
-        assert self.peers is not None
-        changed = set(self.ordered.changed)
+        assert self.peer_sessions is not None
+        changed = set(self.owned_tables.changed_slices)
         self._flush()
-        self.stored.changed(changed)
-        self.reactor.callLater(self.peers.section.every_s, self._share)
+        self.store_client.send_changed_tables(changed)
+        self.reactor.callLater(self.peer_sessions.section.every_s, self._share)
 
     def _dial(
         self,
@@ -187,18 +221,18 @@
 
     def _from_dialled(self, stream: Stream, message: AnyMessage) -> None:
         now = self.now()
-        if self.peers is not None and (isinstance(message, m.Hello) and message.role == "assigner"):
-            self.peers.heard(stream, message)
+        if self.peer_sessions is not None and (isinstance(message, m.Hello) and message.role == "assigner"):
+            self.peer_sessions.heard(stream, message)
             return
         match message:
             case m.VersionDigest() | m.ReplicationDelta() if (
-                self.peers and stream.tag and stream.tag[0] == "assigner"
+                self.peer_sessions and stream.tag and stream.tag[0] == "assigner"
             ):
-                self.peers.heard(stream, message)
-            case m.ReplicaRequest() if self.peers and stream.tag and stream.tag[0] == "operator":
-                for piece in self.peers.replica.differences(now, [], SHOWN_MOST):
+                self.peer_sessions.heard(stream, message)
+            case m.ReplicaRequest() if self.peer_sessions and stream.tag and stream.tag[0] == "operator":
+                for piece in self.peer_sessions.replica.differences(now, [], SHOWN_MOST):
                     stream.send(piece)
-                stream.send(m.VersionDigest(self.peers.replica.digest()))
+                stream.send(m.VersionDigest(self.peer_sessions.replica.digest()))
             case m.Hello(role="proxy"):
                 self._proxy_joined(now, stream, message)
             case m.Hello():
@@ -206,24 +240,28 @@
             case m.ZoneStatusRequest() if stream.tag and stream.tag[0] == "operator":
                 stream.send(self._zones(now))
             case m.UsageReport() if stream.tag and stream.tag[0] == "proxy":
-                zone = self.runtime.proxies.get(stream.tag[1])
+                zone = self.runtime.proxy_zones.get(stream.tag[1])
                 wrong = wrong_sums(message, self.settings.slice_count, len(self.settings.request_classes))
                 if wrong is not None:
                     stream.refuse(f"sums: {wrong}")
                 elif zone is not None:
-                    self.reports.add(now, zone, message)
-            case m.CheckpointReply(mark) if stream.tag and stream.tag[0] == "proxy" and mark >= FIRST_MARK:
+                    self.load_reports.add_usage(now, zone, message)
+            case m.CheckpointReply(mark) if (
+                stream.tag and stream.tag[0] == "proxy" and mark >= FIRST_CHECKPOINT_ID
+            ):
                 if self.handover is not None:
-                    self._step(self.handover.applied(now, stream.tag[1], mark))
+                    self._step(self.handover.on_checkpoint_reply(now, stream.tag[1], mark))
             case m.CheckpointReply() if stream.tag and stream.tag[0] == "proxy":
-                took = self.orders.applied(message.checkpoint_id)
-                self.runtime.hear(now, CheckpointAcknowledged(stream.tag[1], message.checkpoint_id, took))
+                took = self.proxy_updates.on_checkpoint_reply(message.checkpoint_id)
+                self.runtime.add_events(
+                    now, CheckpointAcknowledged(stream.tag[1], message.checkpoint_id, took)
+                )
                 self._schedule()
             case _:
                 stream.refuse(f"a {type(message).__name__} is not for an assigner")
 
     def _zones(self, now: float) -> m.ZoneStatusReport:
-        states = self.zoned.plan.states() if self.zoned is not None else []
+        states = self.zone_director.plan.states() if self.zone_director is not None else []
         rows = [
             m.ZoneStatus(
                 s.zone,
@@ -239,7 +277,7 @@
             )
             for s in states
         ]
-        return m.ZoneStatusReport(self.me.id, self.zoned is not None, rows)
+        return m.ZoneStatusReport(self.process.id, self.zone_director is not None, rows)
 
     def _proxy_joined(self, now: float, stream: Stream, hello: m.Hello) -> None:
         old = self.proxies.get(hello.id)
@@ -247,18 +285,18 @@
             old.tag = None
             old.abort("its proxy dialled anew")
             self._forget_proxy(now, hello.id)
-        self.orders.joined(hello.id, stream)
+        self.proxy_updates.add_proxy(hello.id, stream)
         if self.handover is not None:
-            self._step(self.handover.joined(now, hello.id))
-        self.runtime.joined(now, hello.id, hello.zone, 0.0, hello.first_connection)
+            self._step(self.handover.on_proxy_connected(now, hello.id))
+        self.runtime.on_proxy_connected(now, hello.id, hello.zone, 0.0, hello.first_connection)
         self.log.info("proxy_joined", proxy=hello.id, zone=hello.zone, fresh=hello.first_connection)
         self._schedule()
 
     def _forget_proxy(self, now: float, proxy: int) -> None:
-        self.orders.left(proxy)
+        self.proxy_updates.remove_proxy(proxy)
         if self.handover is not None:
-            self._step(self.handover.left(now, proxy))
-        self.runtime.left(now, proxy)
+            self._step(self.handover.on_proxy_disconnected(now, proxy))
+        self.runtime.on_proxy_disconnected(now, proxy)
 
     def _proxy_lost(self, stream: Stream, why: AnyMessage) -> None:
         if stream.tag and stream.tag[0] == "proxy" and self.proxies.get(stream.tag[1]) is stream:
@@ -272,33 +310,35 @@
                 self.list = stream
                 self.log.info("list_reached")
                 if not self.settings.watch_on_request:
-                    stream.send(m.WatchRequest(True, self.listed.version))
-                elif not self.runtime.listed:  # a first list, as the module is promised one at its start
+                    stream.send(m.WatchRequest(True, self.endpoint_list.version))
+                elif (
+                    not self.runtime.has_endpoint_list
+                ):  # a first list, as the module is promised one at its start
                     stream.send(m.SnapshotRequest())
             case m.WatchEvent() if message.update_type not in NEWS_KINDS:
                 stream.refuse(f"news of kind {message.update_type[:20]!r}; there are {', '.join(NEWS_KINDS)}")
             case m.WatchEvent():
-                for reason in self.runtime.news(self.now(), message)[:REASONS_MOST]:
+                for reason in self.runtime.on_watch_event(self.now(), message)[:REASONS_MOST]:
                     self.log.warning("entry_refused", reason=reason)
                 if message.update_type != "failed":
-                    self.listed.heard(message)
-                for server in sorted(self.probers.keys() - self.runtime.entries.keys()):
-                    self.probers.pop(server).stop()
+                    self.endpoint_list.on_watch_event(message)
+                for server in sorted(self.health_checkers.keys() - self.runtime.endpoints.keys()):
+                    self.health_checkers.pop(server).stop()
                 states = {e.server_id: e.status for e in message.servers}
                 self.log.info("list", kind=message.update_type, version=message.version, states=states)
                 self._schedule()
 
     def _load_list(self) -> None:
-        news = self.listed.load()
+        news = self.endpoint_list.load()
         if news is not None:
-            self.runtime.news(self.now(), news)
+            self.runtime.on_watch_event(self.now(), news)
             self.log.info("list", kind="cached", version=news.version, servers=len(news.servers))
 
     def _list_lost(self, why: str) -> None:
         if self.list is not None:
             self.log.warning("list_lost", reason=why)
             if self.settings.watch_on_request:
-                self.runtime.news(self.now(), m.WatchEvent("failed", self.listed.version))
+                self.runtime.on_watch_event(self.now(), m.WatchEvent("failed", self.endpoint_list.version))
         self.list = None
 
     # Ticks --------------------------------------------------------------------------------------
@@ -306,7 +346,7 @@
     def _schedule(self, after_s: float | None = None) -> None:
         """Events of one tick are one batch, so that a burst of news makes one round."""
         if after_s is None:
-            after_s = self.me.tick_s
+            after_s = self.process.tick_s
         if self.tick_at is not None and self.tick_at.active():
             if self.tick_at.getTime() <= self.now() + after_s:
                 return
@@ -325,49 +365,51 @@
             self.reactor.callLater(RECOVER_S, self._recover)
         after = os.times()
         self.busy_s += after.user + after.system - cpu.user - cpu.system
-        timer = self.runtime.next_timer()
-        if self.runtime.busy():
+        timer = self.runtime.next_timer_at()
+        if self.runtime.has_pending_events():
             self._schedule()
         elif timer is not None:
             self._schedule(max(0.001, timer - self.now()))
 
     def _recover(self) -> None:
-        self.runtime.revive(self.now())
+        self.runtime.restart_rounds(self.now())
         self._schedule()
 
     def _act(self, now: float, effects: Effects) -> None:
         self.rounds += 1
-        self.ordered.written(effects.batch, effects.writes)
+        self.owned_tables.apply_writes(effects.batch, effects.weight_writes)
         if self.handover is not None:
-            self._step(self.handover.put(now, effects.batch, effects.writes, effects.orders))
-            effects.orders = []
-        elif effects.writes:
-            self.stored.write(effects.batch, effects.writes)
-        self.orders.put(effects.orders)
-        for server in effects.probes:
+            self._step(
+                self.handover.add_batch(now, effects.batch, effects.weight_writes, effects.proxy_updates)
+            )
+            effects.proxy_updates = []
+        elif effects.weight_writes:
+            self.store_client.write(effects.batch, effects.weight_writes)
+        self.proxy_updates.send(effects.proxy_updates)
+        for server in effects.health_checks:
             self._probe(now, server)
         if self.list is not None:
-            for on in effects.watch:
-                self.list.send(m.WatchRequest(on, self.listed.version))
-        elif effects.watch:
-            self.runtime.news(now, m.WatchEvent("failed", self.listed.version))
-        for text in effects.logs:
+            for on in effects.watch_requests:
+                self.list.send(m.WatchRequest(on, self.endpoint_list.version))
+        elif effects.watch_requests:
+            self.runtime.on_watch_event(now, m.WatchEvent("failed", self.endpoint_list.version))
+        for text in effects.log_messages:
             self.log.info("module", text=text)
         self._log_decision(now, effects)
 
-    def _step(self, steps: Steps) -> None:
+    def _step(self, steps: HandoverSteps) -> None:
         """Slices with one writer: what a move does now."""
         assert self.handover is not None
-        for batch, lines in steps.writes if self.stored.stream is not None else ():
-            self.stored.write(batch, lines)
-        if steps.orders:
-            self.orders.put(steps.orders)
+        for batch, lines in steps.writes if self.store_client.stream is not None else ():
+            self.store_client.write(batch, lines)
+        if steps.proxy_updates:
+            self.proxy_updates.send(steps.proxy_updates)
         if self.handover.moves and (self.handover_at is None or not self.handover_at.active()):
             self.handover_at = self.reactor.callLater(HANDOVER_S, self._handover_due)
 
     def _handover_due(self) -> None:
         assert self.handover is not None
-        self._step(self.handover.due(self.now()))
+        self._step(self.handover.advance(self.now()))
 
     def _log_decision(self, now: float, effects: Effects) -> None:
         kinds = (SetWeight, SetWithdrawn, SetAdmission)
@@ -384,29 +426,29 @@
             cause=causes,
             actions=[{type(a).__name__: [getattr(a, f) for f in a.__slots__]} for a in told[:200]],
             more=max(0, len(told) - 200),
-            proxies=len(effects.orders),
-            waiting=round(self.channel.waiting()),
-            after_ms=round((self.now() - effects.heard_at) * 1000, 2),
+            proxies=len(effects.proxy_updates),
+            waiting=round(self.channel.queued_entries()),
+            after_ms=round((self.now() - effects.first_event_at_s) * 1000, 2),
         )
 
     # Reports and probes -------------------------------------------------------------------------
 
     def _gather(self) -> None:
         now = self.now()
-        self.runtime.hear(now, *self.reports.take(now))
-        if self.runtime.busy():
+        self.runtime.add_events(now, *self.load_reports.take_reports(now))
+        if self.runtime.has_pending_events():
             self._schedule()
         self.reactor.callLater(self.settings.report_period_s, self._gather)
 
     def _probe(self, now: float, server: int) -> None:
-        address = self.runtime.addresses.get(server, "")
+        address = self.runtime.server_addresses.get(server, "")
         if not address or not self.settings.health_checks_enabled:
             return
-        prober = self.probers.get(server)
+        prober = self.health_checkers.get(server)
         if prober is None or prober.address != address:
             if prober is not None:
                 prober.stop()
-            prober = self.probers[server] = Prober(
+            prober = self.health_checkers[server] = HealthChecker(
                 self.reactor,
                 address,
                 self.hello,
@@ -414,10 +456,12 @@
                 self.tls,
                 lambda *what: self.probed(server, *what),
             )
-        prober.probe(now)
+        prober.check(now)
 
     def probed(self, server: int, status: int, took_s: float, values: tuple[float, ...]) -> None:
-        self.runtime.hear(self.now(), HealthCheckResult(server, HealthCheckStatus(status), took_s, values))
+        self.runtime.add_events(
+            self.now(), HealthCheckResult(server, HealthCheckStatus(status), took_s, values)
+        )
         self._schedule()
 
     def _stats(self) -> None:
@@ -428,14 +472,14 @@
             rounds=self.rounds,
             orders=self.decisions,
             proxies=len(self.proxies),
-            slices=len(self.runtime.tokens),
-            waiting=round(self.channel.waiting()),
-            most_waiting=round(self.channel.most_waiting),
-            messages=self.channel.sent,
-            most_messages=self.channel.most_messages,
-            applied_late_s=round(self.orders.late_most, 3),
+            slices=len(self.runtime.fencing_tokens),
+            waiting=round(self.channel.queued_entries()),
+            most_waiting=round(self.channel.max_queued_entries),
+            messages=self.channel.messages_sent,
+            most_messages=self.channel.max_messages_per_window,
+            applied_late_s=round(self.proxy_updates.max_checkpoint_delay_s, 3),
             rss_kb=rss_kb(),
-            **({"copies": self.peers.counts()} if self.peers is not None else {}),
+            **({"copies": self.peer_sessions.counts()} if self.peer_sessions is not None else {}),
         )
         self.reactor.callLater(STATS_S, self._stats)
 
--- a/puffintide/audit/copies.py
+++ b/puffintide/audit/copies.py
@@ -6,9 +6,9 @@
 
 from puffintide.audit.records import Peer, Record
 from puffintide.protocol import messages as m
-from puffintide.replication import settle
+from puffintide.replication import conflict_resolution
 from puffintide.replication.replica import Replica
-from puffintide.replication.tables import KIND
+from puffintide.replication.table_replicas import KIND
 
 AGREE_S = 5.0  # what was first told later than this before the end may still be on its way
 
@@ -44,7 +44,7 @@
     best: dict[int, dict[int, m.Value]] = {}
     for k, replica in held.items():
         for number, rows in replica.readings(last, KIND).items():
-            found = settle.table(rows)
+            found = conflict_resolution.table(rows)
             if found is not None:
                 best.setdefault(number, {})[k] = found.value
     missing = []
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -183,7 +183,7 @@
 
 
 def _disputes(found: dict[str, Any]) -> list[str]:
-    from puffintide.replication.tables import disputes
+    from puffintide.replication.table_replicas import disputes
 
     return disputes({address: replica for address, replica in found.items() if not isinstance(replica, str)})
 
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -105,7 +105,7 @@
     tls = _tls(config, log)
     service = AssignerService(reactor, config, log, life or int(time.time()), tls)
     _listen(reactor, config.assigner.listen, service.factory(), tls)
-    log.info("started", life=service.life, listen=config.assigner.listen)
+    log.info("started", life=service.incarnation, listen=config.assigner.listen)
     service.start()
     _run(reactor)
     log.info("stopped")
@@ -122,7 +122,7 @@
     from twisted.internet.threads import deferToThreadPool
     from twisted.python.threadpool import ThreadPool
 
-    from puffintide.replication.tables import Refill
+    from puffintide.replication.table_replicas import Refill
     from puffintide.store.book import Book
     from puffintide.store.engine import Engine, Memory, StoreError
     from puffintide.store.service import StoreService
--- a/puffintide/assigner/ordered.py
+++ b/puffintide/owned_tables.py
@@ -12,39 +12,39 @@
 from puffintide.protocol.messages import SliceOwnership, TableEntry, WeightEntry
 
 
-class Ordered:
+class OwnedTables:
     def __init__(self) -> None:
-        self.lines: dict[int, dict[int, TableEntry]] = {}
+        self.entries: dict[int, dict[int, TableEntry]] = {}
         self.batches: dict[int, int] = {}  # of the last order for each
-        self.changed: set[int] = set()  # since somebody took note
+        self.changed_slices: set[int] = set()  # since somebody took note
 
-    def charge(self, charge: SliceOwnership, goes_on: bool) -> None:
+    def on_ownership_granted(self, charge: SliceOwnership, goes_on: bool) -> None:
         if not goes_on:
-            self.lines[charge.slice_id] = {h.server_id: h for h in charge.entries}
+            self.entries[charge.slice_id] = {h.server_id: h for h in charge.entries}
             self.batches[charge.slice_id] = charge.batch
-        self.changed.add(charge.slice_id)
+        self.changed_slices.add(charge.slice_id)
 
-    def written(self, batch: int, lines: Iterable[WeightEntry]) -> None:
+    def apply_writes(self, batch: int, lines: Iterable[WeightEntry]) -> None:
         for line in lines:
-            table = self.lines.setdefault(line.slice_id, {})
+            table = self.entries.setdefault(line.slice_id, {})
             if line.weight > 0:
                 table[line.server_id] = TableEntry(line.server_id, line.weight, line.address, line.zone)
             else:
                 table.pop(line.server_id, None)
             self.batches[line.slice_id] = batch
-            self.changed.add(line.slice_id)
+            self.changed_slices.add(line.slice_id)
 
-    def taken(self, number: int) -> None:
-        self.lines.pop(number, None)
+    def on_ownership_revoked(self, number: int) -> None:
+        self.entries.pop(number, None)
         self.batches.pop(number, None)
-        self.changed.discard(number)
+        self.changed_slices.discard(number)
 
-    def missing(self, charges: Iterable[SliceOwnership]) -> tuple[int, list[WeightEntry]]:
+    def missing_writes(self, charges: Iterable[SliceOwnership]) -> tuple[int, list[WeightEntry]]:
         """(batch, lines) to write once more under the tokens that were given: what the store's tables lack."""
         lines: list[WeightEntry] = []
         batch = 0
         for charge in charges:
-            mine, stored = self.lines.get(charge.slice_id, {}), {h.server_id: h for h in charge.entries}
+            mine, stored = self.entries.get(charge.slice_id, {}), {h.server_id: h for h in charge.entries}
             new = [h for s, h in sorted(mine.items()) if s not in stored or stored[s].weight != h.weight]
             found = [
                 WeightEntry(charge.slice_id, h.server_id, h.weight, charge.fencing_token, h.address, h.zone)
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -115,7 +115,7 @@
 
     def _serve(self) -> None:
         if self.lifecycle.ready():
-            self.log("serving", listed=self.runtime.listed, news=self.news.settled)
+            self.log("serving", listed=self.runtime.has_endpoint_list, news=self.news.settled)
             self.listener.serve()
 
     def reload(self) -> None:
@@ -186,9 +186,9 @@
                 self.reactor.callLater(BEHIND_S, self._list_behind)
             return
         news = ListNews(kind, told.seq, told.entries)
-        for reason in [*told.bad, *self.runtime.news(self.now(), news)][:5]:
+        for reason in [*told.bad, *self.runtime.on_watch_event(self.now(), news)][:5]:
             self.log("entry_refused", reason=reason)
-        for number in sorted(self.probers.keys() - self.runtime.entries.keys()):
+        for number in sorted(self.probers.keys() - self.runtime.endpoints.keys()):
             self.probers.pop(number).stop()
         states = {
             self.hosts.name(e.server_id): e.status for e in told.entries if e.status != EndpointStatus.READY
@@ -208,16 +208,16 @@
             return
         now = self.now()
         for number in changes.left:
-            self.runtime.left(now, number)
+            self.runtime.on_proxy_disconnected(now, number)
         for row in changes.joined:
             zone = self.names.zones.get(row.az)
             if zone is None:
                 self.log("news_refused", reason=f"zone {row.az[:40]!r} of proxy {row.sidecar}")
                 continue
-            self.runtime.joined(now, row.sidecar, zone, row.share, row.standing)
+            self.runtime.on_proxy_connected(now, row.sidecar, zone, row.share, row.standing)
         for number in changes.taken:
             self.outbox.void(number)
-            self.runtime.taken(now, number)
+            self.runtime.on_ownership_revoked(now, number)
         for number, table in sorted(changes.given.items()):
             self._given(now, number, table)
         for number, lines in sorted(changes.late.items()):
@@ -225,7 +225,7 @@
         for number, table in sorted(changes.again.items()):
             self._compare(now, number, table)
         for news in changes.applied:
-            self.runtime.hear(
+            self.runtime.add_events(
                 now, CheckpointAcknowledged(news.sidecar, news.version, max(0.0, news.lag_ms / m.MS))
             )
         if changes.taken or changes.given or len(changes.joined) > 1:
@@ -242,7 +242,7 @@
     def _given(self, now: float, number: int, table: dict[str, float]) -> None:
         self.outbox.void(number)
         lines = [TableEntry(self.hosts.number(host), share) for host, share in sorted(table.items())]
-        self.runtime.charge(now, SliceOwnership(number, 1, self.settings.assigner_index, lines))
+        self.runtime.on_ownership_granted(now, SliceOwnership(number, 1, self.settings.assigner_index, lines))
 
     def _ours(self, number: int) -> set[int]:
         """Servers whose lines of a slice are on their way, or were sent so lately that the store may be behind."""
@@ -256,18 +256,20 @@
         ours = self._ours(number)
         told = {self.hosts.number(host): share for host, share in sorted(lines.items())}
         self.log("lines_late", slice=number, lines=len(lines))
-        self.runtime.hear(now, *(StoredWeight(number, s, w) for s, w in told.items() if s not in ours))
+        self.runtime.add_events(now, *(StoredWeight(number, s, w) for s, w in told.items() if s not in ours))
 
     def _compare(self, now: float, number: int, table: dict[str, float]) -> None:
         stored = {self.hosts.number(host): share for host, share in table.items() if share > 0}
-        decider = self.runtime.decider
+        decider = self.runtime.director
         view = decider.slices.get(number) if isinstance(decider, Director) else None
         believed = view.lines if view is not None else {}
         ours = self._ours(number)
         if read_anew(stored, believed, ours):
             self.log("table_differs", slice=number, stored=len(stored), believed=len(believed))
             lines = [TableEntry(s, share) for s, share in sorted(table_anew(stored, believed, ours).items())]
-            self.runtime.charge(now, SliceOwnership(number, 1, self.settings.assigner_index, lines))
+            self.runtime.on_ownership_granted(
+                now, SliceOwnership(number, 1, self.settings.assigner_index, lines)
+            )
 
     # Collectors and probes ----------------------------------------------------------------------
 
@@ -284,7 +286,7 @@
         except m.Invalid as error:
             self.listener.spoilt(str(error))
             return
-        self.runtime.hear(self.now(), event)
+        self.runtime.add_events(self.now(), event)
         self._schedule()
 
     def _probe_next(self) -> None:
@@ -295,7 +297,7 @@
         server = self._to_probe.pop(0)
         if self._to_probe:
             self.reactor.callLater(self._probe_pause_s, self._probe_next)
-        told = self.runtime.addresses.get(server, "")
+        told = self.runtime.server_addresses.get(server, "")
         if not told or not self.settings.health_checks_enabled:
             return
         try:
@@ -309,7 +311,7 @@
             target = "/_load" if self.settings.load_value_names else "/ping"
 
             def done(status: int, took_s: float, report: dict[str, float]) -> None:
-                self.runtime.hear(
+                self.runtime.add_events(
                     self.now(),
                     HealthCheckResult(server, HealthCheckStatus(status), took_s, self.names.values(report)),
                 )
@@ -335,7 +337,7 @@
 
     def _tick(self) -> None:
         began, cpu = self.now(), time.process_time()
-        due = self.runtime.next_timer()
+        due = self.runtime.next_timer_at()
         if due is not None and due <= began:
             self.late_most_s = max(self.late_most_s, began - due)
         try:
@@ -347,20 +349,22 @@
             self.reactor.callLater(RECOVER_S, self._recover)
         self.round_most_s = max(self.round_most_s, self.now() - began)
         self.round_cpu_s += time.process_time() - cpu
-        timer = self.runtime.next_timer()
-        if self.runtime.busy():
+        timer = self.runtime.next_timer_at()
+        if self.runtime.has_pending_events():
             self._schedule()
         elif timer is not None:
             self._schedule(max(0.001, timer - self.now()))
 
     def _recover(self) -> None:
-        self.runtime.revive(self.now())
+        self.runtime.restart_rounds(self.now())
         self._schedule()
 
     def _act(self, effects: Effects) -> None:
         self.rounds += 1
         if effects.actions:
-            orders, wrong = relay.orders(effects.actions, self.names, self.hosts.name, self.runtime.tokens)
+            orders, wrong = relay.orders(
+                effects.actions, self.names, self.hosts.name, self.runtime.fencing_tokens
+            )
             for reason in wrong:
                 self.log("order_unsaid", reason=reason)
             if orders:
@@ -371,17 +375,17 @@
                 self.log(
                     "decision",
                     orders=len(orders),
-                    proxies=len(self.runtime.proxies),
+                    proxies=len(self.runtime.proxy_zones),
                     withdrawals=[o.text.decode() for o in orders if o.key[0] == "server"][:5],
-                    after_ms=round((self.now() - effects.heard_at) * 1000, 2),
+                    after_ms=round((self.now() - effects.first_event_at_s) * 1000, 2),
                 )
-        if effects.probes and self.news.standing.in_service:
+        if effects.health_checks and self.news.standing.in_service:
             idle = not self._to_probe
-            self._to_probe += effects.probes
+            self._to_probe += effects.health_checks
             self._probe_pause_s = PROBES_OVER_S / len(self._to_probe)
             if idle:
                 self.reactor.callLater(0, self._probe_next)
-        for text in effects.logs:
+        for text in effects.log_messages:
             self.log("module", text=text)
 
     # Upkeep -------------------------------------------------------------------------------------
@@ -389,8 +393,8 @@
     def _forget(self) -> None:
         """What the module has forgotten is forgotten here."""
         self.reactor.callLater(FORGET_S, self._forget)
-        decider = self.runtime.decider
-        kept = set(self.runtime.entries) | self.runtime.waiting_servers()
+        decider = self.runtime.director
+        kept = set(self.runtime.endpoints) | self.runtime.pending_server_ids()
         if isinstance(decider, Director):
             kept |= decider.servers.keys()
             for view in decider.slices.values():
@@ -411,9 +415,9 @@
             rounds=self.rounds,
             round_most_ms=round(self.round_most_s * 1000, 1),
             late_most_ms=round(self.late_most_s * 1000, 1),
-            proxies=len(self.runtime.proxies),
-            slices=len(self.runtime.tokens),
-            servers=len(self.runtime.entries),
+            proxies=len(self.runtime.proxy_zones),
+            slices=len(self.runtime.fencing_tokens),
+            servers=len(self.runtime.endpoints),
             hosts=len(self.hosts),
             probers=len(self.probers),
             reports=dict(self.reports),
--- a/puffintide/replication/joining.py
+++ b/puffintide/replication/catch_up.py
@@ -58,7 +58,8 @@
     """What to tell each peer of where we stand, so that each row comes from one of them and not from all: of an
     origin the origin itself is asked where it is in reach, else one that has told of most. To the others we say
     that we have what is on its way here. Who was asked and sends nothing for PATIENCE_S (not whole itself, or cut
-    off) is not relied on: then all are asked."""
+    off) is not relied on: then all are asked.
+    """
 
     def __init__(self, origins: int) -> None:
         self.origins = origins
@@ -101,7 +102,8 @@
 class CatchUp:
     """Of one that starts. It has caught up once it lacks nothing that any of the others in reach has told of, and
     one has told. Who is neither there nor refused (a cut, a stall) is waited for: others must not be passed over
-    because they answer later."""
+    because they answer later.
+    """
 
     def __init__(self, others: Iterable[int]) -> None:
         self.open = set(others)
@@ -129,5 +131,6 @@
 
 def stays(stands_life: int, new_life: int, dialled_by_lower: bool) -> bool:
     """Of two streams between a pair, whether the one that stands stays. Both ends say the same, so that one is
-    left: that of a later life, else the one that the lower number keeps dialling."""
+    left: that of a later life, else the one that the lower number keeps dialling.
+    """
     return not dialled_by_lower and new_life <= stands_life
--- a/puffintide/replication/settle.py
+++ b/puffintide/replication/conflict_resolution.py
@@ -50,7 +50,8 @@
     told_s: Mapping[int, float],
 ) -> list[int]:
     """Servers that leave by another's list, in the life that we know, where that list is younger than what our own
-    told of it (told_s: seconds ago). Who tells so of more than OUT_MOST of the servers we know is not believed."""
+    told of it (told_s: seconds ago). Who tells so of more than OUT_MOST of the servers we know is not believed.
+    """
     said: dict[int, set[int]] = {}
     for sid, rows in readings.items():
         for r in rows:
--- a/puffintide/replication/findings.py
+++ b/puffintide/replication/peer_observations.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 
 from puffintide.decisions.events import PeerObservation
-from puffintide.replication import settle
+from puffintide.replication import conflict_resolution
 from puffintide.replication.replica import Replica
 
-AGAIN_S = settle.FRESH_S / 2  # what stands is told anew so often, so that it does not grow old
+AGAIN_S = conflict_resolution.FRESH_S / 2  # what stands is told anew so often, so that it does not grow old
 KEPT_S = 60.0  # what others found out counts no longer than this
 CHANGED = 0.1  # a figure off by this share is told
 
@@ -60,7 +60,8 @@
 
     def _publish_leaving(self, now: float, replica: Replica, heard: Heard) -> None:
         """What leaves is told with the time at which the list said so, which does not grow younger. What has left
-        the list is told on for a while: to one whose list does not reach it, it would else seem to be back."""
+        the list is told on for a while: to one whose list does not reach it, it would else seem to be back.
+        """
         lives = {**self.lives, **heard.lives}
         for sid in sorted({*heard.draining, *(self.lives.keys() - heard.lives.keys())} - self.leaving.keys()):
             self.leaving[sid] = lives.get(sid, 0), heard.at.get(sid, now)
@@ -78,17 +79,17 @@
     def told(self, now: float, replica: Replica, found: Findings, heard: Heard) -> list[PeerObservation]:
         """News alone. A reading of an earlier life of a server says nothing of it."""
         told: set[PeerObservation] = set()
-        best = settle.figure(replica.readings(now, "fleet", KEPT_S).get(-1, []), replica.me)
+        best = conflict_resolution.figure(replica.readings(now, "fleet", KEPT_S).get(-1, []), replica.me)
         if best is not None and best.origin != replica.me:
             told.add(PeerObservation(-1, capacity_per_s=float(best.value[0])))
         readings = replica.readings(now, "server", KEPT_S)
-        trusted = settle.believed(readings, len(heard.lives))
+        trusted = conflict_resolution.believed(readings, len(heard.lives))
         for sid, rows in sorted(readings.items()):
-            state = settle.server([r for r in rows if r.origin != replica.me], trusted)
+            state = conflict_resolution.server([r for r in rows if r.origin != replica.me], trusted)
             if state is not None and sid in heard.lives and state[0] == heard.lives[sid]:
                 told.add(PeerObservation(sid, recovery_level=state[1]))
         leaving = replica.readings(now, "leaving", KEPT_S)
-        for sid in settle.leaving(
+        for sid in conflict_resolution.leaving(
             leaving, replica.me, heard.lives, {s: now - t for s, t in heard.at.items()}
         ):
             told.add(PeerObservation(sid, is_leaving=True))
--- a/puffintide/replication/peers.py
+++ b/puffintide/replication/peer_sessions.py
@@ -1,5 +1,6 @@
 """Streams between assigners. What is held and what of it counts is decided in `replica`, `settle` and `tables`,
-what goes when in `joining`."""
+what goes when in `joining`.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +10,15 @@
 from functools import partial
 from typing import Any, Protocol
 
-from puffintide.assigner.ordered import Ordered
 from puffintide.config.schema import PeersSection
+from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
 from puffintide.protocol.messages import AnyMessage, ReplicaVersion
 from puffintide.protocol.stream import Dialler, Handler, Stream
-from puffintide.replication.findings import Findings, Heard, Shared
-from puffintide.replication.joining import Asking, CatchUp, Outgoing, stays
+from puffintide.replication.catch_up import Asking, CatchUp, Outgoing, stays
+from puffintide.replication.peer_observations import Findings, Heard, Shared
 from puffintide.replication.replica import NONCE_BITS, Replica
-from puffintide.replication.tables import adopt, flush, tidy, wrong_copies
+from puffintide.replication.table_replicas import adopt, flush, tidy, wrong_copies
 
 TIDY_S = 10.0
 REASONS_MOST = 5  # logged of one message
@@ -41,7 +42,8 @@
 class Peers:
     """One stream for each pair of assigners. Who has the lower number keeps dialling; who starts dials those below
     it once, so as not to wait for them. ready is called once, when what the others hold is here too, or catch_up_s
-    are over."""
+    are over.
+    """
 
     def __init__(
         self,
@@ -202,7 +204,7 @@
         self.reactor.callLater(self.section.every_s, self._beat)
 
     def flush(
-        self, tokens: Mapping[int, int], ordered: Ordered, findings: Findings, heard: Heard
+        self, tokens: Mapping[int, int], ordered: OwnedTables, findings: Findings, heard: Heard
     ) -> list[Any]:
         """Puts what changed into the copies; gives what the module is to be told of the others'."""
         now = self.reactor.seconds()
--- a/puffintide/replication/tables.py
+++ b/puffintide/replication/table_replicas.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from puffintide.assigner.ordered import Ordered
+from puffintide.owned_tables import OwnedTables
 from puffintide.protocol.checks import wrong_lines
 from puffintide.protocol.messages import ReplicatedRow, ReplicationDelta, TableEntry, Value
-from puffintide.replication import settle
+from puffintide.replication import conflict_resolution
 from puffintide.replication.replica import PIECE_ROWS, Reading, Replica
 
 KIND = "table"
@@ -57,7 +57,8 @@
 
 def wrong_copies(piece: ReplicationDelta, slices: int) -> tuple[list[str], ReplicationDelta | None]:
     """(reasons, what of it is sound): a row that can't be is refused for itself, and the rest taken. None: nothing
-    of it can be used."""
+    of it can be used.
+    """
     if not (
         0 <= piece.after_sequence <= piece.through_sequence <= piece.latest_sequence
         and piece.compacted_sequence >= 0
@@ -102,22 +103,24 @@
     return None if sound else f"{where}: {row.value!r:.60} can't be"
 
 
-def flush(now: float, replica: Replica, tokens: Mapping[int, int], ordered: Ordered) -> None:
+def flush(now: float, replica: Replica, tokens: Mapping[int, int], ordered: OwnedTables) -> None:
     """Puts the tables in one assigner's charge into its copies when they change. The copy of one that was taken
-    stays until another's with a later token is here: store and new owner may be lost together."""
-    for number in sorted(ordered.changed & tokens.keys()):
-        lines = ordered.lines.get(number, {}).values()
+    stays until another's with a later token is here: store and new owner may be lost together.
+    """
+    for number in sorted(ordered.changed_slices & tokens.keys()):
+        lines = ordered.entries.get(number, {}).values()
         replica.put(now, KIND, number, packed(tokens[number], ordered.batches.get(number, 0), lines))
-    ordered.changed = set()
+    ordered.changed_slices = set()
 
 
 def adopt(now: float, replica: Replica) -> None:
     """An assigner that comes back without what it had must not take the others' copies of it along. Who follows it
-    by number writes them as its own, the next after a while, unless a copy as new stands by then."""
+    by number writes them as its own, the next after a while, unless a copy as new stands by then.
+    """
     numbers = [number for _, number in replica.orphans]
     readings = replica.readings(now, KIND, numbers=numbers) if numbers else {}
     for (kind, number), orphan in sorted(replica.orphans.items()):
-        best = settle.table(readings.get(number, []))
+        best = conflict_resolution.table(readings.get(number, []))
         if best is not None and best.value[:2] >= orphan.row.value[:2]:
             del replica.orphans[kind, number]
         elif now - orphan.since >= ((replica.me - orphan.origin) % replica.origins - 1) * ADOPT_S:
@@ -130,7 +133,7 @@
     idle = replica.mine(KIND).keys() - tokens.keys()
     readings = replica.readings(now, KIND, numbers=idle) if idle else {}
     for number in sorted(idle):
-        best = settle.table(readings[number])
+        best = conflict_resolution.table(readings[number])
         if best is not None and best.origin != replica.me:
             replica.drop(KIND, number)
 
@@ -139,14 +142,15 @@
     replica: Replica, clock: Callable[[], float], changed: Iterable[int] | None = None
 ) -> Iterator[ReplicationDelta]:
     """For each slice, or these, the table that holds by the rule, as pieces; the last one's upto is its top. Each
-    is made when it is asked for, so that no turn of the loop is long."""
+    is made when it is asked for, so that no turn of the loop is long.
+    """
     held = {n for h in replica.held.values() for n in h.kinds.get(KIND, {})}
     held |= {n for h in replica.held.values() for kind, n in h.former if kind == KIND}
     numbers = sorted(held if changed is None else held.intersection(changed))
     for first in range(0, max(1, len(numbers)), PIECE_ROWS):
         part = numbers[first : first + PIECE_ROWS]
         readings = replica.readings(clock(), KIND, numbers=part)
-        best = [(n, r) for n in part if (r := settle.table(readings.get(n, []))) is not None]
+        best = [(n, r) for n in part if (r := conflict_resolution.table(readings.get(n, []))) is not None]
         rows = [
             ReplicatedRow(KIND, n, first + k + 1, round(r.age_s, 3), r.value) for k, (n, r) in enumerate(best)
         ]
@@ -158,12 +162,12 @@
     best: dict[int, dict[str, Reading]] = {}
     for who, replica in sorted(views.items()):
         for number, rows in replica.readings(0.0, KIND).items():
-            found = settle.table(rows)
+            found = conflict_resolution.table(rows)
             if found is not None:
                 best.setdefault(number, {})[who] = found
     lines = []
     for number, held in sorted(best.items()):
-        newest = settle.table(held.values())
+        newest = conflict_resolution.table(held.values())
         assert newest is not None
         behind = [w for w in sorted(views) if w not in held or held[w].value != newest.value]
         if behind:
@@ -179,7 +183,8 @@
 class Refill:
     """Gathers what assigners hold, for a store that is empty. By itself it goes on once all configured assigners
     have answered, or wait_s after the first and with more than half of them: never on one word where others may
-    hold newer. An operator may let it go on with those that are there."""
+    hold newer. An operator may let it go on with those that are there.
+    """
 
     def __init__(self, slices: int, assigners: int, wait_s: float) -> None:
         self.slices, self.assigners, self.wait_s = slices, assigners, wait_s
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -17,7 +17,7 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
 from puffintide.protocol.stream import Acceptor, Stream
-from puffintide.replication.tables import Refill
+from puffintide.replication.table_replicas import Refill
 from puffintide.store.book import Book, Change, charge_of
 from puffintide.store.engine import Change as Kept
 from puffintide.store.engine import Engine, Image, Overtaken, StoreError
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -25,7 +25,7 @@
 from puffintide.emulators.fleet import FleetService
 from puffintide.protocol.messages import TableEntry
 from puffintide.proxy.service import ProxyService
-from puffintide.replication.tables import GAP, Refill
+from puffintide.replication.table_replicas import GAP, Refill
 from puffintide.scenarios.faults import Step, plan
 from puffintide.scenarios.place import Place, at
 from puffintide.scenarios.tap import Bend, Link, Tap
@@ -509,7 +509,7 @@
         found = []
         for number, record in sorted(self.store.book.slices.items()):
             kept = {s: h.weight for s, h in record.lines.items()}
-            decider: Any = self.assigners[record.assigner].runtime.decider
+            decider: Any = self.assigners[record.assigner].runtime.director
             director = getattr(decider, "director", decider)
             module = director.slices[number].lines
             if module != kept:
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from puffintide.assigner.ordered import Ordered
-from puffintide.assigner.reports import Gatherer
+from puffintide.assigner.load_reports import LoadReportAggregator
 from puffintide.assigner.runtime import Runtime
 from puffintide.decisions.actions import ALL_SLICES, SetWeight
 from puffintide.decisions.director import REST_S
@@ -22,6 +21,7 @@
     ZoneCommandReceived,
     ZoneOperation,
 )
+from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
 from puffintide.proxy.engine import Engine, Finish, Limits, Send
 from puffintide.proxy.tables import Tables
@@ -141,16 +141,16 @@
     runtime = Runtime(
         settings(slice_count=4, load_value_names=("rif",)), lambda s: ZonedDirector(s, ZoneLimits())
     )
-    decider: Any = runtime.decider
-    held, reports, now = tables(4), Gatherer(300.0), 1000.0
-    runtime.joined(now, 0, 0, 0.0, True)
+    decider: Any = runtime.director
+    held, reports, now = tables(4), LoadReportAggregator(300.0), 1000.0
+    runtime.on_proxy_connected(now, 0, 0, 0.0, True)
     for first in range(0, 4000, 4):  # four at a time, each 30 s
         ids = range(first, first + 4)
         listed = [m.EndpointEntry(s, s % 2, 0, 0, 1, 2.0, 1, -1.0, at(5000 + s)) for s in ids]
-        runtime.news(now, m.WatchEvent("full", first, listed))
+        runtime.on_watch_event(now, m.WatchEvent("full", first, listed))
         if first == 0:
             for n in range(4):
-                runtime.charge(
+                runtime.on_ownership_granted(
                     now, m.SliceOwnership(n, n + 1, 0, [m.TableEntry(n, 1.0, at(5000 + n))], 0, n + 1)
                 )
         for step in range(6):
@@ -158,16 +158,16 @@
             sums = m.UsageReport(
                 0.5, [m.ServerUsage(s, 9, 0, 0.5, [1.0]) for s in ids], [m.SliceUsage(0, 0, 9, 0)]
             )
-            reports.add(now, 0, sums)
-            runtime.hear(
+            reports.add_usage(now, 0, sums)
+            runtime.add_events(
                 now,
-                *reports.take(now),
+                *reports.take_reports(now),
                 HealthCheckResult(first + step % 4, HealthCheckStatus.OK, 0.01, (1.0,)),
             )
-            runtime.hear(now, TimerFired(1))
+            runtime.add_events(now, TimerFired(1))
             effects = runtime.tick(now)
             assert effects is not None
-            for _, made in effects.orders:
+            for _, made in effects.proxy_updates:
                 held.order(0, made)
     assert set(held.open(0)) <= set(ids)
     plan, module = decider.plan, decider.director
@@ -178,9 +178,9 @@
         "plan": len(plan.servers),
         "growth": len(plan.growth),
         "behind": len(plan.behind),
-        "addresses": len(runtime.addresses),
-        "zones": len(runtime.zones),
-        "starts": len(runtime._started),
+        "addresses": len(runtime.server_addresses),
+        "zones": len(runtime.server_zones),
+        "starts": len(runtime._server_starts),
         "reports": len(reports._told),
         "proxy": len(held.addresses),
         "proxy's zones": len(held.zones),
@@ -280,7 +280,7 @@
     deployment = Deployment(tmp_path, faults, day={"length_s": 6})
     deployment.play()
     for assigner in deployment.assigners.values():
-        assert set(assigner.probers) == set(assigner.listed.entries) == {0, 3, 4, 5, 6, 7}
+        assert set(assigner.health_checkers) == set(assigner.endpoint_list.entries) == {0, 3, 4, 5, 6, 7}
 
 
 def charge(number: int, token: int, lines: dict[int, float]) -> m.SliceOwnership:
@@ -289,13 +289,13 @@
 
 
 def test_what_the_store_lacks_is_written_again_for_an_unbroken_tenure_alone() -> None:
-    ordered = Ordered()
+    ordered = OwnedTables()
     for number in range(3):
-        ordered.charge(charge(number, 1, {0: 1.0, 4: 1.0}), goes_on=False)
-    ordered.written(3, [line(0, 1, 1.0, 1), line(1, 1, 1.0, 2)])
-    ordered.written(5, [line(0, 1, 0.5, 1), line(0, 4, 0.0, 1), line(2, 1, 1.0, 3)])
-    assert ordered.missing(
+        ordered.on_ownership_granted(charge(number, 1, {0: 1.0, 4: 1.0}), goes_on=False)
+    ordered.apply_writes(3, [line(0, 1, 1.0, 1), line(1, 1, 1.0, 2)])
+    ordered.apply_writes(5, [line(0, 1, 0.5, 1), line(0, 4, 0.0, 1), line(2, 1, 1.0, 3)])
+    assert ordered.missing_writes(
         [charge(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), charge(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]
     ) == (5, [line(0, 1, 0.5, 9), m.WeightEntry(0, 4, 0.0, 9)])
-    ordered.charge(charge(2, 9, {0: 1.0}), goes_on=False)  # another had it since
-    assert ordered.missing([charge(2, 9, {0: 1.0})]) == (0, [])
+    ordered.on_ownership_granted(charge(2, 9, {0: 1.0}), goes_on=False)  # another had it since
+    assert ordered.missing_writes([charge(2, 9, {0: 1.0})]) == (0, [])
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -88,10 +88,10 @@
     told = orders(good_wire)
     assert any(x.server_id == 0 and x.weight == 0 for order in told for x in order.weights)
     assert orders(deaf_wire) == []
-    assert a.service.channel.waiting() > 0
+    assert a.service.channel.queued_entries() > 0
     deaf_wire.producer.resumeProducing()  # type: ignore[union-attr]
     a.pass_time(0.2)
-    assert orders(deaf_wire) == told and a.service.channel.waiting() == 0
+    assert orders(deaf_wire) == told and a.service.channel.queued_entries() == 0
 
 
 def test_a_proxy_that_never_reads_is_given_up_before_it_holds_more_than_the_channel() -> None:
@@ -107,7 +107,7 @@
         )
         a.pass_time(1)
         keep(deaf, good)
-        most = max(most, a.service.channel.waiting())
+        most = max(most, a.service.channel.queued_entries())
         if deaf_wire.disconnected or deaf_wire.disconnecting or 0 not in a.service.proxies:
             break
     assert 0 < most <= 700
@@ -148,7 +148,7 @@
     keep(*all_)
     assigner.pass_time(1.0)
     keep(*all_)
-    decider: Any = assigner.service.runtime.decider
+    decider: Any = assigner.service.runtime.director
     real, decider.handle = decider.handle, lambda *_: 1 / 0
     assigner.pass_time(1.0)
     decider.handle = real
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -8,7 +8,7 @@
 import pytest
 
 from puffintide.protocol import messages as m
-from puffintide.replication import settle
+from puffintide.replication import conflict_resolution
 from puffintide.scenarios.tap import Bend, Conn, Link
 from tests.deployment import Deployment
 
@@ -21,9 +21,11 @@
     views = {}
     for k, service in d.assigners.items():
         if d.party[f"assigner:{k}"].alive:
-            assert service.peers is not None
-            rows = service.peers.replica.readings(now, "table")
-            views[k] = {n: best.value for n, r in rows.items() if (best := settle.table(r)) is not None}
+            assert service.peer_sessions is not None
+            rows = service.peer_sessions.replica.readings(now, "table")
+            views[k] = {
+                n: best.value for n, r in rows.items() if (best := conflict_resolution.table(r)) is not None
+            }
     for number, record in sorted(d.store.book.slices.items()):
         wanted = [(h.server_id, h.weight) for _, h in sorted(record.lines.items())]
         for k, view in views.items():
@@ -150,7 +152,7 @@
     """Assigner 1 tells of itself what it never wrote: a row that can't be, one that can, beyond where it stands."""
 
     def lie(d: Deployment) -> None:
-        peers = d.assigners[1].peers
+        peers = d.assigners[1].peer_sessions
         assert peers is not None
         mine = peers.replica.held[1]
         rows = [
@@ -167,7 +169,9 @@
     assert [(what["origin"], what["by"]) for what in refused] == [(1, 1)]
     assert any(event == "later_life_remembered" for event, _ in d.log["assigner:1"].rows)
     held = [
-        service.peers.replica.readings(0.0, "server") for service in d.assigners.values() if service.peers
+        service.peer_sessions.replica.readings(0.0, "server")
+        for service in d.assigners.values()
+        if service.peer_sessions
     ]
     assert held == [{}, {}, {}]
 
@@ -195,7 +199,7 @@
         assert seen[8.9]  # nothing told it: its slices lie on a server that is about to stop
     else:
         assert verdict.judgement.findings == [] and not seen[7.5] and not seen[8.9], seen
-        assert not d.assigners[1].runtime.decider.director.ready(1)  # type: ignore[attr-defined]
+        assert not d.assigners[1].runtime.director.director.ready(1)  # type: ignore[attr-defined]
 
 
 def test_what_is_ordered_while_the_store_waits_for_others_is_not_lost(tmp_path: Path) -> None:
@@ -209,7 +213,7 @@
     def look(d: Deployment) -> None:
         """What each has ordered, until the store has its tables: they are as of the last beat, not of its start."""
         if found or not any(event == "refilled" for event, _ in d.log["store"].rows):
-            live = [d.assigners[k].ordered.lines for k in (0, 2)]
+            live = [d.assigners[k].owned_tables.entries for k in (0, 2)]
             seen.append({n: {s: h.weight for s, h in t.items()} for lines in live for n, t in lines.items()})
             return
         book = {n: {s: h.weight for s, h in r.lines.items()} for n, r in d.store.book.slices.items()}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from puffintide.assigner.handover import FIRST_MARK, Handover, Steps
+from puffintide.assigner.handover import FIRST_CHECKPOINT_ID, Handover, HandoverSteps
 from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
 LEASE, LONGEST = 1.0, 2.0
@@ -33,82 +33,86 @@
 def made(patience_s: float = 10.0) -> Handover:
     found = Handover(LEASE, LONGEST, patience_s, 2.0)
     for proxy in (0, 1):
-        found.joined(0.0, proxy)
+        found.on_proxy_connected(0.0, proxy)
     return found
 
 
-def lines_of(steps: Steps) -> dict[int, list[int]]:
-    return {p: [x.server_id for x in o.weights] for p, o in steps.orders if o.weights}
+def lines_of(steps: HandoverSteps) -> dict[int, list[int]]:
+    return {p: [x.server_id for x in o.weights] for p, o in steps.proxy_updates if o.weights}
 
 
 def test_stop_then_keep_then_go() -> None:
     h = made()
-    steps = h.put(1.0, *batch(5, [line(3, 8)], [0, 1], out=[4]))
-    stops = {p: o for p, o in steps.orders if o.cleared_slices}
+    steps = h.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1], out=[4]))
+    stops = {p: o for p, o in steps.proxy_updates if o.cleared_slices}
     assert set(stops) == {0, 1} and all(o.cleared_slices == [3] and not o.weights for o in stops.values())
-    assert len(steps.orders) == 2 and all(
+    assert len(steps.proxy_updates) == 2 and all(
         o.withdrawn_servers == [4] for o in stops.values()
     )  # withdrawals don't wait
     assert steps.writes == []
     mark = stops[0].checkpoint_id
-    assert mark is not None and mark >= FIRST_MARK
-    assert h.applied(1.2, 0, mark) == Steps()
-    kept = h.applied(1.4, 1, mark)
-    assert kept.writes == [(5, [line(3, 8)])] and kept.orders == []
-    assert h.written(1.5, 4) == Steps()
-    assert lines_of(h.written(1.6, 5)) == {0: [8], 1: [8]} and not h.moves
+    assert mark is not None and mark >= FIRST_CHECKPOINT_ID
+    assert h.on_checkpoint_reply(1.2, 0, mark) == HandoverSteps()
+    kept = h.on_checkpoint_reply(1.4, 1, mark)
+    assert kept.writes == [(5, [line(3, 8)])] and kept.proxy_updates == []
+    assert h.on_write_acknowledged(1.5, 4) == HandoverSteps()
+    assert lines_of(h.on_write_acknowledged(1.6, 5)) == {0: [8], 1: [8]} and not h.moves
 
 
 def test_batches_follow_each_other_and_those_that_wait_go_as_one() -> None:
     h = made()
-    first = h.put(1.0, *batch(5, [line(3, 8)], [0, 1]))
-    assert h.put(1.1, *batch(6, [line(3, 7), line(4, 9)], [0, 1])).orders == []
+    first = h.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1]))
+    assert h.add_batch(1.1, *batch(6, [line(3, 7), line(4, 9)], [0, 1])).proxy_updates == []
     assert (
-        len(h.put(1.1, *batch(7, [line(3, 9)], [0, 1], out=[2])).orders) == 2
+        len(h.add_batch(1.1, *batch(7, [line(3, 9)], [0, 1], out=[2])).proxy_updates) == 2
     )  # what is beside goes at once
     for proxy in (0, 1):
-        h.applied(1.2, proxy, first.orders[0][1].checkpoint_id or 0)
-    after = h.written(1.3, 5)
+        h.on_checkpoint_reply(1.2, proxy, first.proxy_updates[0][1].checkpoint_id or 0)
+    after = h.on_write_acknowledged(1.3, 5)
     assert lines_of(after) == {0: [8], 1: [8]}
-    stops = [o for _, o in after.orders if o.cleared_slices]
+    stops = [o for _, o in after.proxy_updates if o.cleared_slices]
     assert [o.cleared_slices for o in stops] == [[3, 4], [3, 4]]
     for proxy in (0, 1):
-        h.applied(1.4, proxy, stops[0].checkpoint_id or 0)
-    went = h.written(1.5, 7)
-    assert [sorted((x.slice_id, x.server_id) for x in o.weights) for _, o in went.orders] == [
+        h.on_checkpoint_reply(1.4, proxy, stops[0].checkpoint_id or 0)
+    went = h.on_write_acknowledged(1.5, 7)
+    assert [sorted((x.slice_id, x.server_id) for x in o.weights) for _, o in went.proxy_updates] == [
         [(3, 9), (4, 9)]
     ] * 2
 
 
 def test_a_slice_that_is_anothers_by_now_goes_to_nobody() -> None:
     h = made()
-    steps = h.put(1.0, *batch(5, [line(3, 8), line(4, 8)], [0, 1]))
+    steps = h.add_batch(1.0, *batch(5, [line(3, 8), line(4, 8)], [0, 1]))
     for proxy in (0, 1):
-        h.applied(1.2, proxy, steps.orders[0][1].checkpoint_id or 0)
-    h.refused(3)
-    assert all([x.slice_id for x in o.weights] == [4] for _, o in h.written(1.3, 5).orders)
+        h.on_checkpoint_reply(1.2, proxy, steps.proxy_updates[0][1].checkpoint_id or 0)
+    h.drop_slice(3)
+    assert all(
+        [x.slice_id for x in o.weights] == [4] for _, o in h.on_write_acknowledged(1.3, 5).proxy_updates
+    )
 
 
 def test_who_went_away_is_waited_out_and_who_comes_gets_the_lines_first() -> None:
     h = made()
-    steps = h.put(1.0, *batch(5, [line(3, 8)], [0, 1]))
-    h.applied(1.1, 0, steps.orders[0][1].checkpoint_id or 0)
-    assert h.left(1.2, 1).writes == []
-    assert h.joined(1.5, 1).orders == []  # back: its first order comes with the lines
-    assert h.due(1.2 + LEASE + LONGEST - 0.01).writes == []
-    assert h.due(1.2 + LEASE + LONGEST).writes != []
-    assert lines_of(h.written(4.5, 5)) == {0: [8], 1: [8]}
-    assert [p for p, _ in h.joined(5.0, 2).orders] == [2]  # no move: at once
+    steps = h.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1]))
+    h.on_checkpoint_reply(1.1, 0, steps.proxy_updates[0][1].checkpoint_id or 0)
+    assert h.on_proxy_disconnected(1.2, 1).writes == []
+    assert h.on_proxy_connected(1.5, 1).proxy_updates == []  # back: its first order comes with the lines
+    assert h.advance(1.2 + LEASE + LONGEST - 0.01).writes == []
+    assert h.advance(1.2 + LEASE + LONGEST).writes != []
+    assert lines_of(h.on_write_acknowledged(4.5, 5)) == {0: [8], 1: [8]}
+    assert [p for p, _ in h.on_proxy_connected(5.0, 2).proxy_updates] == [2]  # no move: at once
 
 
 def test_patience_ends_and_a_store_that_is_away_is_waited_for() -> None:
     h = made(patience_s=1.5)
-    h.put(1.0, *batch(5, [line(3, 8)], [0, 1]))
-    assert h.due(2.4).writes == [] and h.due(2.5).writes != []
-    assert h.due(900.0) == Steps() and h.again() == [(5, [line(3, 8)])]
-    h.token(3, 44)
-    assert h.again() == [(5, [line(3, 8, 44)])]
-    assert all(x.fencing_token == 44 for _, o in h.written(901.0, 5).orders for x in o.weights)
+    h.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1]))
+    assert h.advance(2.4).writes == [] and h.advance(2.5).writes != []
+    assert h.advance(900.0) == HandoverSteps() and h.unacknowledged_writes() == [(5, [line(3, 8)])]
+    h.on_token_renewed(3, 44)
+    assert h.unacknowledged_writes() == [(5, [line(3, 8, 44)])]
+    assert all(
+        x.fencing_token == 44 for _, o in h.on_write_acknowledged(901.0, 5).proxy_updates for x in o.weights
+    )
 
 
 class Site:
@@ -130,8 +134,8 @@
         self.order += 1
         self.post.append((self.now + self.rng.uniform(0.01, late), self.order, what, data))
 
-    def take(self, steps: Steps) -> None:
-        for proxy, order in steps.orders:
+    def take(self, steps: HandoverSteps) -> None:
+        for proxy, order in steps.proxy_updates:
             last = max((at for at, _, w, d in self.post if w == "order" and d[0] == proxy), default=0.0)
             self.order += 1
             at = max(last, self.now + self.rng.uniform(0.01, 0.4)) + 1e-6  # in order on one stream
@@ -150,13 +154,13 @@
         for proxy in range(3):
             self.life[proxy] = 1
             self.table[proxy] = self.kept
-            self.take(self.h.joined(self.now, proxy))
+            self.take(self.h.on_proxy_connected(self.now, proxy))
         for _ in range(1500):
             self.now += 0.02
             for item in sorted(i for i in self.post if i[0] <= self.now):
                 self.post.remove(item)
                 self.arrive(item[2], item[3])
-            self.take(self.h.due(self.now))
+            self.take(self.h.advance(self.now))
             for proxy in list(self.life):
                 server = self.table.get(proxy)
                 if server is not None and self.steered.get(proxy, 0.0) > self.now and self.rng.random() < 0.2:
@@ -165,7 +169,7 @@
                 moves += 1
                 new = self.rng.randrange(10)
                 self.take(
-                    self.h.put(
+                    self.h.add_batch(
                         self.now,
                         moves,
                         [line(0, new)],
@@ -187,7 +191,7 @@
         """Its stream breaks: both sides know at once, and it joins again later and reads the store."""
         self.life[proxy] += 1
         self.steered[proxy] = min(self.steered.get(proxy, 0.0), self.now + LEASE)
-        self.take(self.h.left(self.now, proxy))
+        self.take(self.h.on_proxy_disconnected(self.now, proxy))
         self.send("back", proxy, 4.0)
 
     def arrive(self, what: str, data: Any) -> None:
@@ -196,19 +200,19 @@
             self.kept = server if server is not None else self.kept
             self.send("written", number)
         elif what == "written":
-            self.take(self.h.written(self.now, data))
+            self.take(self.h.on_write_acknowledged(self.now, data))
         elif what == "back":
             assert isinstance(data, int)
             self.table[data] = self.kept
             self.steered[data] = 0.0
-            self.take(self.h.joined(self.now, data))
+            self.take(self.h.on_proxy_connected(self.now, data))
         elif what == "applied":
             proxy, life, mark = data
             if self.life[proxy] == life:
                 if self.busy(proxy):
                     self.send("applied", data, 0.05)
                 else:
-                    self.take(self.h.applied(self.now, proxy, mark))
+                    self.take(self.h.on_checkpoint_reply(self.now, proxy, mark))
         else:
             proxy, life, order = data
             if self.life[proxy] != life:
@@ -218,7 +222,7 @@
                 self.table[proxy] = None
             for x in order.weights:
                 self.table[proxy] = x.server_id
-            if order.checkpoint_id is not None and order.checkpoint_id >= FIRST_MARK:
+            if order.checkpoint_id is not None and order.checkpoint_id >= FIRST_CHECKPOINT_ID:
                 self.send("applied", (proxy, life, order.checkpoint_id), 0.05)
 
 
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -340,13 +340,13 @@
         """What the runtime is told from now on."""
         heard: list[Any] = []
         runtime: Any = self.node.runtime
-        inner = runtime.hear
+        inner = runtime.add_events
 
         def hear(now: float, *events: Any) -> None:
             heard.extend(events)
             inner(now, *events)
 
-        runtime.hear = hear
+        runtime.add_events = hear
         return heard
 
     def break_watches(self) -> None:
@@ -355,7 +355,7 @@
 
     def believed(self) -> dict[int, dict[str, float]]:
         """The module's tables, by the platform's names."""
-        slices: Any = self.node.runtime.decider.slices  # type: ignore[attr-defined]
+        slices: Any = self.node.runtime.director.slices  # type: ignore[attr-defined]
         return {s: {str(self.node.hosts.name(h)): w for h, w in v.lines.items()} for s, v in slices.items()}
 
 
@@ -374,7 +374,7 @@
     made.go(0.5)
     assert early.got == b'{"msg":"pong"}\n' * 2
     assert made.believed() == made.relay.tables
-    assert made.node.runtime.proxies.keys() == {0, 1, 2} and len(made.node.runtime.entries) == SERVERS
+    assert made.node.runtime.proxy_zones.keys() == {0, 1, 2} and len(made.node.runtime.endpoints) == SERVERS
 
 
 def test_it_answers_in_the_end_without_relay_and_discovery(tmp_path: Path) -> None:
@@ -451,7 +451,7 @@
     platform.go(3.0)
     told = {type(e).__name__ for e in heard}
     assert not told & {"ProxyConnected", "ProxyDisconnected", "OwnershipChanged", "StoredWeight"}
-    assert platform.node.runtime.proxies.keys() == {0, 1, 2} and platform.believed() == before
+    assert platform.node.runtime.proxy_zones.keys() == {0, 1, 2} and platform.believed() == before
     assert platform.relay.watchers() and platform.discovery.watchers() and platform.node.rounds > rounds
     assert [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"] == []
 
@@ -465,12 +465,15 @@
     platform.relay.silent = True
     platform.break_watches()
     platform.go(0.5)
-    assert platform.node.runtime.proxies.keys() == {0, 1, 2, 4}  # what is missing is not gone yet
+    assert platform.node.runtime.proxy_zones.keys() == {0, 1, 2, 4}  # what is missing is not gone yet
     platform.relay.silent = False
     platform.relay.tell({})  # the sign of life ends what stands
     platform.go(0.01)
     assert [e.proxy_id for e in heard if type(e).__name__ == "ProxyConnected"] == [2, 4]
-    assert platform.node.runtime.proxies.keys() == {0, 2, 4} and 5 not in platform.node.runtime.tokens
+    assert (
+        platform.node.runtime.proxy_zones.keys() == {0, 2, 4}
+        and 5 not in platform.node.runtime.fencing_tokens
+    )
     assert platform.believed() == platform.relay.tables
 
 
@@ -506,25 +509,25 @@
     platform.relay.silent = platform.discovery.silent = True
     first = platform.relay.watchers() + platform.discovery.watchers()
     platform.go(6.0)
-    assert not any(c.open for c in first) and platform.node.runtime.proxies.keys() == {0, 1, 2}
+    assert not any(c.open for c in first) and platform.node.runtime.proxy_zones.keys() == {0, 1, 2}
     assert platform.relay.watchers() and platform.discovery.watchers()
-    assert len(platform.node.runtime.entries) == SERVERS
+    assert len(platform.node.runtime.endpoints) == SERVERS
 
 
 def test_a_list_by_versions(platform: Platform) -> None:
-    states = {e.status for e in platform.node.runtime.entries.values()}
+    states = {e.status for e in platform.node.runtime.endpoints.values()}
     platform.discovery.seq = 2
     platform.discovery.change(entry(1, "leaving"))  # version 3, older than ours: passed over
     platform.go(0.1)
-    assert {e.status for e in platform.node.runtime.entries.values()} == states
+    assert {e.status for e in platform.node.runtime.endpoints.values()} == states
     platform.discovery.tell({"seq": 8, "whole": True, "hosts": [entry(0), entry(1), {"host": 5}]})
     platform.go(0.1)
     assert (
-        len(platform.node.runtime.entries) == SERVERS
+        len(platform.node.runtime.endpoints) == SERVERS
     )  # an entry that can't be read is not one that is missing
     platform.discovery.tell({"seq": 8, "whole": True, "hosts": [entry(0), entry(1)]})
     platform.go(0.1)
-    assert len(platform.node.runtime.entries) == 2
+    assert len(platform.node.runtime.endpoints) == 2
 
 
 def test_an_agent_that_is_behind_brings_no_draining_task_back_at_once(platform: Platform) -> None:
@@ -534,10 +537,10 @@
     platform.break_watches()
     platform.go(BEHIND_S - 0.5)
     number = platform.node.hosts.number("s-1")
-    assert platform.node.runtime.entries[number].status == 2 and platform.logged("list_behind")
+    assert platform.node.runtime.endpoints[number].status == 2 and platform.logged("list_behind")
     assert "s-1" not in platform.relay.named()
     platform.go(1.0)
-    assert platform.node.runtime.entries[number].status == 1 and platform.node.listing.version == 2
+    assert platform.node.runtime.endpoints[number].status == 1 and platform.node.listing.version == 2
 
 
 def test_a_start_is_placed_on_our_clock_once_for_each_life(platform: Platform) -> None:
@@ -548,7 +551,7 @@
     platform.discovery.change(entry(1, born_ms=born, share=2.5))
     platform.go(0.1)
     number = platform.node.hosts.number("s-1")
-    started = platform.node.runtime.decider.servers[number].entry.started_at_s  # type: ignore[attr-defined]
+    started = platform.node.runtime.director.servers[number].entry.started_at_s  # type: ignore[attr-defined]
     assert platform.node.now() - started == pytest.approx(2.2, abs=0.2)
 
 
@@ -567,12 +570,12 @@
     for task in platform.tasks:
         inner = task.answer
         task.answer = lambda *a, inner=inner: (at.append(platform.net.seconds()), inner(*a))[1]  # type: ignore
-    for view in platform.node.runtime.decider.servers.values():  # type: ignore[attr-defined]
+    for view in platform.node.runtime.director.servers.values():  # type: ignore[attr-defined]
         view.next_probe = math.inf
     platform.go(0.2)
     at.clear()
     platform.node._to_probe = [platform.node.hosts.number(f"s-{k}") for k in range(SERVERS - 1)]
-    platform.node._act(Effects(actions=(), probes=[platform.node.hosts.number(f"s-{SERVERS - 1}")]))
+    platform.node._act(Effects(actions=(), health_checks=[platform.node.hosts.number(f"s-{SERVERS - 1}")]))
     platform.node._probe_next()
     platform.go(0.2)
     assert (
@@ -741,11 +744,11 @@
 def test_a_new_configuration_moves_all_and_forgets_nothing(platform: Platform) -> None:
     old = platform.relay.watchers() + platform.discovery.watchers()
     discovery, relay = moved(platform, 8501, 6401)
-    before = platform.believed(), platform.node.runtime.proxies
+    before = platform.believed(), platform.node.runtime.proxy_zones
     platform.node.reload()
     platform.go(1.0)
     assert not any(c.open for c in old) and relay.watchers() and discovery.watchers()
-    assert (platform.believed(), platform.node.runtime.proxies) == before
+    assert (platform.believed(), platform.node.runtime.proxy_zones) == before
     connections = len(platform.relay.connections), len(platform.discovery.connections)
     discovery.change(entry(1, "leaving"))
     platform.go(2.0)
@@ -776,7 +779,7 @@
 
 
 def test_a_round_that_fails_is_told_and_is_not_the_last(platform: Platform) -> None:
-    decider: Any = platform.node.runtime.decider
+    decider: Any = platform.node.runtime.director
     real, decider.judge_health = decider.judge_health, lambda: 1 / 0
     platform.go(1.0)
     decider.judge_health = real
@@ -806,9 +809,9 @@
     platform.go(60.0)
     node = platform.node
     # The module remembers a server for ten minutes after it has gone.
-    assert len(node.hosts) <= len(node.runtime.decider.servers) + SERVERS  # type: ignore[attr-defined]
+    assert len(node.hosts) <= len(node.runtime.director.servers) + SERVERS  # type: ignore[attr-defined]
     assert len(node.hosts) < 960 and len(node.probers) <= SERVERS
-    assert len(node.runtime.addresses) < 200 and len(node._sent) < 50
+    assert len(node.runtime.server_addresses) < 200 and len(node._sent) < 50
 
 
 def test_sigterm_lets_a_call_in_hand_end(platform: Platform) -> None:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -19,12 +19,12 @@
     TableEntry,
     VersionDigest,
 )
+from puffintide.replication import conflict_resolution
 from puffintide.replication import replica as core
-from puffintide.replication import settle
-from puffintide.replication.joining import BURST_ROWS, Asking, CatchUp, Outgoing, stays
-from puffintide.replication.peers import Peers
+from puffintide.replication.catch_up import BURST_ROWS, Asking, CatchUp, Outgoing, stays
+from puffintide.replication.peer_sessions import Peers
 from puffintide.replication.replica import Reading, Replica
-from puffintide.replication.tables import KIND, Refill, packed, wrong_copies
+from puffintide.replication.table_replicas import KIND, Refill, packed, wrong_copies
 from tests.deployment import Log
 
 COUNT = 4
@@ -145,24 +145,28 @@
     mixed = [*rows, *draw.sample(rows, len(rows) // 2)]
     draw.shuffle(mixed)
     rules = [
-        lambda r: settle.figure(r, 0),
-        lambda r: settle.server(r, {0, 1, 2}),
-        settle.table,
-        settle.differing,
+        lambda r: conflict_resolution.figure(r, 0),
+        lambda r: conflict_resolution.server(r, {0, 1, 2}),
+        conflict_resolution.table,
+        conflict_resolution.differing,
     ]
     for rule in rules:
         assert rule(mixed) == rule(rows)
 
 
 CASES = [
-    ("own while fresh", settle.figure([read(0, 9, 5), read(1, 0, 7)], 0), read(0, 9, 5)),
-    ("else the freshest", settle.figure([read(0, 11, 5), read(2, 3, 6), read(1, 3, 7)], 0), read(1, 3, 7)),
-    ("nobody", settle.figure([], 0), None),
-    ("later life first", settle.server([read(0, 0, 1, 0), read(1, 9, 2, 3)], {0, 1}), (2, 3)),
-    ("then the safer", settle.server([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0, 1}), (2, 0)),
-    ("not of who is confused", settle.server([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0}), (2, 3)),
-    ("highest token", settle.table([read(0, 0, 9, 1), read(1, 0, 8, 7)]), read(0, 0, 9, 1)),
-    ("then latest write", settle.table([read(0, 0, 9, 1), read(1, 0, 9, 2)]), read(1, 0, 9, 2)),
+    ("own while fresh", conflict_resolution.figure([read(0, 9, 5), read(1, 0, 7)], 0), read(0, 9, 5)),
+    (
+        "else the freshest",
+        conflict_resolution.figure([read(0, 11, 5), read(2, 3, 6), read(1, 3, 7)], 0),
+        read(1, 3, 7),
+    ),
+    ("nobody", conflict_resolution.figure([], 0), None),
+    ("later life first", conflict_resolution.server([read(0, 0, 1, 0), read(1, 9, 2, 3)], {0, 1}), (2, 3)),
+    ("then the safer", conflict_resolution.server([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0, 1}), (2, 0)),
+    ("not of who is confused", conflict_resolution.server([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0}), (2, 3)),
+    ("highest token", conflict_resolution.table([read(0, 0, 9, 1), read(1, 0, 8, 7)]), read(0, 0, 9, 1)),
+    ("then latest write", conflict_resolution.table([read(0, 0, 9, 1), read(1, 0, 9, 2)]), read(1, 0, 9, 2)),
 ]
 
 
@@ -181,7 +185,7 @@
 def test_which_servers_leave_by_another_list(
     name: str, rows: dict[int, list[Reading]], told: dict[int, float], wanted: list[int]
 ) -> None:
-    assert settle.leaving(rows, 0, dict.fromkeys(range(10), 1), told) == wanted
+    assert conflict_resolution.leaving(rows, 0, dict.fromkeys(range(10), 1), told) == wanted
 
 
 @pytest.mark.parametrize(("what", "found", "wanted"), CASES, ids=[c[0] for c in CASES])
@@ -192,9 +196,9 @@
 def test_one_confused_assigner_empties_no_pool() -> None:
     unfit = {0: 0, 1: 4, 2: 3}  # so many servers are by each one's word
     said = {s: [read(o, 0, 1, 0 if s < n else 3) for o, n in unfit.items()] for s in range(10)}
-    trusted = settle.believed(said, 10)
+    trusted = conflict_resolution.believed(said, 10)
     assert trusted == {0, 2}  # 1 finds four of ten unfit
-    assert [s for s in said if settle.server(said[s], trusted) == (1, 0)] == [0, 1, 2]
+    assert [s for s in said if conflict_resolution.server(said[s], trusted) == (1, 0)] == [0, 1, 2]
 
 
 def answer(assigner: int, tables: dict[int, tuple[int, int]], whole: bool = True) -> ReplicationDelta:
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -8,7 +8,7 @@
 import pytest
 
 from puffintide.assigner.channel import Channel
-from puffintide.assigner.reports import Gatherer
+from puffintide.assigner.load_reports import LoadReportAggregator
 from puffintide.assigner.runtime import Runtime
 from puffintide.bench_adapter.__main__ import Host
 from puffintide.bench_adapter.codec import encode_action, frame
@@ -65,8 +65,8 @@
 def runtime(decider: Scripted, slices: int = 4) -> Runtime:
     made = Runtime(settings(slice_count=slices), lambda _: decider)
     for proxy in (0, 1):
-        made.joined(0.0, proxy, proxy, 5.0, True)
-    made.news(0.0, m.WatchEvent("cached", 1, []))
+        made.on_proxy_connected(0.0, proxy, proxy, 5.0, True)
+    made.on_watch_event(0.0, m.WatchEvent("cached", 1, []))
     return made
 
 
@@ -74,18 +74,18 @@
     module = Scripted()
     r = runtime(module)
     entry = m.EndpointEntry(5, 1, 2, 3, EndpointStatus.READY, 2.0, 1, 4.0, "127.0.0.1:9")
-    r.news(10.0, m.WatchEvent("full", 3, [entry]))
-    r.charge(10.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 0.5, "127.0.0.1:9")]))
-    r.left(10.0, 1)
+    r.on_watch_event(10.0, m.WatchEvent("full", 3, [entry]))
+    r.on_ownership_granted(10.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 0.5, "127.0.0.1:9")]))
+    r.on_proxy_disconnected(10.0, 1)
     rest = (
         CheckpointAcknowledged(0, 3, 0.1),
         HealthCheckResult(5, HealthCheckStatus.OK, 0.1, ()),
         ServerLoadReport(0, 5, 2, 1, 0.1, 0.5, (1.0,)),
         SliceLoadReport(2, 0, 4, 0, 0.5),
     )
-    r.hear(10.0, *rest)
-    r.taken(10.0, 2)
-    r.taken(10.0, 3)  # never had: nothing to tell
+    r.add_events(10.0, *rest)
+    r.on_ownership_revoked(10.0, 2)
+    r.on_ownership_revoked(10.0, 3)  # never had: nothing to tell
     r.tick(10.0)
     assert module.heard == [
         EndpointListUpdate(ListUpdateType.CACHED, 1, ()),
@@ -106,11 +106,13 @@
     module = Scripted()
     r = runtime(module)
     entry = m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 1, 2.0)
-    r.news(10.0, m.WatchEvent("delta", 1, [entry]))
-    r.news(
+    r.on_watch_event(10.0, m.WatchEvent("delta", 1, [entry]))
+    r.on_watch_event(
         11.0, m.WatchEvent("delta", 2, [m.EndpointEntry(5, 0, 0, 0, EndpointStatus.DRAINING, 1.0, 1, 3.2)])
     )
-    r.news(20.0, m.WatchEvent("delta", 3, [m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 2, 1.0)]))
+    r.on_watch_event(
+        20.0, m.WatchEvent("delta", 3, [m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 2, 1.0)])
+    )
     r.tick(20.0)
     lists = [e for e in module.heard if isinstance(e, EndpointListUpdate)]
     assert [e.endpoints[0].started_at_s for e in lists[1:]] == [8.0, 8.0, 19.0]
@@ -127,13 +129,13 @@
 @pytest.mark.parametrize("action, shown", ORDERS)
 def test_each_order_becomes_one_message_a_proxy(action: Action, shown) -> None:  # type: ignore[no-untyped-def]
     r = runtime(Scripted(action, SendCheckpoint(9)))
-    r.charge(1.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0, "127.0.0.1:9")]))
+    r.on_ownership_granted(1.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0, "127.0.0.1:9")]))
     effects = r.tick(1.0)
-    assert effects is not None and [p for p, _ in effects.orders] == [0, 1]
-    for _, order in effects.orders:
+    assert effects is not None and [p for p, _ in effects.proxy_updates] == [0, 1]
+    for _, order in effects.proxy_updates:
         assert shown(order) and order.checkpoint_id == 9
         assert order.channel_cost == 2 + r.settings.channel_header_entries  # its own line, the mark, the head
-    assert bool(effects.writes) == isinstance(action, SetWeight)
+    assert bool(effects.weight_writes) == isinstance(action, SetWeight)
 
 
 def test_the_other_actions_become_effects() -> None:
@@ -146,25 +148,25 @@
         )
     )
     e = r.tick(1.0)
-    assert e is not None and e.orders == []
-    assert (e.probes, e.watch, e.logs) == ([5], [True], ["hm"])
-    assert r.next_timer() == 1.5
+    assert e is not None and e.proxy_updates == []
+    assert (e.health_checks, e.watch_requests, e.log_messages) == ([5], [True], ["hm"])
+    assert r.next_timer_at() == 1.5
 
 
 def test_nothing_is_told_before_a_list_so_that_no_table_is_emptied() -> None:
     r = Runtime(settings(slice_count=4))
-    r.joined(0.0, 0, 0, 5.0, True)
-    r.charge(0.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0)]))
-    r.hear(0.0, SliceLoadReport(2, 0, 4, 0, 0.5))
+    r.on_proxy_connected(0.0, 0, 0, 5.0, True)
+    r.on_ownership_granted(0.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0)]))
+    r.add_events(0.0, SliceLoadReport(2, 0, 4, 0, 0.5))
     for k in range(40):
-        r.news(k / 4, m.WatchEvent("failed", -1))
-        assert r.tick(k / 4) is None and not r.busy()
+        r.on_watch_event(k / 4, m.WatchEvent("failed", -1))
+        assert r.tick(k / 4) is None and not r.has_pending_events()
     entries = [m.EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, 1, -1.0) for s in (5, 6)]
-    r.news(11.0, m.WatchEvent("full", 1, entries))
+    r.on_watch_event(11.0, m.WatchEvent("full", 1, entries))
     for k in range(40):
         effects = r.tick(11.0 + k / 4)
-        assert effects is None or not any(x.weight == 0 and x.server_id == 5 for x in effects.writes)
-    assert not r.busy()
+        assert effects is None or not any(x.weight == 0 and x.server_id == 5 for x in effects.weight_writes)
+    assert not r.has_pending_events()
 
 
 def test_timers_come_due_once_and_in_order() -> None:
@@ -181,7 +183,7 @@
 def test_lines_of_slices_not_in_charge_are_not_sent() -> None:
     r = runtime(Scripted(SetWeight(3, 5, 1.0)))
     effects = r.tick(1.0)
-    assert effects is not None and effects.orders == [] and effects.writes == []
+    assert effects is not None and effects.proxy_updates == [] and effects.weight_writes == []
 
 
 def list_body(number: int, version: int, form: int, servers: Sequence[Endpoint]) -> bytes:
@@ -264,17 +266,19 @@
                         )
                         for s in e.endpoints
                     ]
-                    self.runtime.news(now, m.WatchEvent(e.update_type, e.version, rows))
+                    self.runtime.on_watch_event(now, m.WatchEvent(e.update_type, e.version, rows))
                 case OwnershipChanged(number, True):
-                    self.runtime.charge(now, m.SliceOwnership(number, 1, 0, lives.get(number, [])))
+                    self.runtime.on_ownership_granted(
+                        now, m.SliceOwnership(number, 1, 0, lives.get(number, []))
+                    )
                 case ProxyConnected(proxy, zone, rate, fresh):
-                    self.runtime.joined(now, proxy, zone, rate, fresh)
+                    self.runtime.on_proxy_connected(now, proxy, zone, rate, fresh)
                 case StoredWeight() | TimerFired():
                     pass  # came with its charge; the runtime's own timers wake the module
                 case _:
-                    self.runtime.hear(now, e)
-        if due and self.runtime.next_timer() is None:
-            self.runtime.hear(now, *(TimerFired(name) for name in sorted(due)))
+                    self.runtime.add_events(now, e)
+        if due and self.runtime.next_timer_at() is None:
+            self.runtime.add_events(now, *(TimerFired(name) for name in sorted(due)))
         effects = self.runtime.tick(now)
         assert effects is not None
         mine = frame([encode_action(0, action) for action in effects.actions])
@@ -319,59 +323,59 @@
 def test_messages_leave_in_order_at_the_stated_pace() -> None:
     channel = Channel(lines_per_s=100.0, limit=1000.0)
     for proxy in range(3):
-        channel.join(proxy)
-        channel.put(proxy, order(0.0))
-    assert channel.waiting() == 30
-    assert channel.take(0.05) == ([], [])
-    assert [p for p, _ in channel.take(0.1)[0]] == [0]
-    assert [p for p, _ in channel.take(0.31)[0]] == [1, 2]
-    assert channel.waiting() == 0 and channel.next_due() is None
-    channel.put(0, order(5.0))
-    assert channel.next_due() == pytest.approx(5.1)  # an idle channel saves nothing up
+        channel.add_proxy(proxy)
+        channel.enqueue(proxy, order(0.0))
+    assert channel.queued_entries() == 30
+    assert channel.dequeue(0.05) == ([], [])
+    assert [p for p, _ in channel.dequeue(0.1)[0]] == [0]
+    assert [p for p, _ in channel.dequeue(0.31)[0]] == [1, 2]
+    assert channel.queued_entries() == 0 and channel.next_departure_at() is None
+    channel.enqueue(0, order(5.0))
+    assert channel.next_departure_at() == pytest.approx(5.1)  # an idle channel saves nothing up
 
 
 def test_a_proxy_that_does_not_read_delays_nobody_and_is_given_up_before_the_limit() -> None:
     channel = Channel(lines_per_s=1e9, limit=45.0)
     for proxy in (0, 1, 2):
-        channel.join(proxy)
+        channel.add_proxy(proxy)
     channel.set_writable(0.0, 0, False)
     for k in range(3):
-        channel.put(0, order(k))
-        channel.put(1, order(k))
-        sent, given_up = channel.take(k + 0.5)
+        channel.enqueue(0, order(k))
+        channel.enqueue(1, order(k))
+        sent, given_up = channel.dequeue(k + 0.5)
         assert [p for p, _ in sent] == [1] and given_up == []
-    assert channel.waiting() == 30
+    assert channel.queued_entries() == 30
     channel.set_writable(3.0, 2, False)
-    channel.put(2, order(3))
-    channel.take(3.5)
-    channel.put(1, order(4))  # a line too many in all: the one that holds most back goes
-    sent, given_up = channel.take(4.5)
+    channel.enqueue(2, order(3))
+    channel.dequeue(3.5)
+    channel.enqueue(1, order(4))  # a line too many in all: the one that holds most back goes
+    sent, given_up = channel.dequeue(4.5)
     assert [p for p, _ in sent] == [1] and given_up == [0]
-    assert channel.most_waiting <= 45 and channel.waiting() == 10
+    assert channel.max_queued_entries <= 45 and channel.queued_entries() == 10
     assert channel.set_writable(5.0, 0, True) == [] and len(channel.set_writable(5.0, 2, True)) == 1
 
 
 def test_what_waits_is_lost_with_the_stream() -> None:
     channel = Channel(100.0, 1000.0)
-    channel.join(0)
-    channel.join(1)
-    channel.put(0, order(0.0))
-    channel.put(1, order(0.0))
-    channel.leave(0)
-    assert channel.waiting() == 10
-    channel.join(0)
-    assert [p for p, _ in channel.take(9.0)[0]] == [1]
+    channel.add_proxy(0)
+    channel.add_proxy(1)
+    channel.enqueue(0, order(0.0))
+    channel.enqueue(1, order(0.0))
+    channel.remove_proxy(0)
+    assert channel.queued_entries() == 10
+    channel.add_proxy(0)
+    assert [p for p, _ in channel.dequeue(9.0)[0]] == [1]
 
 
 def test_sums_add_up_whatever_the_report_lines_allow() -> None:
-    gather = Gatherer(lines_per_s=4.0)
+    gather = LoadReportAggregator(lines_per_s=4.0)
     heard: list[ServerLoadReport] = []
     for step in range(40):
         now = 10 + step * 0.5
         for proxy in range(3):
             rows = [m.ServerUsage(s, 2, 1, 0.5, [float(s)]) for s in range(5)]
-            gather.add(now, proxy % 2, m.UsageReport(0.5, rows if step < 20 else [], []))
-        events = gather.take(now)
+            gather.add_usage(now, proxy % 2, m.UsageReport(0.5, rows if step < 20 else [], []))
+        events = gather.take_reports(now)
         assert len(events) <= 4
         heard += [e for e in events if isinstance(e, ServerLoadReport)]
     assert sum(e.attempts for e in heard) == 20 * 3 * 5 * 2
