--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -117,7 +117,7 @@
                 message = decode(line)
                 assert isinstance(message, m.UsageReport)
                 gather.add_usage(now, p % 2, message)
-            runtime.add_events(now, *gather.take_reports(now))
+            runtime.add_events(now, *gather.drain_reports(now))
             cost.add("sums", began)
         if tick % 12 == 8:
             lost = tick // 12
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -81,7 +81,9 @@
     lines = [m.TableEntry(7, 1.0, "127.0.0.1:9007", 0), m.TableEntry(8, 0.004, "127.0.0.1:9008", 1)]
     for number in range(me, slices, len(addresses)) if first >= 0 else ():
         tokens[number] = number + 1
-        ordered.on_ownership_granted(m.SliceOwnership(number, number + 1, me, lines, 1), goes_on=False)
+        ordered.on_ownership_granted(
+            m.SliceOwnership(number, number + 1, me, lines, 1), tenure_continues=False
+        )
     found = Findings(1.0, {})
     peers.flush(tokens, ordered, found, Heard())
     hello = m.Hello(m.PROTOCOL_VERSION, "assigner", me, 0, "t", incarnation=life)
--- a/puffintide/assigner/channel.py
+++ b/puffintide/assigner/channel.py
@@ -1,8 +1,8 @@
-"""The way of orders to the proxies: one queue, paced by lines a second, in order. No I/O and no clock.
+"""The channel of updates to the proxies: one queue in order, paced by entries a second. No I/O and no clock.
 
-A message leaves when the lines before it have been sent at the stated pace. A proxy that does not read holds its
-own messages back (parked), never those of others. Held lines count as waiting: where all of them would pass the
-limit, the proxy that holds most is given up, which the module sees as a proxy lost.
+A message leaves when the entries before it have been sent at the given rate. A proxy that does not read delays its
+own messages only. Entries of its backlog count as queued: where all queued entries would exceed the capacity, the
+proxy with the largest backlog is removed, and the caller has to close its stream.
 """
 
 from __future__ import annotations
@@ -14,113 +14,130 @@
 
 
 @dataclass(slots=True)
-class _Parked:
+class _ProxyBacklog:
+    """Messages that have left the queue and wait for their proxy to read."""
+
     writable: bool = True
-    orders: deque[ProxyUpdate] = field(default_factory=deque)
-    lines: float = 0.0
+    updates: deque[ProxyUpdate] = field(default_factory=deque)
+    entry_count: float = 0.0
 
 
 class Channel:
-    """put() what is ordered, take() what may leave now; waiting() is the rule's count of lines.
-
-    limit: lines that may wait in all. Guards against proxies that stop reading, one or many.
+    """Queue of updates, from enqueue() to dequeue().
+
+    Attributes:
+        entries_per_s: Rate at which entries leave, message headers among them.
+        capacity_entries: Entries that may be queued for all proxies together.
+        max_queued_entries: The most entries that were queued at a time.
+        messages_sent: Messages sent to all proxies.
+        max_messages_per_window: The most messages to one proxy within message_window_s.
     """
 
-    def __init__(self, lines_per_s: float, limit: float, span_s: float = 10.0) -> None:
-        self.entries_per_s = lines_per_s
-        self.capacity_entries = limit
-        self._queue: deque[tuple[int, ProxyUpdate]] = deque()
-        self._free_at = 0.0  # when the last message taken had left at the stated pace
-        self._parked: dict[int, _Parked] = {}
-        self._waiting = 0.0
+    def __init__(self, entries_per_s: float, capacity_entries: float, message_window_s: float = 10.0) -> None:
+        self.entries_per_s = entries_per_s
+        self.capacity_entries = capacity_entries
         self.max_queued_entries = 0.0
-        self.messages_sent = 0  # messages in all, and the most to one proxy within span_s, for the log
+        self.messages_sent = 0
         self.max_messages_per_window = 0
-        self._span_s = span_s
-        self._recent: dict[int, deque[float]] = {}
-        self._given_up: list[int] = []
-
-    def add_proxy(self, proxy: int) -> None:
-        self.remove_proxy(proxy)
-        self._parked[proxy] = _Parked()
-
-    def remove_proxy(self, proxy: int) -> None:
-        """What waits for the proxy is lost with its stream."""
-        self._parked.pop(proxy, None)
-        self._recent.pop(proxy, None)
-        lost = sum(order.channel_cost for to, order in self._queue if to == proxy)
-        if lost:
-            self._queue = deque((to, order) for to, order in self._queue if to != proxy)
-            self._waiting -= lost
-
-    def enqueue(self, proxy: int, order: ProxyUpdate) -> None:
-        if proxy in self._parked:
-            self._queue.append((proxy, order))
-            self._waiting += order.channel_cost
-            while self.queued_entries() > self.capacity_entries and self._give_up():
-                pass
-            self.max_queued_entries = max(self.max_queued_entries, self.queued_entries())
+        self._message_window_s = message_window_s
+        self._queue: deque[tuple[int, ProxyUpdate]] = deque()
+        self._queue_entries = 0.0
+        self._last_departure_at = 0.0
+        self._backlogs: dict[int, _ProxyBacklog] = {}
+        self._recent_sends: dict[int, deque[float]] = {}
+        self._overflowed_proxies: list[int] = []
+
+    def add_proxy(self, proxy_id: int) -> None:
+        """Accept updates for a proxy, with nothing queued for it."""
+        self.remove_proxy(proxy_id)
+        self._backlogs[proxy_id] = _ProxyBacklog()
+
+    def remove_proxy(self, proxy_id: int) -> None:
+        """Drop all that is queued for a proxy."""
+        self._backlogs.pop(proxy_id, None)
+        self._recent_sends.pop(proxy_id, None)
+        dropped_entries = sum(update.channel_cost for target, update in self._queue if target == proxy_id)
+        if dropped_entries:
+            self._queue = deque((target, update) for target, update in self._queue if target != proxy_id)
+            self._queue_entries -= dropped_entries
+
+    def enqueue(self, proxy_id: int, update: ProxyUpdate) -> None:
+        """Queue an update; it is dropped when its proxy was not added."""
+        if proxy_id not in self._backlogs:
+            return
+        self._queue.append((proxy_id, update))
+        self._queue_entries += update.channel_cost
+        while self.queued_entries() > self.capacity_entries and self._remove_largest_backlog():
+            pass
+        self.max_queued_entries = max(self.max_queued_entries, self.queued_entries())
 
     def queued_entries(self) -> float:
-        """Lines that wait, heads included, whether in the queue or held back by a proxy that does not read."""
-        return self._waiting + sum(parked.lines for parked in self._parked.values())
+        """Entries in the queue or held back by proxies that do not read, message headers among them."""
+        return self._queue_entries + sum(backlog.entry_count for backlog in self._backlogs.values())
 
     def dequeue(self, now: float) -> tuple[list[tuple[int, ProxyUpdate]], list[int]]:
-        """(messages that leave now, proxies whose stream is given up as they hold back too much)."""
-        out: list[tuple[int, ProxyUpdate]] = []
+        """Take the messages that leave now.
+
+        Returns:
+            The messages with their proxies, and the proxies that were removed since the last call as they held back
+            too much.
+        """
+        departures: list[tuple[int, ProxyUpdate]] = []
         while self._queue:
-            proxy, order = self._queue[0]
-            leaves = max(self._free_at, order.ordered_at_s) + order.channel_cost / self.entries_per_s
-            if leaves > now:
+            proxy_id, update = self._queue[0]
+            departs_at = self._departure_at(update)
+            if departs_at > now:
                 break
             self._queue.popleft()
-            self._waiting -= order.channel_cost
-            self._free_at = leaves
-            parked = self._parked[proxy]  # leave() took away what was for others
-            if parked.writable and not parked.orders:
-                out.append((proxy, order))
-                self._count(proxy, now)
+            self._queue_entries -= update.channel_cost
+            self._last_departure_at = departs_at
+            backlog = self._backlogs[proxy_id]
+            if backlog.writable and not backlog.updates:
+                departures.append((proxy_id, update))
+                self._count_message(proxy_id, now)
             else:
-                parked.orders.append(order)
-                parked.lines += order.channel_cost
-        given_up, self._given_up = self._given_up, []
-        return out, given_up
-
-    def _give_up(self) -> bool:
-        """Drops the proxy that holds most lines back, if any does."""
-        worst = max(sorted(self._parked), key=lambda p: self._parked[p].lines, default=None)
-        if worst is None or not self._parked[worst].lines:
+                backlog.updates.append(update)
+                backlog.entry_count += update.channel_cost
+        overflowed = self._overflowed_proxies
+        self._overflowed_proxies = []
+        return departures, overflowed
+
+    def set_writable(self, now: float, proxy_id: int, writable: bool) -> list[ProxyUpdate]:
+        """Note whether a proxy reads; returns the messages that it held back and that are to be sent now."""
+        backlog = self._backlogs.get(proxy_id)
+        if backlog is None:
+            return []
+        backlog.writable = writable
+        if not writable:
+            return []
+        updates = list(backlog.updates)
+        backlog.updates.clear()
+        backlog.entry_count = 0.0
+        for _ in updates:
+            self._count_message(proxy_id, now)
+        return updates
+
+    def next_departure_at(self) -> float | None:
+        """When the next message leaves the queue; None when the queue is empty."""
+        return self._departure_at(self._queue[0][1]) if self._queue else None
+
+    def _departure_at(self, update: ProxyUpdate) -> float:
+        """When the first message of the queue leaves; an idle channel saves up nothing."""
+        return max(self._last_departure_at, update.ordered_at_s) + update.channel_cost / self.entries_per_s
+
+    def _remove_largest_backlog(self) -> bool:
+        """Remove the proxy that holds back most; False if none holds back anything."""
+        largest = max(sorted(self._backlogs), key=lambda p: self._backlogs[p].entry_count, default=None)
+        if largest is None or not self._backlogs[largest].entry_count:
             return False
-        self.remove_proxy(worst)
-        self._given_up.append(worst)
+        self.remove_proxy(largest)
+        self._overflowed_proxies.append(largest)
         return True
 
-    def _count(self, proxy: int, now: float) -> None:
-        recent = self._recent.setdefault(proxy, deque())
+    def _count_message(self, proxy_id: int, now: float) -> None:
+        recent = self._recent_sends.setdefault(proxy_id, deque())
         recent.append(now)
-        while recent[0] < now - self._span_s:
+        while recent[0] < now - self._message_window_s:
             recent.popleft()
         self.messages_sent += 1
         self.max_messages_per_window = max(self.max_messages_per_window, len(recent))
-
-    def set_writable(self, now: float, proxy: int, writable: bool) -> list[ProxyUpdate]:
-        """Tells that a proxy reads again or not; gives what it had held back."""
-        parked = self._parked.get(proxy)
-        if parked is None:
-            return []
-        parked.writable = writable
-        if not writable:
-            return []
-        orders = list(parked.orders)
-        parked.orders.clear()
-        parked.lines = 0.0
-        for _ in orders:
-            self._count(proxy, now)
-        return orders
-
-    def next_departure_at(self) -> float | None:
-        """When the next message leaves, if one waits."""
-        if not self._queue:
-            return None
-        order = self._queue[0][1]
-        return max(self._free_at, order.ordered_at_s) + order.channel_cost / self.entries_per_s
--- /dev/null
+++ b/puffintide/assigner/endpoint_directory.py
@@ -0,0 +1,96 @@
+"""The endpoints that an assigner knows from its endpoint list, and when each server was started."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from puffintide.decisions.events import Endpoint, EndpointStatus, ListUpdateType
+from puffintide.protocol.checks import sound_entries
+from puffintide.protocol.messages import EndpointEntry, TableEntry, WatchEvent
+
+MAX_UNLISTED_SERVERS = 64  # remembered in addition to as many as are listed
+
+
+@dataclass(frozen=True, slots=True)
+class _ServerStart:
+    incarnation: int
+    started_at_s: float
+
+
+class EndpointDirectory:
+    """Endpoints as last listed, with addresses and zones also of servers that were removed recently.
+
+    Attributes:
+        listed: The last valid entry of each listed server.
+        addresses: HOST:PORT by server, empty if unknown.
+        zones: Zone by server.
+        starts: Start of each server's current incarnation.
+    """
+
+    def __init__(self, zone_count: int) -> None:
+        self._zone_count = zone_count
+        self.listed: dict[int, EndpointEntry] = {}
+        self.addresses: dict[int, str] = {}
+        self.zones: dict[int, int] = {}
+        self.starts: dict[int, _ServerStart] = {}
+
+    def update(self, now: float, event: WatchEvent) -> tuple[list[Endpoint], list[str]]:
+        """Apply a watch event.
+
+        A server whose entry is invalid keeps its previous entry.
+
+        Returns:
+            The endpoints of the valid entries, and for each invalid entry why it was rejected.
+        """
+        if event.update_type == ListUpdateType.FAILED:
+            return [], []
+        valid, problems = sound_entries(event.servers, self._zone_count)
+        if event.update_type == ListUpdateType.DELTA:
+            self.listed |= valid
+        else:
+            valid = {server: entry for server, entry in self.listed.items() if server in problems} | valid
+            self.listed = valid
+        self.listed = {
+            server: entry for server, entry in self.listed.items() if entry.status != EndpointStatus.REMOVED
+        }
+        endpoints = [self._endpoint(now, entry) for entry in valid.values()]
+        self._forget_unlisted()
+        return endpoints, [problems[server] for server in sorted(problems)]
+
+    def add_addresses(self, entries: Iterable[TableEntry]) -> None:
+        """Remember the addresses that a stored table names."""
+        self.addresses |= {entry.server_id: entry.address for entry in entries if entry.address}
+
+    def _endpoint(self, now: float, entry: EndpointEntry) -> Endpoint:
+        self.addresses[entry.server_id] = entry.address or self.addresses.get(entry.server_id, "")
+        self.zones[entry.server_id] = entry.zone
+        return Endpoint(
+            entry.server_id,
+            entry.zone,
+            entry.server_type,
+            entry.cell,
+            EndpointStatus(entry.status),
+            entry.weight,
+            self._started_at(now, entry),
+        )
+
+    def _started_at(self, now: float, entry: EndpointEntry) -> float:
+        """When the server was started, on our own clock.
+
+        It is fixed once an incarnation, so that a delayed event does not look like a restart.
+        """
+        if entry.age_s < 0:
+            return 0.0
+        start = self.starts.get(entry.server_id)
+        if start is None or start.incarnation != entry.incarnation:
+            start = _ServerStart(entry.incarnation, now - entry.age_s)
+            self.starts[entry.server_id] = start
+        return start.started_at_s
+
+    def _forget_unlisted(self) -> None:
+        """Bound the memory of removed servers: a replaced machine has a new id."""
+        for by_server in (self.addresses, self.zones, self.starts):
+            if len(by_server) > 2 * len(self.listed) + MAX_UNLISTED_SERVERS:
+                for server in by_server.keys() - self.listed.keys():
+                    del by_server[server]
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -1,7 +1,7 @@
-"""Turns what came in into the module's events, and the module's actions into effects. No I/O, no clock.
+"""Turns input into events of the decision module, and its actions into effects. No I/O and no clock of its own.
 
-Everything that happens between two ticks is one batch of events, as on the bench; what the module orders in its
-answer becomes one message for each proxy. The runtime decides nothing.
+All events between two ticks form one batch; what the module answers becomes one update for each proxy. The runtime
+itself decides nothing.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from puffintide.assigner.endpoint_directory import EndpointDirectory
 from puffintide.decisions.actions import (
     Action,
     LogMessage,
@@ -24,9 +25,7 @@
 )
 from puffintide.decisions.director import Director
 from puffintide.decisions.events import (
-    Endpoint,
     EndpointListUpdate,
-    EndpointStatus,
     Event,
     ListUpdateType,
     OwnershipChanged,
@@ -36,7 +35,6 @@
     TimerFired,
 )
 from puffintide.decisions.settings import Settings
-from puffintide.protocol.checks import sound_entries
 from puffintide.protocol.messages import (
     AdmissionLevel,
     EndpointEntry,
@@ -46,16 +44,18 @@
     WeightEntry,
 )
 
-FEW = 64  # servers no longer listed that may be remembered, beside as many as are
-EARLY_MOST = 1_000_000  # events kept before the first list
+MAX_EARLY_EVENTS = 1_000_000  # retained before the first endpoint list
+EARLY_EVENT_TYPES = (OwnershipChanged, StoredWeight, ProxyConnected, ProxyDisconnected)
 
 
 class DecisionModule(Protocol):
-    """What the runtime needs of the module."""
+    """What the runtime needs of the decision module."""
 
-    def handle(self, now: float, events: Sequence[Event]) -> list[Action]: ...
+    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
+        """Return the actions for a batch of events; now is in seconds."""
 
-    def findings(self) -> tuple[float | None, dict[int, int]]: ...
+    def findings(self) -> tuple[float | None, dict[int, int]]:
+        """Return the learned capacity, if any, and the recovery level of each server that is not at its top one."""
 
 
 @dataclass(slots=True)
@@ -63,213 +63,233 @@
     """What a tick asks the service to do, in this order."""
 
     weight_writes: list[WeightEntry] = field(default_factory=list)  # to the store
-    proxy_updates: list[tuple[int, ProxyUpdate]] = field(
-        default_factory=list
-    )  # (proxy, message) for the channel
-    health_checks: list[int] = field(default_factory=list)
-    watch_requests: list[bool] = field(default_factory=list)
+    proxy_updates: list[tuple[int, ProxyUpdate]] = field(default_factory=list)  # with the proxy's id
+    health_checks: list[int] = field(default_factory=list)  # by server
+    watch_requests: list[bool] = field(default_factory=list)  # whether to follow the endpoint list
     log_messages: list[str] = field(default_factory=list)
     batch: int = 0
     events: tuple[Event, ...] = ()
     actions: tuple[Action, ...] = ()
-    first_event_at_s: float = 0.0  # when the first event of the batch came in
+    first_event_at_s: float = 0.0
+
+
+@dataclass(slots=True)
+class _UpdateContent:
+    """What a batch changes at the proxies beside weights."""
+
+    withdrawn: dict[int, bool] = field(default_factory=dict)  # by server; False: readmitted
+    admission_levels: list[AdmissionLevel] = field(default_factory=list)
+    checkpoint_id: int | None = None
+
+    def withdrawn_servers(self) -> list[int]:
+        """Servers that proxies no longer use, in order."""
+        return [server for server, withdrawn in sorted(self.withdrawn.items()) if withdrawn]
+
+    def readmitted_servers(self) -> list[int]:
+        """Servers that proxies use again, in order."""
+        return [server for server, withdrawn in sorted(self.withdrawn.items()) if not withdrawn]
 
 
 class Runtime:
-    """Holds what one assigner knows of its streams; nothing of it outlives the process."""
+    """The state of one assigner process; nothing of it outlives the process.
+
+    Attributes:
+        director: The decision module.
+        directory: Endpoints as listed.
+        batch: Number of the last batch.
+        proxy_zones: Zone of each connected proxy.
+        fencing_tokens: Current token of each owned slice.
+        tenure_tokens: First token of the unbroken tenure of each slice.
+        has_endpoint_list: Whether a first list was received. Before it the module is given nothing, as it would
+            take all servers for removed.
+    """
 
     def __init__(
-        self, settings: Settings, make: Callable[[Settings], DecisionModule] = Director, batch: int = 0
+        self,
+        settings: Settings,
+        director_factory: Callable[[Settings], DecisionModule] = Director,
+        batch: int = 0,
     ) -> None:
         self.settings = settings
-        self.director = make(settings)
+        self.director = director_factory(settings)
+        self.directory = EndpointDirectory(settings.zone_count)
         self.batch = batch
-        self.proxy_zones: dict[int, int] = {}  # zone by proxy
-        self.server_addresses: dict[int, str] = {}
-        self.server_zones: dict[int, int] = {}
-        self.endpoints: dict[int, EndpointEntry] = {}  # as listed now, each the last good one
-        self.fencing_tokens: dict[int, int] = {}  # slices in charge
-        self.tenure_tokens: dict[int, int] = {}  # first token of the unbroken tenure of each
-        self._server_starts: dict[int, tuple[int, float]] = {}  # by server: its life, when that began
+        self.proxy_zones: dict[int, int] = {}
+        self.fencing_tokens: dict[int, int] = {}
+        self.tenure_tokens: dict[int, int] = {}
+        self.has_endpoint_list = False
         self._events: list[Event] = []
         self._first_event_at_s = 0.0
-        self.has_endpoint_list = (
-            False  # until then nothing is told: a module without a list would take all servers for gone
-        )
-        self._timers: list[tuple[float, int, int]] = []
+        self._timers: list[tuple[float, int, int]] = []  # due time, order of setting, timer id
         self._timer_count = 0
 
-    # What comes in ------------------------------------------------------------------------------
+    @property
+    def endpoints(self) -> dict[int, EndpointEntry]:
+        """The last valid entry of each listed server."""
+        return self.directory.listed
+
+    @property
+    def server_addresses(self) -> dict[int, str]:
+        """HOST:PORT by server, also of servers that were removed recently."""
+        return self.directory.addresses
+
+    # Input ----------------------------------------------------------------------------------------
 
     def add_events(self, now: float, *events: Event) -> None:
+        """Add events to the next batch."""
         if not self._events:
             self._first_event_at_s = now
         self._events.extend(events)
 
-    def on_watch_event(self, now: float, news: WatchEvent) -> list[str]:
-        """A list from outside. Ages become times on our own clock once for each life of a server. Entries that
-        can't be are passed over, with the reasons given back: what was last told of such a server stands."""
-        update_type = ListUpdateType(news.update_type)
-        good, reasons = self._good(news)
-        servers = []
-        for e in good:
-            self.server_addresses[e.server_id] = e.address or self.server_addresses.get(e.server_id, "")
-            self.server_zones[e.server_id] = e.zone
-            servers.append(
-                Endpoint(
-                    e.server_id,
-                    e.zone,
-                    e.server_type,
-                    e.cell,
-                    EndpointStatus(e.status),
-                    e.weight,
-                    self._start(now, e),
-                )
-            )
-        for known in (
-            self.server_addresses,
-            self.server_zones,
-            self._server_starts,
-        ):  # each machine has an id of its own
-            if len(known) > 2 * len(self.endpoints) + FEW and news.update_type != "failed":
-                for sid in known.keys() - self.endpoints.keys():
-                    del known[sid]
-        if not self.has_endpoint_list and news.update_type != "failed":
+    def on_watch_event(self, now: float, event: WatchEvent) -> list[str]:
+        """Apply a watch event of the endpoint list.
+
+        Returns:
+            Why entries were rejected; what was listed before of these servers stays.
+
+        Raises:
+            ValueError: The update type is unknown.
+        """
+        update_type = ListUpdateType(event.update_type)
+        endpoints, problems = self.directory.update(now, event)
+        update = EndpointListUpdate(update_type, event.version, tuple(endpoints))
+        if not self.has_endpoint_list and update_type is not ListUpdateType.FAILED:
             self.has_endpoint_list = True
-            self._events.insert(0, EndpointListUpdate(update_type, news.version, tuple(servers)))
+            self._events.insert(0, update)
         else:
-            self.add_events(now, EndpointListUpdate(update_type, news.version, tuple(servers)))
-        return reasons
-
-    def _good(self, news: WatchEvent) -> tuple[list[EndpointEntry], list[str]]:
-        if news.update_type == "failed":
-            return [], []
-        good, bad = sound_entries(news.servers, self.settings.zone_count)
-        if news.update_type == "delta":
-            self.endpoints |= good
-        else:  # a server whose entry can't be is not one that is missing
-            self.endpoints = good = {k: e for k, e in self.endpoints.items() if k in bad} | good
-        self.endpoints = {k: e for k, e in self.endpoints.items() if e.status != EndpointStatus.REMOVED}
-        return list(good.values()), [bad[k] for k in sorted(bad)]
-
-    def _start(self, now: float, entry: EndpointEntry) -> float:
-        if entry.age_s < 0:
-            return 0.0
-        life, began = self._server_starts.get(entry.server_id, (-1, 0.0))
-        if life != entry.incarnation:
-            life, began = self._server_starts[entry.server_id] = entry.incarnation, now - entry.age_s
-        return began
-
-    def on_ownership_granted(self, now: float, charge: SliceOwnership) -> bool:
-        """A slice is given, with its table. In an unbroken tenure (True) it has been ours all the time, whatever
-        the store missed: the module goes on with the table it knows."""
-        held = charge.slice_id in self.fencing_tokens
-        goes_on = (
-            held and charge.tenure_token and self.tenure_tokens.get(charge.slice_id) == charge.tenure_token
-        )
-        self.fencing_tokens[charge.slice_id], self.tenure_tokens[charge.slice_id] = (
-            charge.fencing_token,
-            charge.tenure_token,
+            self.add_events(now, update)
+        return problems
+
+    def on_ownership_granted(self, now: float, ownership: SliceOwnership) -> bool:
+        """Take over a slice with its stored table.
+
+        Returns:
+            Whether the tenure is unbroken. The slice was then owned all the time, whatever the store missed, and
+            the module goes on with the table that it knows.
+        """
+        slice_id = ownership.slice_id
+        continues = (
+            slice_id in self.fencing_tokens
+            and ownership.tenure_token != 0
+            and self.tenure_tokens.get(slice_id) == ownership.tenure_token
         )
-        if goes_on:
+        self.fencing_tokens[slice_id] = ownership.fencing_token
+        self.tenure_tokens[slice_id] = ownership.tenure_token
+        if continues:
             return True
-        self.server_addresses |= {h.server_id: h.address for h in charge.entries if h.address}
-        stored = [StoredWeight(charge.slice_id, h.server_id, h.weight) for h in charge.entries]
-        self.add_events(now, OwnershipChanged(charge.slice_id, True), *stored)
+        self.directory.add_addresses(ownership.entries)
+        stored = [StoredWeight(slice_id, entry.server_id, entry.weight) for entry in ownership.entries]
+        self.add_events(now, OwnershipChanged(slice_id, True), *stored)
         return False
 
-    def on_ownership_revoked(self, now: float, number: int) -> None:
-        if self.fencing_tokens.pop(number, None) is not None:
-            self.add_events(now, OwnershipChanged(number, False))
+    def on_ownership_revoked(self, now: float, slice_id: int) -> None:
+        """Give up a slice; nothing happens if it was not owned."""
+        if self.fencing_tokens.pop(slice_id, None) is not None:
+            self.add_events(now, OwnershipChanged(slice_id, False))
 
-    def on_proxy_connected(self, now: float, proxy: int, zone: int, rate: float, fresh: bool) -> None:
-        self.proxy_zones[proxy] = zone
-        self.add_events(now, ProxyConnected(proxy, zone, rate, fresh))
+    def on_proxy_connected(
+        self, now: float, proxy_id: int, zone: int, request_rate: float, first_connection: bool
+    ) -> None:
+        """Add a proxy; request_rate is in requests a second, first_connection since the proxy was started."""
+        self.proxy_zones[proxy_id] = zone
+        self.add_events(now, ProxyConnected(proxy_id, zone, request_rate, first_connection))
 
-    def on_proxy_disconnected(self, now: float, proxy: int) -> None:
-        if self.proxy_zones.pop(proxy, None) is not None:
-            self.add_events(now, ProxyDisconnected(proxy))
+    def on_proxy_disconnected(self, now: float, proxy_id: int) -> None:
+        """Remove a proxy; nothing happens if it is not connected."""
+        if self.proxy_zones.pop(proxy_id, None) is not None:
+            self.add_events(now, ProxyDisconnected(proxy_id))
 
-    # Ticks --------------------------------------------------------------------------------------
+    # Ticks ----------------------------------------------------------------------------------------
 
     def next_timer_at(self) -> float | None:
+        """When the next timer is due, in seconds of the caller's clock; None without timers."""
         return self._timers[0][0] if self._timers else None
 
     def restart_rounds(self, now: float) -> None:
-        """After a round that failed: its timer is lost with it, and without one the module's rounds end. Where one
-        stands, what failed was not the module, and a second would double its rounds for good."""
+        """Resume the module's rounds after one that failed and lost its timer.
+
+        Where a timer is set the module itself did not fail, and a second one would double its rounds for good.
+        """
         if self.next_timer_at() is None:
             self.add_events(now, TimerFired(0))
 
     def has_pending_events(self) -> bool:
+        """Whether the next tick hands events to the module."""
         return self.has_endpoint_list and bool(self._events)
 
     def pending_server_ids(self) -> set[int]:
-        """Those that events name which the module has not been handed yet."""
-        return {e.server_id for e in self._events if isinstance(e, StoredWeight)}
+        """Servers named by stored weights that the module has not received yet."""
+        return {event.server_id for event in self._events if isinstance(event, StoredWeight)}
 
     def tick(self, now: float) -> Effects | None:
-        """Hands the waiting events and due timers to the module; None when there was nothing."""
+        """Hand pending events and due timers to the module; None when there are none."""
         while self._timers and self._timers[0][0] <= now:
-            _, _, name = heapq.heappop(self._timers)
-            self.add_events(now, TimerFired(name))
+            _, _, timer_id = heapq.heappop(self._timers)
+            self.add_events(now, TimerFired(timer_id))
         if not self.has_endpoint_list:
-            kept = (OwnershipChanged, StoredWeight, ProxyConnected, ProxyDisconnected)
-            early: list[Event] = [e for e in self._events if isinstance(e, kept)]
-            self._events = early[-EARLY_MOST:]
+            early: list[Event] = [event for event in self._events if isinstance(event, EARLY_EVENT_TYPES)]
+            self._events = early[-MAX_EARLY_EVENTS:]
             return None
         if not self._events:
             return None
-        events, self._events = tuple(self._events), []
+        events = tuple(self._events)
+        self._events = []
         actions = tuple(self.director.handle(now, events))
         self.batch += 1
         effects = Effects(
             batch=self.batch, events=events, actions=actions, first_event_at_s=self._first_event_at_s
         )
-        self._carry_out(now, actions, effects)
+        self._apply_actions(now, actions, effects)
         return effects
 
-    def _carry_out(self, now: float, actions: tuple[Action, ...], out: Effects) -> None:
-        withdrawals: dict[int, bool] = {}
-        levels: list[AdmissionLevel] = []
-        mark: int | None = None
+    def _apply_actions(self, now: float, actions: tuple[Action, ...], effects: Effects) -> None:
+        content = _UpdateContent()
         for action in actions:
-            match action:
-                case SetTimer(after_s, name):
-                    self._timer_count += 1
-                    heapq.heappush(self._timers, (now + after_s, self._timer_count, name))
-                case SendHealthCheck(server):
-                    out.health_checks.append(server)
-                case WatchEndpoints(on):
-                    out.watch_requests.append(on)
-                case LogMessage(text):
-                    out.log_messages.append(text)
-                case SendCheckpoint(number):
-                    mark = number
-                case SetWeight(table, server, weight) if table in self.fencing_tokens:
-                    out.weight_writes.append(self._line(table, server, weight))
-                case SetWithdrawn(server, gone):
-                    withdrawals[server] = gone
-                case SetAdmission(table, classes, level, retry):
-                    levels.append(AdmissionLevel(table, classes, level, retry))
-        told = [s for s, gone in sorted(withdrawals.items()) if gone]
-        back = [s for s, gone in sorted(withdrawals.items()) if not gone]
-        size = len(out.weight_writes) + len(told) + len(back) + len(levels)
-        if not size:
-            return
-        cost = size + (mark is not None) + self.settings.channel_header_entries
-        order = ProxyUpdate(
+            self._apply_action(now, action, effects, content)
+        update = self._proxy_update(now, effects.weight_writes, content)
+        if update is not None:
+            effects.proxy_updates = [(proxy_id, update) for proxy_id in sorted(self.proxy_zones)]
+
+    def _apply_action(self, now: float, action: Action, effects: Effects, content: _UpdateContent) -> None:
+        match action:
+            case SetTimer(delay_s, timer_id):
+                self._timer_count += 1
+                heapq.heappush(self._timers, (now + delay_s, self._timer_count, timer_id))
+            case SendHealthCheck(server_id):
+                effects.health_checks.append(server_id)
+            case WatchEndpoints(enabled):
+                effects.watch_requests.append(enabled)
+            case LogMessage(text):
+                effects.log_messages.append(text)
+            case SendCheckpoint(checkpoint_id):
+                content.checkpoint_id = checkpoint_id
+            case SetWeight(slice_id, server_id, weight) if slice_id in self.fencing_tokens:
+                effects.weight_writes.append(self._weight_entry(slice_id, server_id, weight))
+            case SetWithdrawn(server_id, withdrawn):
+                content.withdrawn[server_id] = withdrawn
+            case SetAdmission(slice_id, class_mask, fraction, retry_mode):
+                content.admission_levels.append(AdmissionLevel(slice_id, class_mask, fraction, retry_mode))
+
+    def _proxy_update(
+        self, now: float, weights: list[WeightEntry], content: _UpdateContent
+    ) -> ProxyUpdate | None:
+        """The batch's update, or None when it would change nothing; a checkpoint alone is not sent."""
+        entry_count = len(weights) + len(content.withdrawn) + len(content.admission_levels)
+        if not entry_count:
+            return None
+        has_checkpoint = content.checkpoint_id is not None
+        return ProxyUpdate(
             self.batch,
             now,
-            cost,
-            out.weight_writes,
-            withdrawn_servers=told,
-            readmitted_servers=back,
-            admission_levels=levels,
-            checkpoint_id=mark,
+            entry_count + has_checkpoint + self.settings.channel_header_entries,
+            weights,
+            withdrawn_servers=content.withdrawn_servers(),
+            readmitted_servers=content.readmitted_servers(),
+            admission_levels=content.admission_levels,
+            checkpoint_id=content.checkpoint_id,
         )
-        out.proxy_updates = [(proxy, order) for proxy in sorted(self.proxy_zones)]
 
-    def _line(self, table: int, server: int, weight: float) -> WeightEntry:
-        address, zone = self.server_addresses.get(server, ""), self.server_zones.get(server, -1)
-        return WeightEntry(table, server, weight, self.fencing_tokens[table], address, zone)
+    def _weight_entry(self, slice_id: int, server_id: int, weight: float) -> WeightEntry:
+        address = self.directory.addresses.get(server_id, "")
+        zone = self.directory.zones.get(server_id, -1)
+        return WeightEntry(slice_id, server_id, weight, self.fencing_tokens[slice_id], address, zone)
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -435,7 +435,7 @@
 
     def _gather(self) -> None:
         now = self.now()
-        self.runtime.add_events(now, *self.load_reports.take_reports(now))
+        self.runtime.add_events(now, *self.load_reports.drain_reports(now))
         if self.runtime.has_pending_events():
             self._schedule()
         self.reactor.callLater(self.settings.report_period_s, self._gather)
--- a/puffintide/owned_tables.py
+++ b/puffintide/owned_tables.py
@@ -1,8 +1,8 @@
-"""The tables in this assigner's charge, as it has ordered them. Pure.
+"""The tables of the slices that an assigner owns, as it has last written them. No I/O.
 
-In an unbroken tenure these hold, whatever the store missed: it was away, it lost its last commits, or it came back
-from a backup. Where another has had the slice in between, what was ordered before is void: it went by a table that
-is no more.
+In an unbroken tenure these are the current tables, whatever the store missed: it was unreachable, lost its last
+commits, or was restored from a backup. Where another assigner has owned the slice in between, earlier writes are
+void, as they were based on a table that no longer exists.
 """
 
 from __future__ import annotations
@@ -13,48 +13,72 @@
 
 
 class OwnedTables:
+    """Tables by slice.
+
+    Attributes:
+        entries: Table entries by slice, then by server.
+        batches: Batch of the last write to each slice.
+        changed_slices: Slices that changed since a reader last emptied this set.
+    """
+
     def __init__(self) -> None:
         self.entries: dict[int, dict[int, TableEntry]] = {}
-        self.batches: dict[int, int] = {}  # of the last order for each
-        self.changed_slices: set[int] = set()  # since somebody took note
-
-    def on_ownership_granted(self, charge: SliceOwnership, goes_on: bool) -> None:
-        if not goes_on:
-            self.entries[charge.slice_id] = {h.server_id: h for h in charge.entries}
-            self.batches[charge.slice_id] = charge.batch
-        self.changed_slices.add(charge.slice_id)
-
-    def apply_writes(self, batch: int, lines: Iterable[WeightEntry]) -> None:
-        for line in lines:
-            table = self.entries.setdefault(line.slice_id, {})
-            if line.weight > 0:
-                table[line.server_id] = TableEntry(line.server_id, line.weight, line.address, line.zone)
+        self.batches: dict[int, int] = {}
+        self.changed_slices: set[int] = set()
+
+    def on_ownership_granted(self, ownership: SliceOwnership, tenure_continues: bool) -> None:
+        """Take over the stored table, unless the tenure is unbroken."""
+        slice_id = ownership.slice_id
+        if not tenure_continues:
+            self.entries[slice_id] = {entry.server_id: entry for entry in ownership.entries}
+            self.batches[slice_id] = ownership.batch
+        self.changed_slices.add(slice_id)
+
+    def on_ownership_revoked(self, slice_id: int) -> None:
+        """Forget a slice."""
+        self.entries.pop(slice_id, None)
+        self.batches.pop(slice_id, None)
+        self.changed_slices.discard(slice_id)
+
+    def apply_writes(self, batch: int, weights: Iterable[WeightEntry]) -> None:
+        """Set the weights of a batch; weight 0 removes an entry."""
+        for weight_entry in weights:
+            table = self.entries.setdefault(weight_entry.slice_id, {})
+            if weight_entry.weight > 0:
+                table[weight_entry.server_id] = TableEntry(
+                    weight_entry.server_id, weight_entry.weight, weight_entry.address, weight_entry.zone
+                )
             else:
-                table.pop(line.server_id, None)
-            self.batches[line.slice_id] = batch
-            self.changed_slices.add(line.slice_id)
-
-    def on_ownership_revoked(self, number: int) -> None:
-        self.entries.pop(number, None)
-        self.batches.pop(number, None)
-        self.changed_slices.discard(number)
-
-    def missing_writes(self, charges: Iterable[SliceOwnership]) -> tuple[int, list[WeightEntry]]:
-        """(batch, lines) to write once more under the tokens that were given: what the store's tables lack."""
-        lines: list[WeightEntry] = []
+                table.pop(weight_entry.server_id, None)
+            self.batches[weight_entry.slice_id] = batch
+            self.changed_slices.add(weight_entry.slice_id)
+
+    def missing_writes(self, ownerships: Iterable[SliceOwnership]) -> tuple[int, list[WeightEntry]]:
+        """Find what the stored tables lack.
+
+        Returns:
+            The batch, and the weights to write again under the tokens that were granted.
+        """
+        missing: list[WeightEntry] = []
         batch = 0
-        for charge in charges:
-            mine, stored = self.entries.get(charge.slice_id, {}), {h.server_id: h for h in charge.entries}
-            new = [h for s, h in sorted(mine.items()) if s not in stored or stored[s].weight != h.weight]
-            found = [
-                WeightEntry(charge.slice_id, h.server_id, h.weight, charge.fencing_token, h.address, h.zone)
-                for h in new
-            ]
-            found += [
-                WeightEntry(charge.slice_id, s, 0.0, charge.fencing_token)
-                for s in sorted(stored.keys() - mine.keys())
-            ]
-            if found:
-                lines += found
-                batch = max(batch, self.batches.get(charge.slice_id, 0))
-        return batch, lines
+        for ownership in ownerships:
+            of_slice = self._missing_in(ownership)
+            if of_slice:
+                missing += of_slice
+                batch = max(batch, self.batches.get(ownership.slice_id, 0))
+        return batch, missing
+
+    def _missing_in(self, ownership: SliceOwnership) -> list[WeightEntry]:
+        slice_id = ownership.slice_id
+        token = ownership.fencing_token
+        owned = self.entries.get(slice_id, {})
+        stored = {entry.server_id: entry for entry in ownership.entries}
+        changed = [
+            entry
+            for server_id, entry in sorted(owned.items())
+            if server_id not in stored or stored[server_id].weight != entry.weight
+        ]
+        return [
+            *(WeightEntry(slice_id, e.server_id, e.weight, token, e.address, e.zone) for e in changed),
+            *(WeightEntry(slice_id, s, 0.0, token) for s in sorted(stored.keys() - owned.keys())),
+        ]
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -161,7 +161,7 @@
             reports.add_usage(now, 0, sums)
             runtime.add_events(
                 now,
-                *reports.take_reports(now),
+                *reports.drain_reports(now),
                 HealthCheckResult(first + step % 4, HealthCheckStatus.OK, 0.01, (1.0,)),
             )
             runtime.add_events(now, TimerFired(1))
@@ -179,9 +179,9 @@
         "growth": len(plan.growth),
         "behind": len(plan.behind),
         "addresses": len(runtime.server_addresses),
-        "zones": len(runtime.server_zones),
-        "starts": len(runtime._server_starts),
-        "reports": len(reports._told),
+        "zones": len(runtime.directory.zones),
+        "starts": len(runtime.directory.starts),
+        "reports": len(reports._reported_at),
         "proxy": len(held.addresses),
         "proxy's zones": len(held.zones),
     }
@@ -291,11 +291,11 @@
 def test_what_the_store_lacks_is_written_again_for_an_unbroken_tenure_alone() -> None:
     ordered = OwnedTables()
     for number in range(3):
-        ordered.on_ownership_granted(charge(number, 1, {0: 1.0, 4: 1.0}), goes_on=False)
+        ordered.on_ownership_granted(charge(number, 1, {0: 1.0, 4: 1.0}), tenure_continues=False)
     ordered.apply_writes(3, [line(0, 1, 1.0, 1), line(1, 1, 1.0, 2)])
     ordered.apply_writes(5, [line(0, 1, 0.5, 1), line(0, 4, 0.0, 1), line(2, 1, 1.0, 3)])
     assert ordered.missing_writes(
         [charge(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), charge(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]
     ) == (5, [line(0, 1, 0.5, 9), m.WeightEntry(0, 4, 0.0, 9)])
-    ordered.on_ownership_granted(charge(2, 9, {0: 1.0}), goes_on=False)  # another had it since
+    ordered.on_ownership_granted(charge(2, 9, {0: 1.0}), tenure_continues=False)  # another had it since
     assert ordered.missing_writes([charge(2, 9, {0: 1.0})]) == (0, [])
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -25,13 +25,13 @@
 
 def drop_lines(patch: pytest.MonkeyPatch) -> None:
     """Tables are emptied, and nothing comes in place."""
-    tick = Runtime._carry_out
+    tick = Runtime._apply_actions
 
     def carry(self: Runtime, now: float, actions: tuple[Action, ...], out: Any) -> None:
         empty = [replace(a, weight=0.0) if isinstance(a, SetWeight) else a for a in actions]
         tick(self, now, tuple(empty), out)
 
-    patch.setattr(Runtime, "_carry_out", carry)
+    patch.setattr(Runtime, "_apply_actions", carry)
 
 
 def repeat_all(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -321,7 +321,7 @@
 
 
 def test_messages_leave_in_order_at_the_stated_pace() -> None:
-    channel = Channel(lines_per_s=100.0, limit=1000.0)
+    channel = Channel(entries_per_s=100.0, capacity_entries=1000.0)
     for proxy in range(3):
         channel.add_proxy(proxy)
         channel.enqueue(proxy, order(0.0))
@@ -335,7 +335,7 @@
 
 
 def test_a_proxy_that_does_not_read_delays_nobody_and_is_given_up_before_the_limit() -> None:
-    channel = Channel(lines_per_s=1e9, limit=45.0)
+    channel = Channel(entries_per_s=1e9, capacity_entries=45.0)
     for proxy in (0, 1, 2):
         channel.add_proxy(proxy)
     channel.set_writable(0.0, 0, False)
@@ -368,14 +368,14 @@
 
 
 def test_sums_add_up_whatever_the_report_lines_allow() -> None:
-    gather = LoadReportAggregator(lines_per_s=4.0)
+    gather = LoadReportAggregator(entries_per_s=4.0)
     heard: list[ServerLoadReport] = []
     for step in range(40):
         now = 10 + step * 0.5
         for proxy in range(3):
             rows = [m.ServerUsage(s, 2, 1, 0.5, [float(s)]) for s in range(5)]
             gather.add_usage(now, proxy % 2, m.UsageReport(0.5, rows if step < 20 else [], []))
-        events = gather.take_reports(now)
+        events = gather.drain_reports(now)
         assert len(events) <= 4
         heard += [e for e in events if isinstance(e, ServerLoadReport)]
     assert sum(e.attempts for e in heard) == 20 * 3 * 5 * 2
