--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,7 +19,7 @@
 from puffintide.assigner.cache import load_list, save_list
 from puffintide.emulators.etcd import Etcd
 from puffintide.platform.messages import read_line, read_members, read_news
-from puffintide.platform.names import Hosts, Names
+from puffintide.platform.identifiers import Hosts, Names
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 from puffintide.proxy.state import load_state, save_state
