--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -30,8 +30,7 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
-from puffintide.proxy.state import save_state
-from puffintide.proxy.tables import Saved
+from puffintide.proxy.state import SavedState, save_state
 from puffintide.scenarios.place import Ports
 
 WEIGHTS = (1.0, 2.0, 3.0, 4.0)
@@ -349,7 +348,7 @@
         m.TableEntry(s, w, f"127.0.0.1:{p}") for s, (w, p) in enumerate(zip(WEIGHTS, servers, strict=False))
     ]
     charges = [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)]
-    save_state(str(folder / f"{name}.json"), Saved(1, time.time(), charges, {}, []))
+    save_state(str(folder / f"{name}.json"), SavedState(1, time.time(), charges, {}, []))
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_dict(
         {
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -16,28 +16,41 @@
 
 import click
 
+from puffintide.decisions.settings import AdmissionMode, RepeatSafety
 from puffintide.emulators.model import Make, ServerModel
 from puffintide.protocol import messages as m
-from puffintide.proxy.engine import Cancel, Close, Connect, Effect, Engine, Finish, Limits, Send
-from puffintide.proxy.tries import Kind
+from puffintide.proxy.effects import (
+    CancelAttempt,
+    CompleteRequest,
+    ConnectServer,
+    DisconnectServer,
+    Effect,
+    SendAttempt,
+)
+from puffintide.proxy.engine import Engine
+from puffintide.proxy.retry_policy import DeduplicationScope, RequestClassPolicy
+from puffintide.proxy.settings import EngineSettings
 
 SERVERS, SLICES, WORK_S, LENGTH_S = 10, 40, 0.1, 30.0
-KINDS = (Kind("repeatable", "all", 0, 0.5), Kind("once", "all", 0, 0.5))
-
-
-def limits() -> Limits:
-    return Limits(
-        slices=SLICES,
-        kinds=KINDS,
-        own_zone=(False, False),
-        retry_default=0,
-        retry_wait_aims=1.0,
-        shun_after=0,
-        shun_s=2.0,
-        admit="silent",
-        pick="rotate",
-        hold_s=0.2,
-        again_s=0.5,
+KINDS = (
+    RequestClassPolicy(RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
+    RequestClassPolicy(RepeatSafety.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
+)
+
+
+def limits() -> EngineSettings:
+    return EngineSettings(
+        slice_count=SLICES,
+        request_classes=KINDS,
+        same_zone_only=(False, False),
+        default_retry_mode=0,
+        retry_wait_objectives=1.0,
+        ejection_failures=0,
+        ejection_s=2.0,
+        admission_mode=AdmissionMode.NONE,
+        load_balancing_policy="rotate",
+        queue_timeout_s=0.2,
+        retry_after_s=0.5,
         zone=0,
     )
 
@@ -49,8 +62,8 @@
         make = Make(2, 1.0, 4, 20, 0.5, 5.0, 0.0, 1.0, 10, 3.0, 1.5)
         self.servers = [ServerModel(make, None) for _ in range(SERVERS)]
         held = [m.TableEntry(s, 1.0, f"127.0.0.1:{s}") for s in range(SERVERS)]
-        self.engine.charges(0.0, [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)])
-        self.engine.order(
+        self.engine.on_slice_ownerships(0.0, [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)])
+        self.engine.on_proxy_update(
             0.0, 0, m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, mode)])
         )
         self.rate = share * SERVERS * make.cores / WORK_S
@@ -68,21 +81,25 @@
     def do(self, effects: list[Effect]) -> None:
         for e in effects:
             match e:
-                case Connect(server):
-                    self.do(self.engine.server_up(self.now, server))
-                case Send():
+                case ConnectServer(server):
+                    self.do(self.engine.on_server_connected(self.now, server))
+                case SendAttempt():
                     self.tries += 1
-                    self.first += e.number == 0
-                    self.once_again += e.request_class == 1 and e.number > 0 and self.seen.get(e.ref, 0) > 0
-                    self.seen[e.ref] = self.seen.get(e.ref, 0) + 1
-                    model = self.servers[e.server]
-                    if not model.offer(self.now, e.key, self.rng.lognormvariate(-0.1, 0.45) * WORK_S, None):
-                        self.seen[e.ref] -= 1
-                        self.later(self.now + 0.001, f"full{e.server}", e.key)
-                    self.arm(e.server)
-                case Finish(_, status):
+                    self.first += e.attempt_number == 0
+                    self.once_again += (
+                        e.class_index == 1 and e.attempt_number > 0 and self.seen.get(e.handle, 0) > 0
+                    )
+                    self.seen[e.handle] = self.seen.get(e.handle, 0) + 1
+                    model = self.servers[e.server_id]
+                    if not model.offer(
+                        self.now, e.attempt_id, self.rng.lognormvariate(-0.1, 0.45) * WORK_S, None
+                    ):
+                        self.seen[e.handle] -= 1
+                        self.later(self.now + 0.001, f"full{e.server_id}", e.attempt_id)
+                    self.arm(e.server_id)
+                case CompleteRequest(_, status):
                     self.good += status == m.AttemptStatus.OK
-                case Cancel() | Close():
+                case CancelAttempt() | DisconnectServer():
                     pass  # it stops no work
 
     def arm(self, server: int) -> None:
@@ -99,21 +116,21 @@
             self.later(at, "ask", self.asked)
         self.later(10.0, "slow", 2)
         self.later(20.0, "slow", 1)
-        while self.events or self.engine.next_due() is not None:
-            due = self.engine.next_due()
+        while self.events or self.engine.next_timer_at() is not None:
+            due = self.engine.next_timer_at()
             if due is not None and (not self.events or due <= self.events[0][0]):
                 self.now = max(self.now, due)
-                self.do(self.engine.due(self.now))
+                self.do(self.engine.on_timer(self.now))
                 continue
             self.now, _, what, which = heapq.heappop(self.events)
             if what == "ask":
                 kind = 1 if which % 5 == 0 else 0
-                self.do(self.engine.asked(self.now, which, which, which % SLICES, kind, 1.5))
+                self.do(self.engine.on_request(self.now, which, which, which % SLICES, kind, 1.5))
             elif what == "work":
                 if self.armed.get(which) == self.now:
                     del self.armed[which]
                 for key in self.servers[which].due(self.now):
-                    self.do(self.engine.answered(self.now, which, key, m.AttemptStatus.OK, []))
+                    self.do(self.engine.on_response(self.now, which, key, m.AttemptStatus.OK, []))
                 self.arm(which)
             elif what == "slow":
                 for k, server in enumerate(self.servers):
@@ -121,7 +138,9 @@
                     server.slow = float(which)
                     self.arm(k)
             else:
-                self.do(self.engine.answered(self.now, int(what[4:]), which, m.AttemptStatus.SATURATED, []))
+                self.do(
+                    self.engine.on_response(self.now, int(what[4:]), which, m.AttemptStatus.SATURATED, [])
+                )
 
 
 def rows(seed: int) -> list[tuple[float, int, float, float, int]]:
--- a/puffintide/audit/rules.py
+++ b/puffintide/audit/rules.py
@@ -16,7 +16,7 @@
 from puffintide.config.loader import Config
 from puffintide.protocol import messages as m
 from puffintide.protocol.checks import NEWS_KINDS, sound_entries
-from puffintide.proxy.tables import Tables
+from puffintide.proxy.weight_tables import WeightTables
 
 RULES = (
     "nobody left",
@@ -284,12 +284,12 @@
         """Each proxy's tables are played through; times without a line to pick are held against duties."""
         if not self.config.deployment.slices:
             return
-        replicas: dict[int, Tables] = {}
+        replicas: dict[int, WeightTables] = {}
         bare: dict[tuple[int, int], tuple[float, int]] = {}
         spans: dict[tuple[int, int], list[tuple[float, float, int]]] = defaultdict(list)
 
         def look(proxy: int, number: int, at: float, record: int) -> None:
-            if replicas[proxy].open(number):
+            if replicas[proxy].available_weights(number):
                 since = bare.pop((proxy, number), None)
                 if since is not None:
                     spans[proxy, number].append((since[0], at, since[1]))
@@ -302,26 +302,26 @@
                 continue
             if peer.id not in replicas:
                 d = self.config.deployment
-                replicas[peer.id] = Tables(
+                replicas[peer.id] = WeightTables(
                     d.slices, d.retry_default, d.pick, lambda: 0.5, single_writer=d.single_writer
                 )
             tables = replicas[peer.id]
             if isinstance(r.message, m.SliceOwnerships):
                 for charge in r.message.ownerships:
-                    tables.charge(charge)
+                    tables.apply_ownership(charge)
                     look(peer.id, charge.slice_id, r.went, r.number)
             elif isinstance(r.message, m.Welcome) and r.link.startswith("order:"):
                 assigner = self._number_of(r.link)
-                tables.joined(assigner)
-                for number in sorted(n for n, t in tables.tables.items() if t.assigner == assigner):
+                tables.on_assigner_connected(assigner)
+                for number in sorted(n for n, t in tables.slices.items() if t.owner_id == assigner):
                     look(peer.id, number, r.went, r.number)
             elif isinstance(r.message, m.ProxyUpdate):
                 assigner = self._number_of(r.link)
-                tables.order(assigner, r.message)
+                tables.apply_update(assigner, r.message)
                 touched = {line.slice_id for line in r.message.weights} | set(r.message.cleared_slices)
                 if r.message.withdrawn_servers or r.message.readmitted_servers:
-                    touched |= {n for n, t in tables.tables.items() if t.assigner == assigner}
-                for number in sorted(touched & tables.tables.keys()):
+                    touched |= {n for n, t in tables.slices.items() if t.owner_id == assigner}
+                for number in sorted(touched & tables.slices.keys()):
                     look(peer.id, number, r.went, r.number)
         for key, (since, record) in bare.items():
             spans[key].append((since, self.end, record))
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -195,9 +195,11 @@
     tls = _tls(config, log)
     service = ProxyService(reactor, config, config.proxy, log, tls)
     shared = config.proxy.shared_port
-    service.ports = [_listen(reactor, config.proxy.listen, service.front(), tls, shared)]
-    if service.http is not None:
-        service.ports.append(_listen(reactor, config.proxy.http, service.http.factory(), tls, shared))
+    service.listening_ports = [_listen(reactor, config.proxy.listen, service.factory(), tls, shared)]
+    if service.http_proxy is not None:
+        service.listening_ports.append(
+            _listen(reactor, config.proxy.http, service.http_proxy.factory(), tls, shared)
+        )
     service.start()
     _run(reactor, service.stop)
 
@@ -302,7 +304,7 @@
             clients_most=10,
         )
         service = ProxyService(reactor, config, me, log)
-        _listen(reactor, me.listen, service.front())
+        _listen(reactor, me.listen, service.factory())
         service.start()
     _obey(reactor, _Hand(reactor, lambda what, args: None))
     _run(reactor)
--- /dev/null
+++ b/puffintide/proxy/downstream.py
@@ -0,0 +1,258 @@
+"""The HTTP server side: connections from clients."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+from typing import TYPE_CHECKING, Any
+
+import h11
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import Factory, Protocol, connectionDone
+from twisted.python.failure import Failure
+
+from puffintide.protocol.stream import hang_up
+from puffintide.proxy.http_counters import HttpCounter
+from puffintide.proxy.http_exchange import HttpExchange
+from puffintide.proxy.http_messages import (
+    CLOSE_HEADER,
+    Headers,
+    HttpRequestError,
+    body_too_large,
+    check_request,
+    error_headers,
+    expects_continue,
+    final_response,
+    has_body,
+    parse_routing_headers,
+)
+from puffintide.proxy.reactor import DelayedCall, Transport, cancel_if_active
+
+if TYPE_CHECKING:
+    from puffintide.proxy.http_proxy import HttpProxy
+
+
+class DownstreamConnection(Protocol):
+    """A client's connection: one request at a time, pipelined ones after it, in order."""
+
+    transport: Transport  # type: ignore[assignment]
+
+    def __init__(self, proxy: HttpProxy) -> None:
+        self.proxy = proxy
+        self.limits = proxy.process
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.head_most)
+        self.exchange: HttpExchange | None = None
+        self.closing = False
+        self._timeout: DelayedCall | None = None
+        self._paused = False
+        self._processing = False
+        self._is_head_request = False  # its response has no body
+
+    def connectionMade(self) -> None:
+        """Accept the connection, unless there are too many."""
+        self.transport.setTcpNoDelay(True)
+        self.transport.registerProducer(self, True)
+        if len(self.proxy.downstreams) >= self.limits.clients_most:
+            self.transport.abortConnection()
+            return
+        self.proxy.downstreams.add(self)
+        self._set_timeout(self.limits.idle_s)
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002
+        """The client is gone."""
+        self.closing = True
+        self._set_timeout(None)
+        self.proxy.downstreams.discard(self)
+        self._abandon_exchange()
+
+    def close_if_idle(self) -> None:
+        """The proxy shuts down: close unless a response is still to be sent."""
+        if self.exchange is None and not self.closing:
+            self._close()
+
+    def _abandon_exchange(self) -> None:
+        if self.exchange is not None:
+            self.exchange.finished = True
+            self.proxy.on_client_disconnected(self.exchange)
+            self.exchange = None
+
+    def _close(self) -> None:
+        """Close once all is written; a client that does not read it in time is cut off."""
+        self.closing = True
+        hang_up(self.transport)
+        self._set_timeout(self.limits.head_s)
+
+    # Timeouts ------------------------------------------------------------------------------------
+
+    def _set_timeout(self, timeout_s: float | None) -> None:
+        cancel_if_active(self._timeout)
+        self._timeout = None
+        if timeout_s is not None:
+            self._timeout = self.proxy.reactor.callLater(timeout_s, self._on_timeout)
+
+    def _on_timeout(self) -> None:
+        """A head that does not arrive, a body that stops, a response that is not read: the connection closes."""
+        self.proxy.count(HttpCounter.DOWNSTREAM_TIMEOUTS)
+        awaits_head = self.exchange is None and self.http.their_state is h11.IDLE
+        if not self.closing and awaits_head and self.http.trailing_data[0]:
+            self._reject(HTTPStatus.REQUEST_TIMEOUT, "the head took too long")
+        else:
+            self.transport.abortConnection()
+
+    # Requests ------------------------------------------------------------------------------------
+
+    def dataReceived(self, data: bytes) -> None:
+        """Data from the client."""
+        if self.closing:
+            return
+        if self.exchange is None and self.http.their_state is h11.IDLE:
+            self._set_timeout(self.limits.head_s)
+        try:
+            self.http.receive_data(data)
+            self._process_events()
+        except h11.RemoteProtocolError as error:
+            self._reject(error.error_status_hint, str(error))
+
+    def _process_events(self) -> None:
+        if self._processing:
+            return  # an immediate response from within the loop, which goes on with the next request
+        self._processing = True
+        try:
+            while not self.closing and self._process_event(self.http.next_event()):
+                pass
+        except HttpRequestError as error:
+            self._reject(error.status_code, str(error))
+        finally:
+            self._processing = False
+
+    def _process_event(self, event: Any) -> bool:
+        """Handle one event. Returns whether to look for more."""
+        if event is h11.NEED_DATA or event is h11.PAUSED:
+            return False
+        if isinstance(event, h11.ConnectionClosed):
+            self._close()
+            return False
+        if isinstance(event, h11.Request):
+            self._begin_request(event)
+        elif isinstance(event, h11.Data) and self.exchange is not None:
+            self._receive_body(self.exchange, bytes(event.data))
+        elif isinstance(event, h11.EndOfMessage) and self.exchange is not None:
+            self._set_timeout(None)
+            self.exchange.receive_end()
+        return True
+
+    def _begin_request(self, request: h11.Request) -> None:
+        self._is_head_request = request.method == b"HEAD"
+        if self.proxy.stopping:
+            raise HttpRequestError(HTTPStatus.SERVICE_UNAVAILABLE, "this proxy stops")
+        headers = dict(request.headers)
+        check_request(request, headers, self.limits.head_most, self.limits.body_most)
+        routing = parse_routing_headers(request.target, headers, self.proxy.classes)
+        if expects_continue(headers):
+            self._send(h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[]))
+        self._set_timeout(self.limits.head_s if has_body(headers) else None)
+        self.proxy.begin_request(self, request, routing)
+
+    def _receive_body(self, exchange: HttpExchange, data: bytes) -> None:
+        if exchange.body_size + len(data) > self.limits.body_most:
+            self._abandon_exchange()
+            raise body_too_large(self.limits.body_most)
+        self._set_timeout(self.limits.head_s)
+        exchange.receive_body(data, self.limits.replay_most)
+
+    def _reject(self, status_code: int, reason: str) -> None:
+        """Send an error response and close."""
+        self.proxy.count(HttpCounter.REQUESTS_REJECTED)
+        if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            body = reason.encode() + b"\n"
+            self._send(h11.Response(status_code=status_code, headers=error_headers(body)))
+            self._send(h11.Data(data=b"" if self._is_head_request else body))
+            self._send(h11.EndOfMessage())
+        self._close()
+
+    # Responses -----------------------------------------------------------------------------------
+
+    def _send(self, event: h11.Event) -> None:
+        data = self.http.send(event)
+        if data:
+            self.transport.write(data)
+
+    def send_response_head(self, status_code: int, headers: Headers) -> None:
+        """Forward the head of a server's response."""
+        if self.proxy.stopping:
+            headers = [*headers, CLOSE_HEADER]
+        self._send(h11.Response(status_code=status_code, headers=headers))
+
+    def send_response_body(self, data: bytes) -> None:
+        """Forward a part of a response's body."""
+        self._send(h11.Data(data=data))
+
+    def send_response_end(self) -> None:
+        """The response is complete: go on with the next request."""
+        self._send(h11.EndOfMessage())
+        self._next_request()
+
+    def send_final_response(self, status: int, retry_after_s: float, may_have_executed: bool) -> None:
+        """Send the proxy's own response to a request that no server answered."""
+        body_unread = self.exchange is not None and not self.exchange.request_complete
+        close = self.proxy.stopping or body_unread
+        self._send(final_response(status, retry_after_s, may_have_executed, close))
+        self._send(h11.EndOfMessage())
+        self._next_request()
+
+    def truncate_response(self) -> None:
+        """Close within a response, so that the client sees that it is incomplete."""
+        self._close()
+
+    def _next_request(self) -> None:
+        self.exchange = None
+        self.set_paused(False)
+        must_close = self.proxy.stopping or self.http.our_state is h11.MUST_CLOSE
+        if must_close or self.http.their_state is not h11.DONE:
+            self._close()
+            return
+        self.http.start_next_cycle()
+        self._set_timeout(self.limits.idle_s)
+        try:
+            self._process_events()
+        except h11.RemoteProtocolError as error:
+            self._reject(error.error_status_hint, str(error))
+
+    # Flow control --------------------------------------------------------------------------------
+
+    def set_paused(self, paused: bool) -> None:
+        """Stop reading from the client while its body can't be forwarded, or read on."""
+        if paused == self._paused or self.closing:
+            return
+        self._paused = paused
+        if paused:
+            self.transport.pauseProducing()
+        else:
+            self.transport.resumeProducing()
+
+    def pauseProducing(self) -> None:
+        """The client reads slowly: the server has to wait, but not for ever."""
+        self._set_timeout(self.limits.head_s)
+        if self.exchange is not None and self.exchange.upstream is not None:
+            self.exchange.upstream.set_paused(True)
+
+    def resumeProducing(self) -> None:
+        """The client has read on."""
+        self._set_timeout(None)
+        if self.exchange is not None and self.exchange.upstream is not None:
+            self.exchange.upstream.set_paused(False)
+
+    def stopProducing(self) -> None:
+        """The transport is closed; connectionLost follows."""
+
+
+class DownstreamFactory(Factory):
+    """Accepts clients' connections."""
+
+    noisy = False
+
+    def __init__(self, proxy: HttpProxy) -> None:
+        self.proxy = proxy
+
+    def buildProtocol(self, addr: IAddress | None) -> DownstreamConnection:  # noqa: ARG002
+        """A protocol for one connection."""
+        return DownstreamConnection(self.proxy)
--- /dev/null
+++ b/puffintide/proxy/line_upstream.py
@@ -0,0 +1,61 @@
+"""The stream of the line protocol to one server."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from puffintide.protocol import messages as m
+from puffintide.protocol.messages import AnyMessage
+from puffintide.protocol.stream import Dialler, Stream
+
+if TYPE_CHECKING:
+    from puffintide.proxy.line_proxy import LineProxy
+
+HEARTBEAT_INTERVAL_S = 30.0
+HEARTBEAT_TIMEOUT_S = 90.0
+
+
+class LineUpstream:
+    """Connects to one server once, and passes its responses to the engine."""
+
+    def __init__(self, proxy: LineProxy, server_id: int, address: str) -> None:
+        self.proxy = proxy
+        self.server_id = server_id
+        self._dialler = Dialler(
+            proxy.reactor,
+            address,
+            proxy.greeting,
+            self._on_message,
+            self._on_lost,
+            again=False,
+            connect_s=proxy.process.connect_s,
+            ping_s=HEARTBEAT_INTERVAL_S,
+            dead_s=HEARTBEAT_TIMEOUT_S,
+            tls=proxy.tls,
+        )
+
+    def connect(self) -> None:
+        """Begin to connect."""
+        self._dialler.start()
+
+    def close(self) -> None:
+        """Close the stream, or stop connecting."""
+        self._dialler.stop()
+
+    def _on_message(self, stream: Stream, message: AnyMessage) -> None:
+        engine = self.proxy.engine
+        now_s = self.proxy.now_s()
+        match message:
+            case m.Welcome():
+                self.proxy.server_streams[self.server_id] = stream
+                self.proxy.run_effects(engine.on_server_connected(now_s, self.server_id))
+            case m.AttemptResponse():
+                effects = engine.on_response(
+                    now_s, self.server_id, message.attempt_id, message.status, message.load_values
+                )
+                self.proxy.run_effects(effects)
+            case _:
+                stream.refuse(f"a {type(message).__name__} is not for a proxy")
+
+    def _on_lost(self, _reason: str) -> None:
+        self.proxy.on_upstream_lost(self)
--- /dev/null
+++ b/puffintide/proxy/request_state.py
@@ -0,0 +1,76 @@
+"""State of the requests and servers that the engine works on."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from puffintide.protocol.messages import AttemptStatus
+from puffintide.proxy.effects import RequestHandle
+from puffintide.proxy.load_balancing import NO_SERVERS
+from puffintide.proxy.retry_policy import ANY_ZONE, UNKNOWN_ZONE, AttemptHistory
+
+NO_SERVER = -1
+NOT_EXECUTED_STATUSES = (AttemptStatus.SATURATED, AttemptStatus.UNREACHABLE)
+
+
+@dataclass(slots=True)
+class RequestState:
+    """A request from its receipt to its final response."""
+
+    handle: RequestHandle
+    request_id: int
+    slice_id: int
+    class_index: int
+    deadline_s: float
+    assigner_id: int  # owner of the slice; to whom usage is reported
+    attempt_number: int = 0
+    server_id: int = NO_SERVER
+    sent_at_s: float | None = None  # of the current attempt
+    maybe_executed_at_s: float | None = None  # when the first attempt that may have been executed was sent
+    maybe_executed_zone: int = UNKNOWN_ZONE
+    maybe_executed_status: int = AttemptStatus.TIMEOUT  # the final status if no later attempt is answered
+    required_zone: int = ANY_ZONE
+    attempted_servers: frozenset[int] = NO_SERVERS
+    timer_id: int = 0  # its current timer; older ones are cancelled
+
+    def record_possible_execution(self, now_s: float, server_zone: int, status: int) -> None:
+        """The current attempt failed without proof that it was not executed."""
+        if self.maybe_executed_at_s is not None:
+            return
+        self.maybe_executed_at_s = self.sent_at_s if self.sent_at_s is not None else now_s
+        self.maybe_executed_zone = server_zone
+        self.maybe_executed_status = status
+
+    def history(self, proven_not_executed: bool) -> AttemptHistory:
+        """The attempts so far, for the retry policy."""
+        return AttemptHistory(
+            self.attempt_number, proven_not_executed, self.maybe_executed_at_s, self.maybe_executed_zone
+        )
+
+    def begin_retry(self, required_zone: int) -> None:
+        """The next attempt begins; no server is selected yet."""
+        self.attempt_number += 1
+        self.attempted_servers |= {self.server_id}
+        self.required_zone = required_zone
+        self.server_id = NO_SERVER
+        self.sent_at_s = None
+
+    def final_status(self, status: int) -> int:
+        """The status for the client: a rejection would say that nothing was executed, so it must be true."""
+        if self.maybe_executed_at_s is not None and status in NOT_EXECUTED_STATUSES:
+            return self.maybe_executed_status
+        return status
+
+
+@dataclass(slots=True)
+class ServerConnection:
+    """The connection to one server, and its attempts."""
+
+    connected: bool = False
+    waiting: dict[int, None] = field(default_factory=dict)  # attempts that wait for the connection
+    in_flight: dict[int, None] = field(default_factory=dict)  # attempts that were sent
+
+    def remove(self, attempt_id: int) -> bool:
+        """Remove an attempt. Returns whether it was in flight."""
+        self.waiting.pop(attempt_id, None)
+        return self.in_flight.pop(attempt_id, 0) is None
--- a/puffintide/proxy/state.py
+++ b/puffintide/proxy/state.py
@@ -1,4 +1,4 @@
-"""The tables as last held, in a file that is swapped whole: what a proxy begins with while nobody answers."""
+"""The state file: a proxy's tables as last received, with which it starts while nobody else can be reached."""
 
 from __future__ import annotations
 
@@ -7,25 +7,101 @@
 import msgspec
 
 from puffintide.files import swap
-from puffintide.proxy.tables import FORMAT, Saved
+from puffintide.protocol.messages import AdmissionLevel, ProxyUpdate, SliceOwnership, TableEntry
+from puffintide.proxy.errors import ProxyError
+from puffintide.proxy.retry_policy import UNKNOWN_ZONE
+from puffintide.proxy.weight_tables import WeightTables
 
+FORMAT_VERSION = 1
 
-class StateError(Exception):
-    """There is no usable file; the text says why. The proxy then begins empty and reads the store."""
 
+class StateError(ProxyError):
+    """The state file can't be used. The proxy then starts with empty tables and reads the store."""
 
-def save_state(path: str, saved: Saved) -> None:
-    """Raises OSError."""
+
+class SavedState(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "format_version": "format",
+        "saved_at_s": "at",
+        "ownerships": "charges",
+        "withdrawn_servers": "withdrawn",
+        "admission_levels": "levels",
+    },
+):
+    """The contents of the state file."""
+
+    format_version: int
+    saved_at_s: float  # seconds since the epoch
+    ownerships: list[SliceOwnership]
+    withdrawn_servers: dict[int, list[int]]  # by assigner
+    admission_levels: list[tuple[int, list[tuple[int, AdmissionLevel]]]]  # by assigner: (slice, level)
+
+
+def capture_state(tables: WeightTables, now_epoch_s: float) -> SavedState:
+    """The tables as the state file has them."""
+    withdrawn = {a: sorted(servers) for a, servers in sorted(tables.withdrawn.items()) if servers}
+    return SavedState(FORMAT_VERSION, now_epoch_s, _ownerships(tables), withdrawn, _admission_levels(tables))
+
+
+def _ownerships(tables: WeightTables) -> list[SliceOwnership]:
+    ownerships = []
+    for slice_id, table in sorted(tables.slices.items()):
+        entries = [
+            TableEntry(
+                server_id,
+                weight,
+                tables.addresses.get(server_id, ""),
+                tables.zones.get(server_id, UNKNOWN_ZONE),
+            )
+            for server_id, weight in sorted(table.weights.items())
+        ]
+        ownerships.append(SliceOwnership(slice_id, table.fencing_token, table.owner_id, entries, table.batch))
+    return ownerships
+
+
+def _admission_levels(tables: WeightTables) -> list[tuple[int, list[tuple[int, AdmissionLevel]]]]:
+    levels: dict[int, list[tuple[int, AdmissionLevel]]] = {}
+    for (assigner_id, slice_id), by_class in sorted(tables.levels.by_slice.items()):
+        for class_index, level in sorted(by_class.items()):
+            single_class = AdmissionLevel(level.slice_id, 1 << class_index, level.fraction, level.retry_mode)
+            levels.setdefault(assigner_id, []).append((slice_id, single_class))
+    return sorted(levels.items())
+
+
+def restore_state(tables: WeightTables, saved: SavedState) -> None:
+    """Put saved tables, withdrawals and levels in force."""
+    for ownership in saved.ownerships:
+        tables.apply_ownership(ownership)
+    for assigner_id, servers in saved.withdrawn_servers.items():
+        tables.withdrawn[assigner_id] = set(servers)
+    for assigner_id, rows in saved.admission_levels:
+        for _, level in rows:
+            tables.apply_update(assigner_id, ProxyUpdate(0, 0.0, 0.0, admission_levels=[level]))
+
+
+def save_state(path: str, saved: SavedState) -> None:
+    """Replace the state file atomically.
+
+    Raises:
+        OSError: The file can't be written; the old one remains.
+    """
     swap(path, msgspec.json.encode(saved))
 
 
-def load_state(path: str) -> Saved:
+def load_state(path: str) -> SavedState:
+    """Read the state file.
+
+    Raises:
+        StateError: There is no file, or it is damaged or of another format; the text names it.
+    """
     try:
-        saved = msgspec.json.decode(Path(path).read_bytes(), type=Saved)
-    except FileNotFoundError:
-        raise StateError(f"{path}: not there yet") from None
+        saved = msgspec.json.decode(Path(path).read_bytes(), type=SavedState)
+    except FileNotFoundError as error:
+        raise StateError(f"{path}: not there yet") from error
     except (OSError, msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise StateError(f"{path}: {error}") from None
-    if saved.format != FORMAT:
-        raise StateError(f"{path}: format {saved.format} is not {FORMAT}")
+        raise StateError(f"{path}: {error}") from error
+    if saved.format_version != FORMAT_VERSION:
+        raise StateError(f"{path}: format {saved.format_version} is not {FORMAT_VERSION}")
     return saved
--- /dev/null
+++ b/puffintide/proxy/weight_tables.py
@@ -0,0 +1,283 @@
+"""What a proxy routes by: weight tables of the slices, their owners, withdrawn servers. No I/O, no clock.
+
+Tables are received from the store (SliceOwnership) and from assigners (ProxyUpdate). A weight entry whose fencing
+token is older than the slice's is dropped, a newer one is adopted. All of an update takes effect together.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from puffintide.protocol.messages import ProxyUpdate, SliceOwnership, TableEntry, WeightEntry
+from puffintide.proxy.admission import AdmissionLevels
+from puffintide.proxy.load_balancing import NO_SERVERS, LoadBalancer, Random, create_load_balancer
+from puffintide.proxy.retry_policy import ANY_ZONE
+
+MIN_REMEMBERED_SERVERS = 64
+NO_OWNER = -1
+UNKNOWN_TENURE = -1
+
+
+@dataclass(slots=True)
+class SliceTable:
+    """One slice: its owner, and the weights of its servers."""
+
+    owner_id: int = NO_OWNER
+    fencing_token: int = 0
+    batch: int = 0  # of the last update in this tenure
+    tenure_token: int = UNKNOWN_TENURE  # the tenure's first fencing token
+    early_weights: dict[int, float] | None = None  # updates under a token whose ownership is not known yet
+    weights: dict[int, float] = field(default_factory=dict)
+    balancers: dict[bool, LoadBalancer] = field(default_factory=dict)  # by whether only the own zone serves
+    current_balancers: set[bool] = field(default_factory=set)  # those that have the weights as they are now
+
+    def invalidate_balancers(self) -> None:
+        """The weights or the withdrawn servers have changed."""
+        self.current_balancers.clear()
+
+    def continues_tenure(self, ownership: SliceOwnership) -> bool:
+        """Whether the ownership is of the same unbroken tenure of its owner."""
+        return 0 < ownership.tenure_token == self.tenure_token
+
+    def is_older_than_update(self, ownership: SliceOwnership) -> bool:
+        """Whether the ownership was read before the last update was stored: then the weights here are newer."""
+        same_tenure = ownership.fencing_token == self.fencing_token or self.continues_tenure(ownership)
+        return same_tenure and ownership.batch < self.batch
+
+    def set_owner(self, ownership: SliceOwnership) -> None:
+        """Adopt owner and tokens of an ownership."""
+        self.owner_id = ownership.owner_id
+        self.fencing_token = ownership.fencing_token
+        self.tenure_token = ownership.tenure_token
+        self.early_weights = None
+
+    def adopt_newer_token(self, assigner_id: int, fencing_token: int) -> None:
+        """An update shows a newer token than known: its assigner owns the slice."""
+        if self.owner_id != assigner_id:
+            self.tenure_token = UNKNOWN_TENURE
+        self.owner_id = assigner_id
+        self.fencing_token = fencing_token
+        self.early_weights = {}
+
+    def set_weight(self, entry: WeightEntry, single_writer: bool) -> None:
+        """Apply one weight entry; with a single writer, an entry replaces the whole table."""
+        if self.early_weights is not None:
+            self.early_weights[entry.server_id] = entry.weight
+        if single_writer and entry.weight > 0:
+            self.weights.clear()
+            self.early_weights = None
+        if entry.weight > 0:
+            self.weights[entry.server_id] = entry.weight
+        else:
+            self.weights.pop(entry.server_id, None)
+        self.invalidate_balancers()
+
+
+class WeightTables:
+    """All tables of a proxy, and the addresses and zones of the servers in them.
+
+    Args:
+        slice_count: Number of slices.
+        default_retry_mode: Retry mode where no assigner has set one.
+        load_balancing_policy: "rotate", "random" or "p2c".
+        random: Uniform random numbers in [0, 1).
+        zone: Of this proxy.
+        in_flight: Own requests in flight at a server.
+        single_writer: Whether each slice has exactly one server.
+    """
+
+    def __init__(
+        self,
+        slice_count: int,
+        default_retry_mode: int,
+        load_balancing_policy: str,
+        random: Random,
+        zone: int = 0,
+        in_flight: Callable[[int], int] = lambda _server_id: 0,
+        single_writer: bool = False,
+    ) -> None:
+        self.single_writer = single_writer
+        self.default_retry_mode = default_retry_mode
+        self.load_balancing_policy = load_balancing_policy
+        self.random = random
+        self.zone = zone
+        self.in_flight = in_flight
+        self.slices = {slice_id: SliceTable() for slice_id in range(slice_count)}
+        self.addresses: dict[int, str] = {}  # HOST:PORT by server
+        self.zones: dict[int, int] = {}  # by server
+        self.withdrawn: dict[int, set[int]] = {}  # servers by assigner
+        self.levels = AdmissionLevels()
+        self.version = 0  # rises with each change
+        self.highest_token = 0  # of all fencing tokens received
+        self.stale_entries_dropped = 0  # weight entries with an old fencing token
+        self._max_remembered_servers = MIN_REMEMBERED_SERVERS
+
+    # Received tables -----------------------------------------------------------------------------
+
+    def apply_ownership(self, ownership: SliceOwnership) -> None:
+        """Adopt a slice's owner and table as the store has them, unless what is here is newer."""
+        table = self.slices.get(ownership.slice_id)
+        if table is None or ownership.fencing_token < table.fencing_token:
+            return
+        self.highest_token = max(self.highest_token, ownership.fencing_token)
+        if table.is_older_than_update(ownership):
+            self._merge_early_weights(table, ownership)
+            table.set_owner(ownership)
+            return
+        if ownership.fencing_token != table.fencing_token:
+            self.levels.clear_slice(table.owner_id, ownership.slice_id)
+        table.set_owner(ownership)
+        table.batch = ownership.batch
+        table.weights = {entry.server_id: entry.weight for entry in ownership.entries if entry.weight > 0}
+        table.invalidate_balancers()
+        self._remember_servers(ownership.entries)
+        self.version += 1
+        self._forget_unused_servers()
+
+    def _merge_early_weights(self, table: SliceTable, ownership: SliceOwnership) -> None:
+        """Updates of a new tenure refer to the entries of its ownership, not to those of the former owner."""
+        if table.early_weights is None or table.continues_tenure(ownership):
+            return
+        weights = {entry.server_id: entry.weight for entry in ownership.entries} | table.early_weights
+        table.weights = {server_id: weight for server_id, weight in weights.items() if weight > 0}
+        table.invalidate_balancers()
+        self.version += 1
+        self._remember_servers(ownership.entries)
+
+    def _remember_servers(self, entries: list[TableEntry]) -> None:
+        for entry in entries:
+            self._remember_server(entry.server_id, entry.address, entry.zone)
+
+    def _remember_server(self, server_id: int, address: str, zone: int) -> None:
+        if address:
+            self.addresses[server_id] = address
+        if zone >= 0:
+            self.zones[server_id] = zone
+
+    def _forget_unused_servers(self) -> None:
+        """Bound the memory for servers that are in no table any more: each new one has an id of its own."""
+        if max(len(self.addresses), len(self.zones)) <= self._max_remembered_servers:
+            return
+        used = {server_id for table in self.slices.values() for server_id in table.weights}
+        self.addresses = {server_id: a for server_id, a in self.addresses.items() if server_id in used}
+        self.zones = {server_id: zone for server_id, zone in self.zones.items() if server_id in used}
+        self._max_remembered_servers = 2 * len(used) + MIN_REMEMBERED_SERVERS
+
+    def on_assigner_connected(self, assigner_id: int) -> None:
+        """A new stream to an assigner: it sends anew which withdrawals and levels are in force.
+
+        It may have lifted or lost some of them while the stream was down.
+        """
+        self.withdrawn.pop(assigner_id, None)
+        self.levels.clear_assigner(assigner_id)
+        self._invalidate_slices_of(assigner_id)
+        self.version += 1
+
+    def _invalidate_slices_of(self, assigner_id: int) -> None:
+        for table in self.slices.values():
+            if table.owner_id == assigner_id:
+                table.invalidate_balancers()
+
+    def apply_update(self, assigner_id: int, update: ProxyUpdate) -> None:
+        """Apply all of an assigner's update."""
+        for slice_id in update.cleared_slices:
+            self._clear_slice(assigner_id, slice_id, update.batch)
+        for entry in update.weights:
+            self._apply_weight(assigner_id, entry, update.batch)
+        if update.withdrawn_servers or update.readmitted_servers:
+            withdrawn = self.withdrawn.setdefault(assigner_id, set())
+            withdrawn.update(update.withdrawn_servers)
+            withdrawn.difference_update(update.readmitted_servers)
+            self._invalidate_slices_of(assigner_id)
+        for level in update.admission_levels:
+            self.levels.set(assigner_id, level)
+        self.version += 1
+        self._forget_unused_servers()
+
+    def _clear_slice(self, assigner_id: int, slice_id: int, batch: int) -> None:
+        table = self.slices.get(slice_id)
+        if table is None or table.owner_id != assigner_id:
+            return
+        table.weights.clear()
+        table.invalidate_balancers()
+        table.batch = batch
+        self.levels.clear_slice(assigner_id, slice_id)
+
+    def _apply_weight(self, assigner_id: int, entry: WeightEntry, batch: int) -> None:
+        table = self.slices.get(entry.slice_id)
+        if table is None or entry.fencing_token < table.fencing_token:
+            self.stale_entries_dropped += 1
+            return
+        self.highest_token = max(self.highest_token, entry.fencing_token)
+        if entry.fencing_token > table.fencing_token:
+            table.adopt_newer_token(assigner_id, entry.fencing_token)
+        table.batch = batch
+        self._remember_server(entry.server_id, entry.address, entry.zone)
+        table.set_weight(entry, self.single_writer)
+
+    # Routing -------------------------------------------------------------------------------------
+
+    def owner_of(self, slice_id: int) -> int:
+        """The assigner that owns a slice."""
+        return self.slices[slice_id].owner_id
+
+    def available_weights(self, slice_id: int) -> dict[int, float]:
+        """A slice's weights without withdrawn servers, whose part goes to the others."""
+        table = self.slices[slice_id]
+        withdrawn = self.withdrawn.get(table.owner_id, NO_SERVERS)
+        return {
+            server_id: weight for server_id, weight in table.weights.items() if server_id not in withdrawn
+        }
+
+    def pick(
+        self,
+        slice_id: int,
+        avoid: frozenset[int] = NO_SERVERS,
+        same_zone_only: bool = False,
+        required_zone: int = ANY_ZONE,
+    ) -> int | None:
+        """A server for the slice's next request; None if there is none.
+
+        Args:
+            slice_id: The request's slice.
+            avoid: Servers that are picked only if there is no other.
+            same_zone_only: Whether only servers of this proxy's zone may serve.
+            required_zone: Of a retry that must stay in the zone of an earlier attempt.
+        """
+        balancer = self._balancer(self.slices[slice_id], same_zone_only, slice_id)
+        if required_zone < 0:
+            return balancer.pick(avoid)
+        weights = self.slices[slice_id].weights
+        other_zones = frozenset(s for s in weights if self.zones.get(s) != required_zone)
+        server_id = balancer.pick(avoid | other_zones)
+        if server_id in other_zones:  # all servers of the zone are to be avoided: one of them nevertheless
+            server_id = balancer.pick(other_zones)
+        return None if server_id in other_zones else server_id
+
+    def _balancer(self, table: SliceTable, same_zone_only: bool, slice_id: int) -> LoadBalancer:
+        """Created at the first use; its weights are set anew after each change."""
+        balancer = table.balancers.get(same_zone_only)
+        if balancer is None:
+            balancer = create_load_balancer(self.load_balancing_policy, self.random, self.in_flight)
+            table.balancers[same_zone_only] = balancer
+        if same_zone_only not in table.current_balancers:
+            table.current_balancers.add(same_zone_only)
+            weights = self.available_weights(slice_id)
+            if same_zone_only:
+                weights = {s: weight for s, weight in weights.items() if self.zones.get(s) == self.zone}
+            balancer.set_weights(weights)
+        return balancer
+
+    def admission_fraction(self, slice_id: int, class_index: int) -> float:
+        """The fraction of a class's requests that is admitted to a slice; 1 where none is set."""
+        return self.levels.fraction(self.slices[slice_id].owner_id, slice_id, class_index)
+
+    def is_admission_limited(self, slice_id: int, class_index: int) -> bool:
+        """Whether a level is in force for a class at a slice."""
+        return self.levels.most_specific(self.slices[slice_id].owner_id, slice_id, class_index) is not None
+
+    def retry_mode(self, slice_id: int, class_index: int) -> int:
+        """The slice's retry mode, else that for all slices, else the deployment's."""
+        level = self.levels.most_specific(self.slices[slice_id].owner_id, slice_id, class_index)
+        return self.default_retry_mode if level is None else level.retry_mode
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from itertools import permutations
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import msgspec
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
@@ -436,8 +436,8 @@
         else:
             orders = [self.place.tapped(f"order:{k}") for k in range(d.assigners)]
             mine = ProxyProcess(id=number, zone=number % zones, listen=at(1), assigners=orders, store=store)
-            proxy = ProxyService(party, self.config, mine, log)
-            party.listenTCP(self.place.fronts[number], proxy.front())
+            proxy = ProxyService(cast(Any, party), self.config, mine, log)
+            party.listenTCP(self.place.fronts[number], proxy.factory())
             proxy.start()
             self.proxies[number] = proxy
 
@@ -520,7 +520,7 @@
             )
             for p, proxy in sorted(self.proxies.items()):
                 tables = proxy.engine.tables
-                held = tables.open(number), tables.level(number, 0)
+                held = tables.available_weights(number), tables.admission_fraction(number, 0)
                 if held != meant:
                     found.append(f"slice {number}: proxy {p} {held}, module {meant}")
         return found
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -21,11 +21,20 @@
     ZoneCommandReceived,
     ZoneOperation,
 )
+from puffintide.decisions.settings import AdmissionMode, RepeatSafety
 from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
-from puffintide.proxy.engine import Engine, Finish, Limits, Send
-from puffintide.proxy.tables import Tables
-from puffintide.proxy.tries import Kind, Next, Past, further
+from puffintide.proxy.effects import CompleteRequest, SendAttempt
+from puffintide.proxy.engine import Engine
+from puffintide.proxy.retry_policy import (
+    AttemptHistory,
+    DeduplicationScope,
+    RequestClassPolicy,
+    RetryTarget,
+    next_attempt,
+)
+from puffintide.proxy.settings import EngineSettings
+from puffintide.proxy.weight_tables import WeightTables
 from puffintide.scenarios.place import at
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import ZoneLimits
@@ -34,8 +43,8 @@
 from tests.world import World, server, settings
 
 
-def tables(slices: int = 2) -> Tables:
-    return Tables(slices, 0, "rotate", lambda: 0.5)
+def tables(slices: int = 2) -> WeightTables:
+    return WeightTables(slices, 0, "rotate", lambda: 0.5)
 
 
 def line(table: int, sid: int, weight: float, token: int) -> m.WeightEntry:
@@ -65,7 +74,7 @@
 def test_a_proxy_that_joins_knows_no_withdrawals_or_levels_of_before() -> None:
     """What was let in again, or taken back, while its stream was down would be shut out for ever."""
     held = tables()
-    held.order(
+    held.apply_update(
         0,
         order(
             1,
@@ -74,66 +83,75 @@
             admission_levels=[m.AdmissionLevel(ALL_SLICES, 0, 0.2, 0)],
         ),
     )
-    held.order(1, order(1, line(1, 5, 1.0, 1), withdrawn_servers=[5]))
-    assert held.open(0) == {} and held.level(0, 0) == 0.2
-    held.joined(0)
-    assert held.open(0) == {5: 1.0} and held.level(0, 0) == 1.0
-    assert held.open(1) == {}  # another assigner's
+    held.apply_update(1, order(1, line(1, 5, 1.0, 1), withdrawn_servers=[5]))
+    assert held.available_weights(0) == {} and held.admission_fraction(0, 0) == 0.2
+    held.on_assigner_connected(0)
+    assert held.available_weights(0) == {5: 1.0} and held.admission_fraction(0, 0) == 1.0
+    assert held.available_weights(1) == {}  # another assigner's
 
 
 def test_an_order_that_overtakes_the_charge_it_goes_by_is_laid_on_the_tables_of_that_charge() -> None:
     held = tables()
-    held.charge(
+    held.apply_ownership(
         m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1)
     )  # all that it heard of the old tenure
-    held.order(1, order(7, line(0, 4, 1.0, 2), line(0, 3, 0.0, 2)))  # goes by a table that held 2 and 3
-    held.charge(
+    held.apply_update(
+        1, order(7, line(0, 4, 1.0, 2), line(0, 3, 0.0, 2))
+    )  # goes by a table that held 2 and 3
+    held.apply_ownership(
         m.SliceOwnership(
             0, 2, 1, [m.TableEntry(2, 1.0, "127.0.0.1:2"), m.TableEntry(3, 1.0, "127.0.0.1:3")], 0, 2
         )
     )
-    assert held.open(0) == {2: 1.0, 4: 1.0}
+    assert held.available_weights(0) == {2: 1.0, 4: 1.0}
 
 
 def test_in_an_unbroken_tenure_a_charge_that_is_behind_undoes_no_order() -> None:
     held = tables()
-    held.charge(m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
-    held.order(0, order(5, line(0, 2, 1.0, 1), line(0, 1, 0.0, 1)))  # the store is away and has not kept it
-    held.order(0, order(6, line(0, 3, 1.0, 2)))  # back, with a new token that the proxy has not heard of
-    held.charge(m.SliceOwnership(0, 2, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
-    assert held.open(0) == {2: 1.0, 3: 1.0}
+    held.apply_ownership(m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
+    held.apply_update(
+        0, order(5, line(0, 2, 1.0, 1), line(0, 1, 0.0, 1))
+    )  # the store is away and has not kept it
+    held.apply_update(
+        0, order(6, line(0, 3, 1.0, 2))
+    )  # back, with a new token that the proxy has not heard of
+    held.apply_ownership(m.SliceOwnership(0, 2, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
+    assert held.available_weights(0) == {2: 1.0, 3: 1.0}
 
 
 @pytest.mark.parametrize("kind", [0, 1])
 def test_no_answer_says_come_back_where_a_try_may_have_run(kind: int) -> None:
     """The first try is not answered in time, the second is turned away. A refusal would be taken for a proof."""
-    limits = Limits(
-        slices=1,
-        kinds=(Kind("repeatable", "all", 0, 0.5), Kind("by_key", "all", 3.0, 0.5)),
-        own_zone=(False, False),
-        retry_default=2,
-        retry_wait_aims=1.0,
-        shun_after=0,
-        shun_s=5.0,
-        admit="silent",
-        pick="rotate",
-        hold_s=0.2,
-        again_s=0.5,
+    limits = EngineSettings(
+        slice_count=1,
+        request_classes=(
+            RequestClassPolicy(RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
+            RequestClassPolicy(RepeatSafety.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 3.0, 0.5),
+        ),
+        same_zone_only=(False, False),
+        default_retry_mode=2,
+        retry_wait_objectives=1.0,
+        ejection_failures=0,
+        ejection_s=5.0,
+        admission_mode=AdmissionMode.NONE,
+        load_balancing_policy="rotate",
+        queue_timeout_s=0.2,
+        retry_after_s=0.5,
         zone=0,
     )
     engine = Engine(limits, lambda: 0.5)
-    engine.order(0.0, 0, order(1, line(0, 1, 1.0, 1), line(0, 2, 1.0, 1)))
-    engine.asked(1.0, "r", 1, 0, kind, 4.0)
+    engine.on_proxy_update(0.0, 0, order(1, line(0, 1, 1.0, 1), line(0, 2, 1.0, 1)))
+    engine.on_request(1.0, "r", 1, 0, kind, 4.0)
     for sid in (1, 2):
-        engine.server_up(1.0, sid)
-    first = next(s for s in (1, 2) if engine.servers.get(s) and engine.servers[s].out)
+        engine.on_server_connected(1.0, sid)
+    first = next(s for s in (1, 2) if engine.servers.get(s) and engine.servers[s].in_flight)
     other = 3 - first
-    engine.due(1.6)
-    second = engine.server_up(1.6, other)
-    assert isinstance(second[0], Send)
-    (end,) = engine.answered(1.7, other, second[0].key, m.AttemptStatus.SATURATED, [])
-    assert isinstance(end, Finish) and end.ran
-    assert end.status == m.AttemptStatus.TIMEOUT and end.again_s == 0
+    engine.on_timer(1.6)
+    second = engine.on_server_connected(1.6, other)
+    assert isinstance(second[0], SendAttempt)
+    (end,) = engine.on_response(1.7, other, second[0].attempt_id, m.AttemptStatus.SATURATED, [])
+    assert isinstance(end, CompleteRequest) and end.may_have_executed
+    assert end.status == m.AttemptStatus.TIMEOUT and end.retry_after_s == 0
 
 
 def test_what_is_gone_is_forgotten() -> None:
@@ -168,8 +186,8 @@
             effects = runtime.tick(now)
             assert effects is not None
             for _, made in effects.proxy_updates:
-                held.order(0, made)
-    assert set(held.open(0)) <= set(ids)
+                held.apply_update(0, made)
+    assert set(held.available_weights(0)) <= set(ids)
     plan, module = decider.plan, decider.director
     sizes = {
         "module": len(module.servers),
@@ -189,35 +207,41 @@
 
 
 def test_a_proxy_forgets_failures_at_servers_that_are_gone() -> None:
-    limits = Limits(
-        slices=1,
-        kinds=(Kind("once", "all", 0.0, 0.5),),
-        own_zone=(False,),
-        retry_default=0,
-        retry_wait_aims=1.0,
-        shun_after=1,
-        shun_s=5.0,
-        admit="silent",
-        pick="rotate",
-        hold_s=0.2,
-        again_s=0.5,
+    limits = EngineSettings(
+        slice_count=1,
+        request_classes=(RequestClassPolicy(RepeatSafety.NON_IDEMPOTENT, DeduplicationScope.ALL, 0.0, 0.5),),
+        same_zone_only=(False,),
+        default_retry_mode=0,
+        retry_wait_objectives=1.0,
+        ejection_failures=1,
+        ejection_s=5.0,
+        admission_mode=AdmissionMode.NONE,
+        load_balancing_policy="rotate",
+        queue_timeout_s=0.2,
+        retry_after_s=0.5,
         zone=0,
     )
     engine = Engine(limits, lambda: 0.5)
     for sid in range(1, 2000):
         now = 100.0 * sid
-        engine.order(now, 0, order(sid, line(0, sid, 1.0, 1), line(0, sid - 1, 0.0, 1)))
-        engine.asked(now, sid, sid, 0, 0, 4.0)
-        engine.server_lost(now, sid)
-    assert len(engine._failed) < 200 and len(engine._shunned) < 200 and len(engine.servers) < 200
+        engine.on_proxy_update(now, 0, order(sid, line(0, sid, 1.0, 1), line(0, sid - 1, 0.0, 1)))
+        engine.on_request(now, sid, sid, 0, 0, 4.0)
+        engine.on_server_disconnected(now, sid)
+    assert (
+        len(engine.dispatcher.outliers.consecutive_failures) < 200
+        and len(engine.dispatcher.outliers.ejected_until_s) < 200
+        and len(engine.servers) < 200
+    )
 
 
 def test_a_keyed_request_whose_zone_is_not_known_is_not_sent_to_another() -> None:
     """First tables of a store tell no zones. Where a zone's servers drop repeats, anywhere is not there."""
-    kind = Kind("by_key", "zone", 3.0, 0.5)
-    assert further(kind, 2, Past(0, False, 1.0, -1), 1.5, 9.0) is None
-    assert further(kind, 2, Past(0, False, 1.0, 1), 1.5, 9.0) == Next(1)
-    assert further(kind, 2, Past(0, True, None, -1), 1.5, 9.0) == Next(-1)  # it never ran
+    kind = RequestClassPolicy(RepeatSafety.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 3.0, 0.5)
+    assert next_attempt(kind, 2, AttemptHistory(0, False, 1.0, -1), 1.5, 9.0) is None
+    assert next_attempt(kind, 2, AttemptHistory(0, False, 1.0, 1), 1.5, 9.0) == RetryTarget(1)
+    assert next_attempt(kind, 2, AttemptHistory(0, True, None, -1), 1.5, 9.0) == RetryTarget(
+        -1
+    )  # it never ran
 
 
 def swings(world: World, within_s: float) -> list[tuple[int, float]]:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("name", BAD_SUMS)
 def test_sums_out_of_range_end_their_stream_alone(name: str, tmp_path: Path) -> None:
-    deployment = play(tmp_path, lambda d: d.proxies[0].assigners[1].send(BAD_SUMS[name]))
+    deployment = play(tmp_path, lambda d: d.proxies[0].control_plane.assigners[1].send(BAD_SUMS[name]))
     left = [what for e, what in deployment.log["assigner:1"].rows if e == "proxy_left"]
     assert len(left) == 1 and left[0]["proxy"] == 0 and left[0]["reason"]
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("name", BAD_ORDERS)
 def test_an_order_that_cannot_be_is_refused_whole(name: str, tmp_path: Path) -> None:
     deployment = play(tmp_path, lambda d: d.assigners[1].proxies[0].send(BAD_ORDERS[name]))
-    assert [e for e, _ in deployment.log["proxy:0"].rows] == ["assigner_lost"]
+    assert [e for e, _ in deployment.log["proxy:0"].rows] == ["assigner_connection_lost"]
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
 )
 def test_a_damaged_frame_ends_its_stream_alone(line: bytes, tmp_path: Path) -> None:
     deployment = play(tmp_path, lambda d: d.assigners[0].proxies[1].send_line(line))
-    assert [e for e, _ in deployment.log["proxy:1"].rows] == ["assigner_lost"]
+    assert [e for e, _ in deployment.log["proxy:1"].rows] == ["assigner_connection_lost"]
 
 
 def test_a_clients_time_without_end_is_refused(tmp_path: Path) -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -22,8 +22,8 @@
 from puffintide.platform.identifiers import Hosts, Names
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
-from puffintide.proxy.state import load_state, save_state
-from puffintide.proxy.tables import Tables
+from puffintide.proxy.state import capture_state, load_state, restore_state, save_state
+from puffintide.proxy.weight_tables import WeightTables
 from puffintide.store.engine import Change, Image, SliceState
 from puffintide.store.etcd import rpc_pb2 as pb
 from puffintide.store.etcd.engine import EtcdEngine
@@ -345,9 +345,9 @@
     save_state(str(written), saved)
     assert written.read_bytes() == recorded.read_bytes()
     assert msgspec.json.encode(saved) == recorded.read_bytes()
-    tables = Tables(8, 1, "p2c", lambda: 0.5)
-    tables.load(saved)
-    save_state(str(written), tables.saved(1764500001.5))
+    tables = WeightTables(8, 1, "p2c", lambda: 0.5)
+    restore_state(tables, saved)
+    save_state(str(written), capture_state(tables, 1764500001.5))
     assert written.read_bytes() == recorded.read_bytes()
 
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -187,7 +187,7 @@
         """Slices of assigner 1 whose table at some proxy names the server that leaves."""
         mine = [n for n, r in d.store.book.slices.items() if r.assigner == 1]
         tables = [p.engine.tables for p in d.proxies.values()]
-        seen[at] = [n for n in mine if any(t.open(n).get(1, 0) >= 1 for t in tables)]
+        seen[at] = [n for n in mine if any(t.available_weights(n).get(1, 0) >= 1 for t in tables)]
 
     steps: list[Any] = [(4.0, lambda d: d.bend("list", kinds=["list"], parties=[1], cut="silent"))]
     steps += [(at, lambda d, at=at: on(d, at)) for at in (5.9, 7.5, 8.9)]
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -17,7 +17,7 @@
 from puffintide.emulators.clients import draw
 from puffintide.emulators.model import Make, ServerModel
 from puffintide.protocol import messages as m
-from puffintide.proxy.tables import Tables
+from puffintide.proxy.weight_tables import WeightTables
 from puffintide.scenarios.faults import BY_CLIENTS, plan
 from puffintide.scenarios.importer import ImportFailure, turn
 from puffintide.scenarios.kinds import KINDS, script
@@ -366,20 +366,22 @@
 
 
 def test_a_dispatcher_picks_by_weight_and_obeys_withdrawals_tokens_and_levels() -> None:
-    tables = Tables(4, 0, "rotate", lambda: 0.5)
-    tables.charge(m.SliceOwnership(1, 5, 0, [m.TableEntry(1, 3.0), m.TableEntry(2, 1.0)]))
+    tables = WeightTables(4, 0, "rotate", lambda: 0.5)
+    tables.apply_ownership(m.SliceOwnership(1, 5, 0, [m.TableEntry(1, 3.0), m.TableEntry(2, 1.0)]))
     picks = [tables.pick(1) for _ in range(400)]
     assert (picks.count(1), picks.count(2)) == (300, 100)
-    tables.order(0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[1]))
+    tables.apply_update(0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[1]))
     assert {tables.pick(1) for _ in range(9)} == {2}
-    tables.order(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 4)]))  # an owner from before
-    assert tables.dropped == 1 and {tables.pick(1) for _ in range(9)} == {2}
-    tables.order(
+    tables.apply_update(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 4)]))  # an owner from before
+    assert tables.stale_entries_dropped == 1 and {tables.pick(1) for _ in range(9)} == {2}
+    tables.apply_update(
         1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 6)])
     )  # the next one: its own withdrawals hold
-    assert tables.tables[1].assigner == 1 and {1, 2, 3} == {tables.pick(1) for _ in range(30)}
-    tables.order(1, m.ProxyUpdate(2, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 0.25, 2)]))
-    assert tables.level(1, 0) == 0.25 and tables.retry(1, 0) == 2
+    assert tables.slices[1].owner_id == 1 and {1, 2, 3} == {tables.pick(1) for _ in range(30)}
+    tables.apply_update(
+        1, m.ProxyUpdate(2, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 0.25, 2)])
+    )
+    assert tables.admission_fraction(1, 0) == 0.25 and tables.retry_mode(1, 0) == 2
 
 
 def test_charge_goes_to_the_next_and_back_and_never_by_an_old_token() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -15,8 +15,7 @@
 import pytest
 
 from puffintide.protocol import messages as m
-from puffintide.proxy.state import save_state
-from puffintide.proxy.tables import Saved
+from puffintide.proxy.state import SavedState, save_state
 from tests.peers import PORTS, process
 
 Handler = Callable[[socket.socket, bytes, int], bool]
@@ -78,7 +77,7 @@
     def __init__(self, tmp: Path, *ports: int, retry: int = 0) -> None:
         self.tmp, self.port, self.nobody = tmp, PORTS.take(), PORTS.take()
         held = [m.TableEntry(s, 1.0, f"127.0.0.1:{p}") for s, p in enumerate(ports)]
-        saved = Saved(
+        saved = SavedState(
             1,
             0.0,
             [m.SliceOwnership(0, 1, 0, held)],
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -17,8 +17,8 @@
 from puffintide.decisions.events import EndpointListUpdate
 from puffintide.emulators.model import ServerModel
 from puffintide.protocol import messages as m
-from puffintide.proxy import engine
-from puffintide.proxy.tries import Next
+from puffintide.proxy import dispatcher
+from puffintide.proxy.retry_policy import ANY_ZONE, AttemptHistory, RetryTarget
 from tests.deployment import SECTIONS, Deployment
 from tests.test_faults import fault
 
@@ -35,9 +35,10 @@
 
 
 def repeat_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(
-        engine, "further", lambda kind, mode, past, now, deadline: Next(-1) if past.number < 1 else None
-    )
+    def retry_once(_class: Any, _mode: int, history: AttemptHistory, *_times: float) -> RetryTarget | None:
+        return RetryTarget(ANY_ZONE) if history.last_attempt_number < 1 else None
+
+    patch.setattr(dispatcher, "next_attempt", retry_once)
 
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,7 +17,7 @@
 import pytest
 
 from puffintide.protocol import messages as m
-from puffintide.proxy.tables import Tables
+from puffintide.proxy.weight_tables import WeightTables
 from puffintide.store.book import Book
 from puffintide.store.engine import Change, Image, SliceState, StoreError
 from puffintide.store.sqlite import TOKEN_JUMP, SqliteEngine, restore
@@ -377,7 +377,7 @@
 
 def test_a_store_that_was_away_takes_no_table_back() -> None:
     """The assigner ordered while the store was away: the proxy's lines are newer than the store's."""
-    tables = Tables(2, 0, "rotate", lambda: 0.5)
+    tables = WeightTables(2, 0, "rotate", lambda: 0.5)
     book = Book(2, 1, 2.0, False)
     book.joined(0.0, 0, life=7)
 
@@ -387,8 +387,8 @@
 
     for n in (0, 1):
         book.write(0, [m.WeightEntry(n, 4, 1.0, book.slices[n].token, "127.0.0.1:1")], 3)
-        tables.charge(told(n))
-    tables.order(
+        tables.apply_ownership(told(n))
+    tables.apply_update(
         0,
         m.ProxyUpdate(
             5,
@@ -402,12 +402,12 @@
     )
     book.left(1.0, 0)
     book.joined(1.5, 0, life=7)  # the same life: its tenure goes on
-    tables.charge(told(0))
-    assert tables.tables[0].lines == {5: 1.0} and tables.tables[0].token == book.slices[0].token
+    tables.apply_ownership(told(0))
+    assert tables.slices[0].weights == {5: 1.0} and tables.slices[0].fencing_token == book.slices[0].token
     book.left(2.0, 0)
     book.joined(2.5, 0, life=8)  # it has forgotten what it had ordered: the store's table holds for all
-    tables.charge(told(0))
-    assert tables.tables[0].lines == {4: 1.0}
+    tables.apply_ownership(told(0))
+    assert tables.slices[0].weights == {4: 1.0}
 
 
 def test_an_assigner_writes_again_what_the_store_had_not_kept(tmp_path: Path) -> None:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,9 +19,8 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
-from puffintide.proxy.choice import slice_of
-from puffintide.proxy.state import save_state
-from puffintide.proxy.tables import Saved
+from puffintide.proxy.load_balancing import slice_for_key
+from puffintide.proxy.state import SavedState, save_state
 from puffintide.tls.context import Contexts, TlsError
 from puffintide.tls.keys import KeyFailure, make_authority, make_certificate, party
 from tests.peers import PORTS, process
@@ -217,8 +216,8 @@
         [m.TableEntry(2, 1.0, f"127.0.0.1:{wrong.port}")],
     ]
     charges = [m.SliceOwnership(n, 1, 0, held[n]) for n in range(2)]
-    save_state(str(tmp_path / "tables.json"), Saved(1, 0.0, charges, {}, []))
-    key = {slice_of(text, 2): text for text in (b"a", b"b", b"c", b"d", b"e")}
+    save_state(str(tmp_path / "tables.json"), SavedState(1, 0.0, charges, {}, []))
+    key = {slice_for_key(text, 2): text for text in (b"a", b"b", b"c", b"d", b"e")}
     port, nobody = PORTS.take(), PORTS.take()
     section = {
         "id": "3",
