--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -80,7 +80,7 @@
         for service in d.assigners.values():
             decider: Any = service.runtime.director
             views = getattr(decider, "director", decider).servers
-            ejected.update(s for s, view in views.items() if view.level == 0)
+            ejected.update(s for s, view in views.items() if view.recovery_level == 0)
 
     steps: list[Any] = [(KILL_S + k / 4, look) for k in range(int(AFTER_S * 4))]
     try:
--- a/puffintide/decisions/events.py
+++ b/puffintide/decisions/events.py
@@ -34,7 +34,7 @@
     RESET = 5
 
     @classmethod
-    def _missing_(cls, value: object) -> HealthCheckStatus:
+    def _missing_(cls, _value: object) -> HealthCheckStatus:
         """A number that is not known says no more than an error."""
         return cls.ERROR
 
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -262,7 +262,7 @@
         stored = {self.hosts.number(host): share for host, share in table.items() if share > 0}
         decider = self.runtime.director
         view = decider.slices.get(number) if isinstance(decider, Director) else None
-        believed = view.lines if view is not None else {}
+        believed = view.weights if view is not None else {}
         ours = self._ours(number)
         if read_anew(stored, believed, ours):
             self.log("table_differs", slice=number, stored=len(stored), believed=len(believed))
@@ -398,7 +398,7 @@
         if isinstance(decider, Director):
             kept |= decider.servers.keys()
             for view in decider.slices.values():
-                kept |= view.lines.keys()
+                kept |= view.weights.keys()
         self.hosts.keep(kept)
         late = self.reactor.seconds() - TOLD_S
         self._sent = {k: at for k, at in self._sent.items() if at > late}
--- a/puffintide/zones/director.py
+++ b/puffintide/zones/director.py
@@ -40,5 +40,6 @@
     def _view(self) -> dict[int, View]:
         seen = self.director.servers
         return {
-            s: View(v.level > 0, v.load, v.streak > 0 if v.streak else None) for s, v in sorted(seen.items())
+            s: View(v.recovery_level > 0, v.load, v.consecutive_checks > 0 if v.consecutive_checks else None)
+            for s, v in sorted(seen.items())
         }
--- a/puffintide/zones/plan.py
+++ b/puffintide/zones/plan.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from puffintide.decisions.director import FULL
+from puffintide.decisions import parameters
 from puffintide.decisions.events import (
     Endpoint,
     EndpointListUpdate,
@@ -367,7 +367,7 @@
         rest, the share that is configured. The module fills servers to FULL of what it plans with: the bound is
         such that both together come to that, and is 1 where FULL is the lower one."""
         usual = self.zones[zone].usual or 0.0
-        return min(1.0, (usual + self.limits.spill * (1 - usual)) / FULL)
+        return min(1.0, (usual + self.limits.spill * (1 - usual)) / parameters.OVERLOAD_UTILIZATION)
 
     def states(self) -> list[ZoneState]:
         """All zones as judged last."""
@@ -398,7 +398,8 @@
         missing = sum(w for s, (_, w) in self.vanished.items() if self.servers[s].zone == lost)
         demand = (self.zones[lost].usual or 0.0) * (weights[lost] + missing)
         room = {
-            z: weights[z] * max(0.0, FULL * self.spill_bound(z) - (state.usual or 0.0))
+            z: weights[z]
+            * max(0.0, parameters.OVERLOAD_UTILIZATION * self.spill_bound(z) - (state.usual or 0.0))
             for z, state in sorted(self.zones.items())
             if z != lost and state.phase in (WELL, DEGRADED) and not state.hand
         }
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -511,12 +511,12 @@
             kept = {s: h.weight for s, h in record.lines.items()}
             decider: Any = self.assigners[record.assigner].runtime.director
             director = getattr(decider, "director", decider)
-            module = director.slices[number].lines
+            module = director.slices[number].weights
             if module != kept:
                 found.append(f"slice {number}: module {module}, store {kept}")
             meant = (
-                {s: w for s, w in module.items() if s not in director.withdrawn},
-                director.levels.get(0, 1.0),
+                {s: w for s, w in module.items() if s not in director.fleet.withdrawn_servers},
+                director.fleet.admission_fractions.get(0, 1.0),
             )
             for p, proxy in sorted(self.proxies.items()):
                 tables = proxy.engine.tables
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -10,7 +10,6 @@
 from puffintide.assigner.load_reports import LoadReportAggregator
 from puffintide.assigner.runtime import Runtime
 from puffintide.decisions.actions import ALL_SLICES, SetWeight
-from puffintide.decisions.director import REST_S
 from puffintide.decisions.events import (
     EndpointListUpdate,
     EndpointStatus,
@@ -21,6 +20,7 @@
     ZoneCommandReceived,
     ZoneOperation,
 )
+from puffintide.decisions.parameters import RETURN_COOLDOWN_S
 from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
 from puffintide.proxy.engine import Engine, Finish, Limits, Send
@@ -59,7 +59,7 @@
     world.run(60)
     assert 2 in world.main(1)  # the first slice whose default it is
     seen = world.director.director
-    assert seen.bounds.get(2, 1.0) == 1.0 and seen.capacity(2) > 20
+    assert seen.fleet.capacity_limits.get(2, 1.0) == 1.0 and seen.estimator.usable_capacity(2) > 20
 
 
 def test_a_proxy_that_joins_knows_no_withdrawals_or_levels_of_before() -> None:
@@ -173,8 +173,8 @@
     plan, module = decider.plan, decider.director
     sizes = {
         "module": len(module.servers),
-        "bounds": len(module.bounds),
-        "withdrawn": len(module.withdrawn),
+        "bounds": len(module.fleet.capacity_limits),
+        "withdrawn": len(module.fleet.withdrawn_servers),
         "plan": len(plan.servers),
         "growth": len(plan.growth),
         "behind": len(plan.behind),
@@ -244,14 +244,14 @@
         world.heat = {n: (6.0 if n % 4 == 0 and crowded else 1.0) for n in world.heat}
         world.run(2.0)
     assert world.moves() > 0
-    assert not swings(world, REST_S)
+    assert not swings(world, RETURN_COOLDOWN_S)
 
 
 def test_a_lost_server_is_left_though_its_slice_has_just_come() -> None:
     world = World(slice_count=24)
     world.heat = {n: (6.0 if n % 4 == 0 else 1.0) for n in world.heat}
     world.run(6)
-    fresh = (n for n, v in world.director.slices.items() if v.moved > world.now - REST_S)
+    fresh = (n for n, v in world.director.slices.items() if v.moved_at_s > world.now - RETURN_COOLDOWN_S)
     number = next(fresh)
     moved = world.main(number)
     world.tell(
@@ -269,9 +269,10 @@
     world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     for _ in range(8):
         world.run(1)
-        cold = 0.25 + 0.75 * (world.now - world.director.servers[1].entry.started_at_s) / 20.0
+        cold = 0.25 + 0.75 * (world.now - world.director.servers[1].endpoint.started_at_s) / 20.0
         assert (
-            world.load(1) <= 1.5 * cold * 30.0 or world.now < world.director.servers[1].entry.started_at_s + 2
+            world.load(1) <= 1.5 * cold * 30.0
+            or world.now < world.director.servers[1].endpoint.started_at_s + 2
         )
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -49,7 +49,7 @@
     assert not verdict.judgement.findings and verdict.service.whole > 0.8
     assert not deployment.astray()
     for assigner in deployment.assigners.values():  # its rounds went on to the end
-        assert assigner.runtime.director.director.now > deployment.net.seconds() - 1  # type: ignore[attr-defined]
+        assert assigner.runtime.director.director.fleet.now_s > deployment.net.seconds() - 1  # type: ignore[attr-defined]
     return deployment
 
 
@@ -64,7 +64,7 @@
     deployment = play(tmp_path, put)
     for number, assigner in deployment.assigners.items():
         seen = assigner.runtime.director.director.servers  # type: ignore[attr-defined]
-        assert seen[0].entry.status == 1 and seen[0].entry.weight == 1.0 and len(seen) == 8
+        assert seen[0].endpoint.status == 1 and seen[0].endpoint.weight == 1.0 and len(seen) == 8
         assert any(e == "entry_refused" for e, _ in deployment.log[f"assigner:{number}"].rows)
 
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -199,7 +199,7 @@
         assert seen[8.9]  # nothing told it: its slices lie on a server that is about to stop
     else:
         assert verdict.judgement.findings == [] and not seen[7.5] and not seen[8.9], seen
-        assert not d.assigners[1].runtime.director.director.ready(1)  # type: ignore[attr-defined]
+        assert not d.assigners[1].runtime.director.director.fleet.is_ready(1)  # type: ignore[attr-defined]
 
 
 def test_what_is_ordered_while_the_store_waits_for_others_is_not_lost(tmp_path: Path) -> None:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -144,7 +144,7 @@
     host = Host()
     host.answer(1.0, hello())
 
-    def fail(now: float, events: object) -> list[Action]:
+    def fail(now_s: float, events: object) -> list[Action]:
         raise ValueError("no such thing")
 
     host.directors[0].handle = fail  # type: ignore[method-assign]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -36,7 +36,7 @@
     world.run(10)
     world.mute.update(world.capacity)
     world.run(10)
-    assert all(view.level > 0 for view in world.director.servers.values())
+    assert all(view.recovery_level > 0 for view in world.director.servers.values())
 
 
 def test_ejected_server_comes_back_by_levels() -> None:
@@ -48,7 +48,7 @@
     levels = []
     for _ in range(120):
         world.run(0.25)
-        levels.append(world.director.servers[1].level)
+        levels.append(world.director.servers[1].recovery_level)
     assert {1, 2, 3} <= set(levels)
     assert levels[-1] == 3
 
@@ -58,7 +58,7 @@
     for _ in range(40):
         world.run(0.25)
         world.tell(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
-    assert world.director.servers[1].level == 3
+    assert world.director.servers[1].recovery_level == 3
 
 
 def test_new_server_with_nothing_to_do_is_not_suspected() -> None:
@@ -66,7 +66,7 @@
     world.run(5)
     world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
     world.run(15)
-    assert world.director.servers[9].level == 3
+    assert world.director.servers[9].recovery_level == 3
 
 
 def test_idle_server_with_a_tiny_service_time_is_not_taken_for_a_fast_one() -> None:
@@ -75,14 +75,14 @@
     world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
     world.tell(*(ServerLoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
     world.run(5)
-    fleet = max(world.director.capacity(s) for s in (1, 2, 3, 4))
-    assert world.director.capacity(9) <= 1.1 * fleet
+    fleet = max(world.director.estimator.usable_capacity(s) for s in (1, 2, 3, 4))
+    assert world.director.estimator.usable_capacity(9) <= 1.1 * fleet
 
 
 def test_senseless_reports_change_no_estimate() -> None:
     world = World()
     world.run(10)
-    before = {s: v.capacity for s, v in world.director.servers.items()}
+    before = {s: v.capacity_per_s for s, v in world.director.servers.items()}
     world.tell(
         ServerLoadReport(0, 1, 5, 0, 0.2, 0.0, (0.5,)),
         ServerLoadReport(0, 1, 5, 9, 0.2, 1.0, (0.5,)),
@@ -92,7 +92,7 @@
         SliceLoadReport(999, 0, 10, 0, 1.0),
         HealthCheckResult(77, HealthCheckStatus.OK, 0.1, ()),
     )
-    assert {s: v.capacity for s, v in world.director.servers.items()} == before
+    assert {s: v.capacity_per_s for s, v in world.director.servers.items()} == before
 
 
 def test_restarted_assigner_takes_the_store_for_its_default_map() -> None:
@@ -105,8 +105,8 @@
         standby = StoredWeight(number, 1, struct.unpack("f", struct.pack("f", 0.004))[0])
         events += [OwnershipChanged(number, True), standby, StoredWeight(number, home, 1.0)]
     fresh.handle(world.now, events)
-    assert [view.default for _, view in sorted(fresh.slices.items())] == [3, 2]
-    assert [view.places for _, view in sorted(fresh.slices.items())] == [[3], [2]]
+    assert [view.default_server for _, view in sorted(fresh.slices.items())] == [3, 2]
+    assert [view.assigned_servers for _, view in sorted(fresh.slices.items())] == [[3], [2]]
     orders = fresh.handle(world.now + 1, [TimerFired(1)])
     assert not [a for a in orders if isinstance(a, SetWeight) and a.weight >= 1]
 
@@ -126,7 +126,7 @@
     world.run(10)
     world.mute.add(1)
     world.run(4)
-    assert world.director.servers[1].level == 0
+    assert world.director.servers[1].recovery_level == 0
     assert all(world.load(s) <= 1.25 * world.capacity[s] for s in (2, 3, 4))
     world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
@@ -141,7 +141,7 @@
     for _ in range(30):
         world.run(0.25)
         world.tell(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
-    assert world.director.servers[1].level == 3
+    assert world.director.servers[1].recovery_level == 3
 
 
 def test_refused_requests_are_no_load() -> None:
@@ -150,8 +150,8 @@
         world.heat[number] = 16.0
     world.run(15)
     view = world.director.slices[0]
-    came = sum(rate.value or 0.0 for rate in view.heat.values())
-    assert world.director.heat(view) < 0.95 * came
+    came = sum(rate.per_second for rate in view.request_rates.values())
+    assert world.director.fleet.request_rate(view) < 0.95 * came
 
 
 def probed(world: World, lost: set[int], seconds: float) -> None:
@@ -167,8 +167,8 @@
     for number in world.heat:
         world.heat[number] = 0.0  # no answers to tell otherwise
     probed(world, {2, 4, 6, 8}, 8)  # the servers of zone 0
-    assert all(view.level == 3 for view in world.director.servers.values())
-    assert all(not slowed for _, slowed in list(world.director.probed)[-20:])
+    assert all(view.recovery_level == 3 for view in world.director.servers.values())
+    assert all(not slowed for _, slowed in list(world.director.fleet.recorded_checks)[-20:])
 
 
 def test_lost_probes_of_a_part_of_a_zone_are_the_servers_doing() -> None:
@@ -176,7 +176,7 @@
     probed(world, set(), 5)
     world.mute.update({2, 4})
     probed(world, {2, 4}, 8)
-    assert {s for s, view in world.director.servers.items() if view.level < 3} == {2, 4}
+    assert {s for s, view in world.director.servers.items() if view.recovery_level < 3} == {2, 4}
 
 
 @pytest.mark.parametrize("instances", [1, 2])
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -356,7 +356,7 @@
     def believed(self) -> dict[int, dict[str, float]]:
         """The module's tables, by the platform's names."""
         slices: Any = self.node.runtime.director.slices  # type: ignore[attr-defined]
-        return {s: {str(self.node.hosts.name(h)): w for h, w in v.lines.items()} for s, v in slices.items()}
+        return {s: {str(self.node.hosts.name(h)): w for h, w in v.weights.items()} for s, v in slices.items()}
 
 
 @pytest.fixture
@@ -551,7 +551,7 @@
     platform.discovery.change(entry(1, born_ms=born, share=2.5))
     platform.go(0.1)
     number = platform.node.hosts.number("s-1")
-    started = platform.node.runtime.director.servers[number].entry.started_at_s  # type: ignore[attr-defined]
+    started = platform.node.runtime.director.servers[number].endpoint.started_at_s  # type: ignore[attr-defined]
     assert platform.node.now() - started == pytest.approx(2.2, abs=0.2)
 
 
@@ -571,7 +571,7 @@
         inner = task.answer
         task.answer = lambda *a, inner=inner: (at.append(platform.net.seconds()), inner(*a))[1]  # type: ignore
     for view in platform.node.runtime.director.servers.values():  # type: ignore[attr-defined]
-        view.next_probe = math.inf
+        view.next_health_check_s = math.inf
     platform.go(0.2)
     at.clear()
     platform.node._to_probe = [platform.node.hosts.number(f"s-{k}") for k in range(SERVERS - 1)]
@@ -780,9 +780,9 @@
 
 def test_a_round_that_fails_is_told_and_is_not_the_last(platform: Platform) -> None:
     decider: Any = platform.node.runtime.director
-    real, decider.judge_health = decider.judge_health, lambda: 1 / 0
+    real, decider.estimator.update = decider.estimator.update, lambda: 1 / 0
     platform.go(1.0)
-    decider.judge_health = real
+    decider.estimator.update = real
     assert "ZeroDivisionError" in platform.logged("round_failed")[0]["error"]
     platform.go(1.0)
     caller: Any = platform.node.caller
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -131,7 +131,7 @@
     world.heat[0] = 35.0
     world.run(15)
     assert all(len(t) <= 1 or len(world.main(n)) == 1 for n, t in world.tables.items())
-    assert len(world.director.slices[0].lines) == 1
+    assert len(world.director.slices[0].weights) == 1
 
 
 def test_noise_at_the_threshold_does_not_flip_slices() -> None:
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -12,9 +12,12 @@
 
 from puffintide.assigner.runtime import Runtime
 from puffintide.audit.records import read
+from puffintide.decisions import director, observations
 from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.director import Director
 from puffintide.decisions.events import EndpointListUpdate
+from puffintide.decisions.projection import Plan, default_plan
+from puffintide.decisions.state import FleetState
 from puffintide.emulators.model import ServerModel
 from puffintide.protocol import messages as m
 from puffintide.proxy import engine
@@ -42,39 +45,39 @@
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
     """No list is taken in after the first."""
-    see = Director.see_list
+    apply = observations.apply_endpoint_list
 
-    def once(self: Director, event: EndpointListUpdate) -> None:
-        if not self.servers:
-            see(self, event)
+    def once(fleet: FleetState, event: EndpointListUpdate) -> None:
+        if not fleet.servers:
+            apply(fleet, event)
 
-    patch.setattr(Director, "see_list", once)
+    patch.setattr(observations, "apply_endpoint_list", once)
 
 
 def all_warm(patch: pytest.MonkeyPatch) -> None:
     """New servers are taken for warm and get all slices."""
 
-    def newest(self: Director, plan: dict[int, list[int]]) -> dict[int, list[int]]:
-        ready = self.ready_views()
+    def newest(fleet: FleetState, _estimator: object, _ranking: object) -> Plan:
+        ready = fleet.ready_servers()
         return {
-            n: [max(ready, key=lambda v: v.entry.started_at_s).entry.server_id] if ready else p
-            for n, p in plan.items()
+            n: [max(ready, key=lambda v: v.endpoint.started_at_s).server_id] if ready else p
+            for n, p in default_plan(fleet).items()
         }
 
     patch.setattr(ServerModel, "_push", lambda self, now, work: None)  # it stands what would end it
-    patch.setattr(Director, "warmth", lambda self, sid: 1.0)
-    patch.setattr(Director, "detour", newest)
+    patch.setattr(FleetState, "warm_up_fraction", lambda self, server_id: 1.0)
+    patch.setattr(director, "plan_slices", newest)
 
 
 def chatter(patch: pytest.MonkeyPatch) -> None:
     """Every round rewrites every table."""
-    publish = Director.publish
+    run_round = Director._run_round
 
-    def often(self: Director, plan: Any) -> None:
-        publish(self, plan)
-        self.actions += [SetWeight(n, s, 1.0) for n, view in self.slices.items() for s in view.lines]
+    def often(self: Director) -> list[Action]:
+        actions = run_round(self)
+        return actions + [SetWeight(n, s, 1.0) for n, state in self.slices.items() for s in state.weights]
 
-    patch.setattr(Director, "publish", often)
+    patch.setattr(Director, "_run_round", often)
 
 
 PLANTED: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], dict[str, Any]]] = {
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -30,7 +30,7 @@
 import puffintide.platform.relay_client as relay_client, puffintide.platform.relay_snapshot as relay_snapshot
 import puffintide.platform.relay_watch as relay_watch
 import puffintide.platform.health_check_client as health_check_client
-import puffintide.platform.service as service, puffintide.decisions.director as policy
+import puffintide.platform.service as service, puffintide.decisions.parameters as parameters
 relay_client.ANSWER_S = relay_snapshot.MOST_S = health_check_client.TIMEOUT_S = 20
 service.LIST_SILENT_S = relay_watch.SILENT_S = 60
 """
@@ -564,7 +564,7 @@
 
 
 def test_a_kept_connection_that_ends_under_the_next_probe_asks_anew(make: Callable[..., Platform]) -> None:
-    p = make(hook=PATIENT + "policy.PROBE_S = 3", probes=True, servers=1)
+    p = make(hook=PATIENT + "parameters.HEALTH_CHECK_PERIOD_S = 3", probes=True, servers=1)
     task = Address()
     p.rows = [entry(0, dial=task.name)]
     p.start()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,6 +5,8 @@
 import pytest
 
 from puffintide.decisions.actions import ALL_SLICES, Action, SetAdmission, SetWeight, SetWithdrawn
+from puffintide.decisions.admission import update_admission_fractions
+from puffintide.decisions.channel import ChannelBudget
 from puffintide.decisions.events import (
     EndpointListUpdate,
     EndpointStatus,
@@ -13,6 +15,7 @@
     ProxyConnected,
     StoredWeight,
 )
+from puffintide.decisions.placement import plan_slices
 from puffintide.decisions.settings import AdmissionMode
 from tests.world import World, server
 
@@ -190,7 +193,7 @@
     world.run(10)
     world.mute.add(1)
     world.run(3)
-    assert world.director.servers[1].level == 0
+    assert world.director.servers[1].recovery_level == 0
     world.tell(
         EndpointListUpdate(
             ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED), server(3, EndpointStatus.REMOVED))
@@ -206,14 +209,14 @@
     for number in world.heat:
         world.heat[number] = 16.0
     world.run(15)
-    levels = world.director.levels
+    levels = world.director.fleet.admission_fractions
     assert min(levels.values()) < 0.9
     orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission) and a.fraction < 1]
     assert orders and all(a.slice_id == ALL_SLICES for a in orders)
     for number in world.heat:
         world.heat[number] = 3.0
     world.run(20)
-    assert min(world.director.levels.values()) == 1
+    assert min(world.director.fleet.admission_fractions.values()) == 1
 
 
 def test_one_crowded_server_in_a_light_fleet_refuses_nobody() -> None:
@@ -280,9 +283,9 @@
     for _ in range(40):
         world.run(0.25)
         view = world.director.servers[1]
-        share = 0.25 + 0.75 * min(1.0, (world.now - view.entry.started_at_s) / 10.0)
+        share = 0.25 + 0.75 * min(1.0, (world.now - view.endpoint.started_at_s) / 10.0)
         assert world.load(1) <= 1.5 * share * 30.0
-        assert view.level > 0 or world.load(1) <= 9.0
+        assert view.recovery_level > 0 or world.load(1) <= 9.0
 
 
 def big_wave(world: World) -> list[list[Action]]:
@@ -362,14 +365,16 @@
     world.run(5)
     director = world.director
     for sid in (1, 2, 3):
-        director.servers[sid].entry = server(sid, EndpointStatus.REMOVED)
-        director.servers[sid].lost_since = world.now
+        director.servers[sid].endpoint = server(sid, EndpointStatus.REMOVED)
+        director.servers[sid].unavailable_since_s = world.now
     plan = {n: [4] for n in world.tables}
-    orders = director.shut_out(plan, sorted(plan), room * 3.0, -1.0)
+    orders = director.publisher.withdrawals.withdraw_servers(
+        plan, sorted(plan), ChannelBudget(withdrawals=room * 3.0, urgent=-1.0, ordinary=-1.0)
+    )
     assert [a for a in orders if isinstance(a, SetWithdrawn) and a.withdrawn] == orders and len(
         orders
     ) == sent
-    assert director.urgent == (sent < 3)
+    assert director.fleet.urgent_change == (sent < 3)
 
 
 def test_new_places_of_a_slice_on_a_cold_server_are_urgent() -> None:
@@ -382,10 +387,11 @@
     kept = next(n for n in world.tables if 1 in world.main(n))
     plan = {n: sorted(world.main(n)) for n in world.tables}
     further = next(s for s in (2, 3, 4) if s not in plan[kept])
-    director.actions, director.urgent, director.reported = [], True, world.now - 20.0  # reports are late
-    director.next_publish = world.now + 1.0
-    director.publish(plan | {kept: [*plan[kept], further]})
-    assert {a.slice_id for a in director.actions if isinstance(a, SetWeight)} == {kept}
+    director.fleet.urgent_change = True
+    director.fleet.last_report_s = world.now - 20.0  # reports are late
+    director.publisher.next_ordinary_s = world.now + 1.0
+    actions = director.publisher.publish(plan | {kept: [*plan[kept], further]})
+    assert {a.slice_id for a in actions if isinstance(a, SetWeight)} == {kept}
 
 
 def test_levels_rise_where_servers_are_less_busy_than_meant() -> None:
@@ -393,14 +399,14 @@
     world = World(admission_mode=AdmissionMode.FRACTION)
     world.heat = dict.fromkeys(world.heat, 16.0)
     world.run(12)
-    low = min(world.director.levels.values())
+    low = min(world.director.fleet.admission_fractions.values())
     assert low < 0.9
     world.capacity = dict.fromkeys(world.capacity, 200.0)  # loads fall to a few hundredths, heat stays
-    world.director.per_size = None
+    world.director.estimator.capacity_per_weight = None
     for view in world.director.servers.values():
-        view.load, view.capacity = 0.1, 30.0
-    world.director.shed()
-    assert min(world.director.levels.values()) > low + 0.1
+        view.load, view.capacity_per_s = 0.1, 30.0
+    update_admission_fractions(world.director.fleet, world.director.estimator)
+    assert min(world.director.fleet.admission_fractions.values()) > low + 0.1
 
 
 def test_slices_on_ejected_servers_do_not_all_go_home_to_a_cold_one() -> None:
@@ -408,11 +414,13 @@
     world.run(5)
     director = world.director
     for number, view in director.slices.items():
-        view.default, view.places, view.lines = 1, [2 + number % 3], {2 + number % 3: 1.0}
+        view.default_server = 1
+        view.assigned_servers = [2 + number % 3]
+        view.weights = {2 + number % 3: 1.0}
     for sid in (2, 3, 4):
-        director.servers[sid].level = 0
-    director.servers[1].entry = server(1, started=world.now)
-    plan = director.detour(director.project())
+        director.servers[sid].recovery_level = 0
+    director.servers[1].endpoint = server(1, started=world.now)
+    plan = plan_slices(director.fleet, director.estimator, director.ranking)
     assert sum(world.heat[n] for n, places in plan.items() if places == [1]) <= 0.5 * 30.0
 
 
@@ -437,4 +445,4 @@
     assert world.load(9) < 3 * 12.0 < world.load(9) + 20.0  # alone it would be pushed over
     world.heat[cold[0]] = 1.5
     world.run(5)  # while it is cold, one place is enough again: it could bear that
-    assert world.director.warmth(9) < 1 and all(len(world.main(n)) == 1 for n in cold)
+    assert world.director.fleet.warm_up_fraction(9) < 1 and all(len(world.main(n)) == 1 for n in cold)
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -21,6 +21,7 @@
     StoredWeight,
     TimerFired,
 )
+from puffintide.decisions.ranking import is_exclusive
 from puffintide.decisions.settings import AdmissionMode
 from tests.world import START, World, server, settings
 
@@ -75,7 +76,7 @@
                     tries, total = self.load(sid, self.mine(k)), self.load(sid, range(5 * EACH))
                     tries *= self.answered
                     good = tries * min(1.0, 30.0 / max(total, 1.0))
-                    values = (min(1.0, total / 30.0),) if director.set.load_value_names else ()
+                    values = (min(1.0, total / 30.0),) if director.fleet.settings.load_value_names else ()
                     counts = round(tries * 10), round((tries - good) * 10)
                     events.append(ServerLoadReport(0, sid, *counts, 0.2, 10.0, values))
                 self.hear(director, *events, TimerFired(1))
@@ -104,7 +105,7 @@
     fleet.run(19)
     assert fleet.lowest == 1.0 and fleet.on == before
     for director in fleet.directors:  # the median server is at half of what it can do
-        assert director.per_size == pytest.approx(2 * 60 * 3.5 / 40, rel=0.3)
+        assert director.estimator.capacity_per_weight == pytest.approx(2 * 60 * 3.5 / 40, rel=0.3)
 
 
 def test_nobody_is_refused_before_anything_told_what_servers_can_do() -> None:
@@ -156,7 +157,7 @@
         for k in range(count):
             director = Director(settings(assigner_index=k, assigner_count=count, slice_count=4 * count))
             director.handle(START, [OwnershipChanged(n, True) for n in range(4 * held)])
-            owners.append([director.ours(sid) for sid in range(500)])
+            owners.append([is_exclusive(director.fleet, sid) for sid in range(500)])
         assert {sum(each) for each in zip(*owners, strict=True)} == {held}
 
 
@@ -185,7 +186,7 @@
     world = World(servers=tuple(range(1, 9)), assigner_count=5, slice_count=48)
     world.heat = dict.fromkeys(world.heat, 3.0)
     world.run(20)
-    before = world.director.capacity(1)
+    before = world.director.estimator.usable_capacity(1)
     world.tell(*(OwnershipChanged(n, False) for n in range(left, 48)))
     for step in range(160):
         world.now += 0.25
@@ -194,7 +195,7 @@
         rate = 18 if step < 16 and not left else 3
         told = [ServerLoadReport(0, sid, 10 * rate, 0, 0.2, 10.0, (0.6,)) for sid in met]
         world.tell(*told, TimerFired(1))
-        assert 0.6 * before < world.director.capacity(1) < 1.6 * before
+        assert 0.6 * before < world.director.estimator.usable_capacity(1) < 1.6 * before
 
 
 def test_what_others_found_out_counts_until_it_is_found_out_here() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -22,7 +22,7 @@
     world = World(
         servers=tuple(range(1, servers + 1)), slice_count=servers * per_server, load_value_names=names
     )
-    world.settings = world.director.set
+    world.settings = world.director.fleet.settings
     world.heat = {n: 2.0 + 3.0 * (n % 7 == 0) for n in world.heat}
     return world
 
@@ -57,11 +57,11 @@
 def test_orders_of_alternates_are_kept_while_the_list_stands() -> None:
     world = big_world(40)
     world.run(6)
-    orders = {n: id(world.director.ranking(n)) for n in world.heat}
+    orders = {n: id(world.director.ranking.alternates(n)) for n in world.heat}
     world.run(6)
-    assert {n: id(world.director.ranking(n)) for n in world.heat} == orders
+    assert {n: id(world.director.ranking.alternates(n)) for n in world.heat} == orders
     world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
-    assert all(1 not in world.director.ranking(n) for n in world.heat)
+    assert all(1 not in world.director.ranking.alternates(n) for n in world.heat)
 
 
 @pytest.mark.parametrize("left", [0, 1])
@@ -87,12 +87,12 @@
     """After a start only some servers have been heard of; what they answered is not the whole."""
     world = big_world(40)
     world.run(12)
-    before = world.director.per_size
+    before = world.director.estimator.capacity_per_weight
     assert before is not None
-    view = world.director
-    view.handle(world.now, [OwnershipChanged(3, False)])
-    for v in view.servers.values():
-        v.good.clear()
+    director = world.director
+    director.handle(world.now, [OwnershipChanged(3, False)])
+    for state in director.servers.values():
+        state.successes.clear()
     world.now += 0.25
-    view.handle(world.now, [ServerLoadReport(0, 1, 5, 0, 0.2, 1.0, (0.5, 1.0, 200.0)), TimerFired(1)])
-    assert view.per_size == before
+    director.handle(world.now, [ServerLoadReport(0, 1, 5, 0, 0.2, 1.0, (0.5, 1.0, 200.0)), TimerFired(1)])
+    assert director.estimator.capacity_per_weight == before
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from puffintide.decisions.actions import SetWeight
-from puffintide.decisions.director import FULL, Director
+from puffintide.decisions.director import Director
 from puffintide.decisions.events import (
     AssignerCountChanged,
     Endpoint,
@@ -23,6 +23,7 @@
     ZoneCommandReceived,
     ZoneOperation,
 )
+from puffintide.decisions.parameters import OVERLOAD_UTILIZATION
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import (
     DEGRADED,
@@ -92,7 +93,9 @@
     plan.zone(0, EndpointStatus.REMOVED)
     bounds = plan.run(1)
     # The other's own usual load is 0.5 of it, and half of its spare may go to others: it is filled up to 0.75.
-    assert plan.phase(0) == LOST and all(FULL * bounds[s] == pytest.approx(0.75, abs=0.01) for s in bounds)
+    assert plan.phase(0) == LOST and all(
+        OVERLOAD_UTILIZATION * bounds[s] == pytest.approx(0.75, abs=0.01) for s in bounds
+    )
     lost = plan.plan.states()[0]
     assert lost.spill[0][0] == 1 and lost.spill[0][1] == pytest.approx(0.5, abs=0.03)
     assert lost.beyond == pytest.approx(0.5, abs=0.03)
@@ -264,7 +267,7 @@
         bounds = plan.run(5)
     assert [s.phase for s in plan.plan.states()] == [LOST, LOST, WELL]
     # The limit is from its own load in ordinary times: a second loss does not raise it.
-    assert list(bounds.values()) == pytest.approx([0.75 / FULL] * len(bounds), abs=0.01)
+    assert list(bounds.values()) == pytest.approx([0.75 / OVERLOAD_UTILIZATION] * len(bounds), abs=0.01)
 
 
 def test_the_hand_drains_by_steps_holds_at_once_and_returns_at_its_pace() -> None:
