--- a/puffintide/platform/__main__.py
+++ b/puffintide/platform/__main__.py
@@ -1,4 +1,4 @@
-"""python -m puffintide.platform: one real assigner of the platform, in the foreground."""
+"""python -m puffintide.platform: one assigner of the platform, in the foreground."""
 
 from __future__ import annotations
 
@@ -6,46 +6,65 @@
 import os
 import signal
 import sys
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
+
+if TYPE_CHECKING:
+    from puffintide.platform.config import Config
+    from puffintide.platform.log import Log
+
+EXIT_UNUSABLE = 2  # the configuration, or its address
 
 
 def main() -> int:
+    """Run an assigner until SIGTERM, and return the exit status."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
     # No TLS here: what Twisted would load for it is a fourth of the least memory.
     sys.modules["OpenSSL"] = None  # type: ignore[assignment]
-    from puffintide.platform.config import ConfigError, address, load
-    from puffintide.platform.log import Log
+    from puffintide.platform.config import load_config
+    from puffintide.platform.errors import ConfigError
+    from puffintide.platform.log import EventLog
 
     path = os.environ.get("GW_CONFIG", "")
     try:
         if not path:
             raise ConfigError("GW_CONFIG: not set")
-        config = load(path)
+        config = load_config(path)
     except ConfigError as error:
         print(f"puffintide: {error}", file=sys.stderr)
-        return 2
-    log = Log(config.name)
-    for variable, held in (("GW_LISTEN", config.listen), ("GW_DISCOVERY", config.discovery)):
-        told = os.environ.get(variable, "")
+        return EXIT_UNUSABLE
+    log = EventLog(config.name)
+    _compare_environment(config, path, log)
+    return _run(config, path, log)
+
+
+def _compare_environment(config: Config, path: str, log: Log) -> None:
+    """Log addresses in the environment that differ from those in the file, which are used."""
+    from puffintide.platform.config import parse_address
+    from puffintide.platform.errors import ConfigError
+
+    for variable, address in (("GW_LISTEN", config.listen), ("GW_DISCOVERY", config.discovery)):
+        text = os.environ.get(variable, "")
         try:
-            if told and address(told, variable) != held:
-                raise ConfigError(f"{told!r} is not what {path} says; the file holds")
+            if text and parse_address(text, variable) != address:
+                raise ConfigError(f"{text!r} differs from {path}, which is used")
         except ConfigError as error:
             log("environment_ignored", variable=variable, reason=str(error))
 
+
+def _run(config: Config, path: str, log: Log) -> int:
     from twisted.internet.error import CannotListenError
 
     from puffintide.platform.service import Service
     from puffintide.protocol.clock import monotonic_reactor
 
-    _log_failures(log)
+    _log_handler_failures(log)
     reactor = monotonic_reactor()
     service = Service(reactor, config, path, log)
     try:
         service.start()
     except CannotListenError as error:
         print(f"puffintide: listen {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(service.reload))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(service.stop))
@@ -55,17 +74,17 @@
     return 0
 
 
-def _log_failures(log: Any) -> None:
-    """What fails inside a handler ends its connection, by Twisted; here it is told, with its place."""
+def _log_handler_failures(log: Log) -> None:
+    """Log errors that handlers raise, by which Twisted ends their connections."""
     from twisted.logger import globalLogBeginner
 
-    from puffintide.platform.service import place
+    from puffintide.platform.rounds import error_location
 
-    def observe(event: Any) -> None:
+    def observe(event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
         if failure is not None:
             error = failure.value
-            log("handler_failed", error=f"{type(error).__name__}: {error}", place=place(error))
+            log("handler_failed", error=f"{type(error).__name__}: {error}", location=error_location(error))
 
     globalLogBeginner.beginLoggingTo([cast(Any, observe)], redirectStandardIO=False, discardBuffer=True)
 
--- a/puffintide/platform/config.py
+++ b/puffintide/platform/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform gives, as values. Pure but for load(), which reads the file."""
+"""The configuration file of the platform, as typed values; only load() performs I/O."""
 
 from __future__ import annotations
 
@@ -8,106 +8,142 @@
 from typing import Any
 
 from puffintide.decisions.settings import Settings, SettingsError, parse_settings
-from puffintide.platform.identifiers import Names
+from puffintide.platform.errors import ConfigError
+from puffintide.platform.identifiers import SettingsNames
 
-FILE_MOST = 16 << 20
+MAX_FILE_BYTES = 16 << 20
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
+MAX_LIMIT = 1e9
+DEFAULT_SOCKETS = 256
+DEFAULT_MEMORY_MB = 64
+QUOTED_CHARACTERS = 60  # of an invalid value, in an error
 
 
-class ConfigError(Exception):
-    """The configuration can't be used; the text says which key and why."""
-
-
-Address = tuple[str, int]
+Address = tuple[str, int]  # IPv4 address and port
 
 
 @dataclass(frozen=True)
 class Config:
+    """What an assigner is started with."""
+
     name: str
     listen: Address
     discovery: Address
     relay: Address
     settings: Settings
-    names: Names
-    sockets: int
+    names: SettingsNames
+    sockets: int  # file descriptors that may be open
     memory_mb: float
-    known: dict[str, Any] | None  # the list as last held, in discovery's form
+    known: dict[str, Any] | None  # the last endpoint list of this assigner, in discovery's format
+
+
+def _quoted(value: object) -> str:
+    return repr(str(value)[:QUOTED_CHARACTERS])
 
 
-def address(value: object, key: str) -> Address:
+def parse_address(value: object, key: str) -> Address:
+    """Parse HOST:PORT, where the host is an IPv4 address: names are not resolved.
+
+    Raises:
+        ConfigError: The value is no such address; the text names the key.
+    """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not host or not (port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65536):
-        raise ConfigError(f"{key}: {str(value)[:60]!r} is not HOST:PORT")
+    if not host or not (
+        port.isascii() and port.isdigit() and 0 < int(port[: MAX_PORT_DIGITS + 1]) <= MAX_PORT
+    ):
+        raise ConfigError(f"{key}: {_quoted(value)} is not HOST:PORT")
     try:
-        # A name would be looked up in a thread, through whatever the machine has for that; there is no DNS here.
         return str(IPv4Address(host)), int(port)
-    except ValueError:
-        raise ConfigError(f"{key}: {host[:60]!r} is no IPv4 address") from None
+    except ValueError as error:
+        raise ConfigError(f"{key}: {_quoted(host)} is no IPv4 address") from error
 
 
 def _strings(tree: dict[str, Any], key: str) -> list[str]:
     value = tree.get(key, [])
-    if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
+    if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
         raise ConfigError(f"settings.{key}: not a list of names")
     return value
 
 
-def _limit(tree: dict[str, Any], key: str, usual: float) -> float:
+def _limit(tree: dict[str, Any], key: str, default: float) -> float:
     limits = tree.get("limits")
-    value = limits.get(key, usual) if isinstance(limits, dict) else usual
-    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 < value < 1e9:
-        raise ConfigError(f"limits.{key}: {str(value)[:60]!r} is not above 0")
+    value = limits.get(key, default) if isinstance(limits, dict) else default
+    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 < value < MAX_LIMIT:
+        raise ConfigError(f"limits.{key}: {_quoted(value)} is not above 0")
     return float(value)
 
 
-def parse(text: bytes) -> Config:
-    """Values of a file's text, or a ConfigError."""
-    if len(text) > FILE_MOST:
-        raise ConfigError(f"over {FILE_MOST} bytes")
+def _object(tree: dict[str, Any], key: str) -> dict[str, Any]:
+    value = tree.get(key)
+    if not isinstance(value, dict):
+        raise ConfigError(f"{key}: absent or no object")
+    return value
+
+
+def _seed(tree: dict[str, Any]) -> int:
+    seed = tree.get("seed", "0")
+    try:
+        return int(seed, 16) if isinstance(seed, str) else int(seed)
+    except (TypeError, ValueError) as error:
+        raise ConfigError(f"seed: {_quoted(seed)} is not hexadecimal") from error
+
+
+def _json_object(text: bytes) -> dict[str, Any]:
+    if len(text) > MAX_FILE_BYTES:
+        raise ConfigError(f"over {MAX_FILE_BYTES} bytes")
     try:
         tree = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"not JSON: {error}") from None
+        raise ConfigError(f"not JSON: {error}") from error
     if not isinstance(tree, dict):
         raise ConfigError("not a JSON object")
-    settings = tree.get("settings")
-    if not isinstance(settings, dict):
-        raise ConfigError("settings: absent or no object")
-    store = tree.get("store")
-    if not isinstance(store, dict):
-        raise ConfigError("store: absent or no object")
-    seed = tree.get("seed", "0")
-    try:
-        number = int(seed, 16) if isinstance(seed, str) else int(seed)
-    except (TypeError, ValueError):
-        raise ConfigError(f"seed: {str(seed)[:60]!r} is not hexadecimal") from None
+    return tree
+
+
+def parse_config(text: bytes) -> Config:
+    """Parse the text of a configuration file.
+
+    Raises:
+        ConfigError: The text is no JSON object, or a value is absent or invalid.
+    """
+    tree = _json_object(text)
+    tree_settings = _object(tree, "settings")
+    store = _object(tree, "store")
     try:
-        parsed = parse_settings(json.dumps(settings).encode(), number)
+        settings = parse_settings(json.dumps(tree_settings).encode(), _seed(tree))
     except SettingsError as error:
-        raise ConfigError(f"settings: {error}") from None
-    classes = [str(row.get("name", k)) for k, row in enumerate(settings["classes"])]
-    names = Names(_strings(settings, "zones"), classes, _strings(settings, "kinds"), parsed.load_value_names)
+        raise ConfigError(f"settings: {error}") from error
+    classes = [str(row.get("name", index)) for index, row in enumerate(tree_settings["classes"])]
+    names = SettingsNames(
+        _strings(tree_settings, "zones"), classes, _strings(tree_settings, "kinds"), settings.load_value_names
+    )
     known = tree.get("known")
     return Config(
         name=str(tree.get("name", "")),
-        listen=address(tree.get("listen"), "listen"),
-        discovery=address(tree.get("discovery"), "discovery"),
-        relay=address(store.get("address"), "store.address"),
-        settings=parsed,
+        listen=parse_address(tree.get("listen"), "listen"),
+        discovery=parse_address(tree.get("discovery"), "discovery"),
+        relay=parse_address(store.get("address"), "store.address"),
+        settings=settings,
         names=names,
-        sockets=int(_limit(tree, "sockets", 256)),
-        memory_mb=_limit(tree, "memory_mb", 64),
+        sockets=int(_limit(tree, "sockets", DEFAULT_SOCKETS)),
+        memory_mb=_limit(tree, "memory_mb", DEFAULT_MEMORY_MB),
         known=known if isinstance(known, dict) else None,
     )
 
 
-def load(path: str) -> Config:
-    """The file's values. Raises ConfigError with the path."""
+def load_config(path: str) -> Config:
+    """Read and parse a configuration file.
+
+    Raises:
+        ConfigError: The file can't be read or is invalid; the text names the path.
+    """
     try:
         with open(path, "rb") as file:
-            text = file.read(FILE_MOST + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from None
+        raise ConfigError(f"{path}: {error.strerror}") from error
     try:
-        return parse(text)
+        return parse_config(text)
     except ConfigError as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise ConfigError(f"{path}: {error}") from error
--- a/puffintide/platform/endpoint_list.py
+++ b/puffintide/platform/endpoint_list.py
@@ -1,38 +1,50 @@
-"""Which lists of discovery are taken, by their versions. Pure."""
+"""Which endpoint lists of discovery are accepted, by their versions. Performs no I/O."""
 
 from __future__ import annotations
 
-from puffintide.platform.messages import Members
+from puffintide.decisions.events import ListUpdateType
+from puffintide.platform.discovery_messages import EndpointListMessage
 
-# Whatever discovery has to tell counts as told so long after at the latest: an agent that is behind for longer is
-# not late, its discovery counts anew.
-BEHIND_S = 6.0
+# Longer than discovery takes to propagate a change: an agent that stays behind has restarted its version count.
+STALE_LIST_GRACE_S = 6.0
 
 
-class Listing:
+class ListVersionTracker:
+    """Version of the endpoint list in use, and since when only older snapshots have been received."""
+
     def __init__(self) -> None:
         self.version = 0
-        self.behind_since: float | None = (
-            None  # an older whole list has come, and nothing newer than ours since
-        )
-
-    def take(self, now: float, told: Members, known: bool = False) -> str | None:
-        """How the module is told a list or changes: "full", "delta" or "cached"; None: not at all. A whole list
-        with entries that can't be read is told as changes: such an entry is not one that is missing. One that is
-        older than what is held (from an agent that is behind) must not undo it: a server that drains would be sent
-        to again.
+        self.stale_since_s: float | None = None
+
+    def accept(
+        self, now_s: float, message: EndpointListMessage, from_config: bool = False
+    ) -> ListUpdateType | None:
+        """Decide how a message is passed on; None: it is not.
+
+        A snapshot with invalid entries is passed on as a delta, as these servers are not removed. A snapshot that
+        is older than the list in use is not, as it would undo drains, unless nothing newer is received for a while.
+
+        Args:
+            now_s: The current time.
+            message: A snapshot or a delta.
+            from_config: The list is from the configuration, not from discovery.
         """
-        if known:
-            self.version = told.seq
-            return "cached"
-        if told.whole and told.seq < self.version:
-            if self.behind_since is None:
-                self.behind_since = now
-            if now - self.behind_since < BEHIND_S:
-                return None
-        elif not told.whole and told.seq <= self.version:
+        if from_config:
+            self.version = message.version
+            return ListUpdateType.CACHED
+        if message.is_snapshot and self._is_stale(now_s, message.version):
+            return None
+        if not message.is_snapshot and message.version <= self.version:
             return None
-        self.version, self.behind_since = told.seq, None
-        if told.whole and not told.bad:
-            return "full"
-        return "delta" if told.entries or told.bad else None
+        self.version = message.version
+        self.stale_since_s = None
+        if message.is_snapshot and not message.errors:
+            return ListUpdateType.SNAPSHOT
+        return ListUpdateType.DELTA if message.entries or message.errors else None
+
+    def _is_stale(self, now_s: float, version: int) -> bool:
+        if version >= self.version:
+            return False
+        if self.stale_since_s is None:
+            self.stale_since_s = now_s
+        return now_s - self.stale_since_s < STALE_LIST_GRACE_S
--- a/puffintide/platform/health_check_client.py
+++ b/puffintide/platform/health_check_client.py
@@ -1,150 +1,174 @@
-"""Probes: one kept connection to each task. When to probe is the module's; no probe is made again here."""
+"""Checks the health of one server over a connection that is kept open; a check is never repeated here."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
+from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
+from puffintide.decisions.events import HealthCheckStatus
 from puffintide.platform.config import Address
-from puffintide.platform.http_exchange import Exchange, Unreadable
-from puffintide.platform.identifiers import (
-    ANSWERED,
-    BROKEN_OFF,
-    ERROR,
-    TIMED_OUT,
-    UNREACHABLE,
-    parse_text_report,
-    probe_end,
+from puffintide.platform.errors import MalformedResponseError
+from puffintide.platform.health_check_response import classify_response, parse_load_report
+from puffintide.platform.http_exchange import HttpExchange
+from puffintide.platform.reactor import Reactor, Timer, connect
+
+TIMEOUT_S = (
+    0.4  # a healthy server answers in tens of milliseconds; the director checks again after twice this
 )
+CONNECT_GRACE_S = 1.0  # beyond the timeout of a check, which drops the connection before
+MAX_BODY_BYTES = 16 * 1024
+
+OnResult = Callable[[HealthCheckStatus, float, dict[str, float]], None]
 
-# A task that is well answers in tens of milliseconds; the module asks again after twice this.
-TIMEOUT_S = 0.4
-BODY_MOST = 16 * 1024
-Done = Callable[[int, float, dict[str, float]], None]  # status, how long it took, load report
 
+class _Connection(Protocol):
+    """One connection to the server."""
 
-class _Link(Protocol):
     transport: Any
 
-    def __init__(self, owner: Prober) -> None:
-        self.owner = owner
-        self.exchange = Exchange(f"{owner.address[0]}:{owner.address[1]}", BODY_MOST)
-        self.body: list[bytes] = []
-        self.open = self.ended = False
-        self.asked = 0  # requests made, and whether anything of the answer to the last has come
-        self.heard = False
-        factory = ClientFactory.forProtocol(lambda: self)
-        factory.noisy = False
-        factory.clientConnectionFailed = lambda *_: self._lost(UNREACHABLE)  # type: ignore[attr-defined]
-        owner.reactor.connectTCP(*owner.address, factory, timeout=TIMEOUT_S + 1)
-
-    def ask(self) -> None:
-        self.body, self.heard = [], False
-        self.asked += 1
-        self.transport.write(self.exchange.ask("GET", self.owner.target))
+    def __init__(self, client: HealthCheckClient) -> None:
+        self.client = client
+        self.established = False
+        self._exchange = HttpExchange(f"{client.address[0]}:{client.address[1]}", MAX_BODY_BYTES)
+        self._body: list[bytes] = []
+        self._ended = False
+        self._requests = 0
+        self._response_started = False
+        connect_timeout_s = TIMEOUT_S + CONNECT_GRACE_S
+        connect(client.reactor, client.address, self, self._on_connect_failure, connect_timeout_s)
+
+    def _on_connect_failure(self) -> None:
+        self._end(HealthCheckStatus.UNREACHABLE)
+
+    def request(self) -> None:
+        """Send a request."""
+        self._body = []
+        self._response_started = False
+        self._requests += 1
+        self.transport.write(self._exchange.request("GET", self.client.target))
 
     def connectionMade(self) -> None:
-        if self.ended:
+        if self._ended:
             self.transport.abortConnection()
             return
-        self.open = True
+        self.established = True
         self.transport.setTcpNoDelay(True)
-        self.ask()
+        self.request()
 
     def dataReceived(self, data: bytes) -> None:
-        if self.ended:
+        if self._ended:
             return
-        if self.exchange.done:  # nothing was asked: what comes next could not be told from this
+        if self._exchange.complete:  # unrequested: a later response could not be told from this
             self.drop()
             return
-        self.heard = True
+        self._response_started = True
         try:
-            self.body += self.exchange.receive(data)
-        except Unreadable:
+            self._body += self._exchange.receive(data)
+        except MalformedResponseError:
             self.drop()
-            self.owner.end(ERROR)
+            self.client.finish(HealthCheckStatus.ERROR)
             return
-        if self.exchange.done:
-            status, body, reusable = self.exchange.status, b"".join(self.body), self.exchange.reusable
-            if not reusable:
+        if self._exchange.complete:
+            if not self._exchange.reusable:
                 self.drop()
-            self.owner.answered(status or 0, body)
+            self.client.on_response(self._exchange.status or 0, b"".join(self._body))
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._lost(BROKEN_OFF)
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        self._end(HealthCheckStatus.RESET)
 
     def drop(self) -> None:
-        self.ended = True
+        """Close the connection."""
+        self._ended = True
         if self.transport is not None:
             self.transport.abortConnection()
-        if self.owner.link is self:
-            self.owner.link = None
-
-    def _lost(self, status: int) -> None:
-        if not self.ended:
-            self.ended = True
-            if self.owner.link is self:
-                self.owner.link = None
-            if status == BROKEN_OFF and self.asked > 1 and not self.heard:
-                self.owner.dial()
-            else:
-                self.owner.end(status)
-
-
-class Prober:
-    """At most one probe under way for a task."""
-
-    def __init__(self, reactor: Any, address: Address, target: str, done: Done) -> None:
-        self.reactor, self.address, self.target, self.done = reactor, address, target, done
-        self.link: _Link | None = None
-        self.since: float | None = None
-        self._timer: Any = None
-
-    def probe(self) -> None:
-        if self.since is not None:
+        self.client.on_connection_ended(self)
+
+    def _end(self, status: HealthCheckStatus) -> None:
+        if self._ended:
             return
-        self.since = self.reactor.seconds()
-        self._timer = self.reactor.callLater(TIMEOUT_S, self._late)
-        if self.link is None:
-            self.link = _Link(self)
+        self._ended = True
+        self.client.on_connection_ended(self)
+        closed_while_idle = self._requests > 1 and not self._response_started
+        if status is HealthCheckStatus.RESET and closed_while_idle:
+            self.client.reconnect()
         else:
-            self.link.ask()
+            self.client.finish(status)
+
+
+class HealthCheckClient:
+    """Checks one server, with at most one check in flight."""
 
-    def dial(self) -> None:
-        """A kept connection was closed on us before it was used: tells nothing of the task. The same probe, within
-        the same time, goes by a new one.
+    def __init__(self, reactor: Reactor, address: Address, target: str, on_result: OnResult) -> None:
+        """Prepare a client.
+
+        Args:
+            reactor: The reactor of its connections.
+            address: The server's address.
+            target: Request target of the check.
+            on_result: Called with status, elapsed seconds and load values of each check.
         """
-        if self.since is not None:
-            self.link = _Link(self)
-
-    def answered(self, status: int, body: bytes) -> None:
-        end = probe_end(status, self.took(), TIMEOUT_S)
-        self.end(end, parse_text_report(body.decode("ascii", "replace")) if end == ANSWERED else None)
-
-    def took(self) -> float:
-        return 0.0 if self.since is None else float(self.reactor.seconds() - self.since)
-
-    def _late(self) -> None:
-        link = self.link
-        status = TIMED_OUT if link is not None and link.open else UNREACHABLE
-        if link is not None:
-            link.drop()
-        self.end(status)
-
-    def end(self, status: int, report: dict[str, float] | None = None) -> None:
-        if self.since is None:
-            return  # a kept connection ended, or an answer nobody waits for
-        took, self.since = self.took(), None
-        if self._timer.active():
-            self._timer.cancel()
-        self.done(status, took, report or {})
+        self.reactor = reactor
+        self.address = address
+        self.target = target
+        self._on_result = on_result
+        self._connection: _Connection | None = None
+        self._started_at_s: float | None = None  # of the check in flight
+        self._timeout = Timer(reactor)
+
+    def check(self) -> None:
+        """Start a check, unless one is in flight."""
+        if self._started_at_s is not None:
+            return
+        self._started_at_s = self.reactor.seconds()
+        self._timeout.start(TIMEOUT_S, self._on_timeout)
+        if self._connection is None:
+            self._connection = _Connection(self)
+        else:
+            self._connection.request()
 
     def stop(self) -> None:
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        self.since = None
-        if self.link is not None:
-            self.link.drop()
+        """Drop the check in flight and the connection."""
+        self._timeout.cancel()
+        self._started_at_s = None
+        if self._connection is not None:
+            self._connection.drop()
+
+    def reconnect(self) -> None:
+        """Continue the check, within its timeout, on a new connection: the old one was closed while idle."""
+        if self._started_at_s is not None:
+            self._connection = _Connection(self)
+
+    def on_connection_ended(self, connection: _Connection) -> None:
+        """Use this connection no more."""
+        if self._connection is connection:
+            self._connection = None
+
+    def on_response(self, http_status: int, body: bytes) -> None:
+        """Finish the check with a response."""
+        status = classify_response(http_status, self._elapsed_s(), TIMEOUT_S)
+        load_values = None
+        if status is HealthCheckStatus.OK:
+            load_values = parse_load_report(body.decode("ascii", "replace"))
+        self.finish(status, load_values)
+
+    def finish(self, status: HealthCheckStatus, load_values: dict[str, float] | None = None) -> None:
+        """Report the outcome of the check in flight, if there is one."""
+        if self._started_at_s is None:
+            return
+        elapsed_s = self._elapsed_s()
+        self._started_at_s = None
+        self._timeout.cancel()
+        self._on_result(status, elapsed_s, load_values or {})
+
+    def _elapsed_s(self) -> float:
+        return 0.0 if self._started_at_s is None else float(self.reactor.seconds() - self._started_at_s)
+
+    def _on_timeout(self) -> None:
+        connection = self._connection
+        established = connection is not None and connection.established
+        if connection is not None:
+            connection.drop()
+        self.finish(HealthCheckStatus.TIMEOUT if established else HealthCheckStatus.UNREACHABLE)
--- a/puffintide/platform/http_exchange.py
+++ b/puffintide/platform/http_exchange.py
@@ -1,32 +1,63 @@
-"""One HTTP/1.1 exchange at a time with a party of the platform, as h11 reads it. Sans-I/O."""
+"""HTTP/1.1 requests and their responses on one connection, one at a time. Performs no I/O."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+from enum import StrEnum
+
 import h11
 
-HEAD_MOST = 16 * 1024
+from puffintide.platform.errors import MalformedResponseError
+
+MAX_HEAD_BYTES = 16 * 1024
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
+
+
+class RequestResult(StrEnum):
+    """How a request ended; the values appear in the log."""
+
+    ANSWERED = "answered"
+    UNREACHABLE = "unreachable"
+    DISCONNECTED = "disconnected"
+    TIMED_OUT = "timed_out"
+    MALFORMED = "malformed"
+
+
+@dataclass(frozen=True, slots=True)
+class Response:
+    """What became of a request."""
 
+    result: RequestResult
+    status: int = 0
+    body: bytes = b""
 
-class Unreadable(Exception):
-    """What came is no answer; the connection is of no further use."""
 
+class HttpExchange:
+    """A client's side of a connection: request() gives bytes to write, receive() parses the response."""
 
-class Exchange:
-    """ask() gives bytes to write, receive() the pieces of the answer's body."""
+    def __init__(self, host: str, max_body_bytes: int = 0) -> None:
+        """Start a connection.
 
-    def __init__(self, host: str, body_most: int) -> None:
-        """body_most: bytes of one body that are read, 0: without end (a watch)."""
-        self.host, self.body_most = host, body_most
+        Args:
+            host: The value of the Host header.
+            max_body_bytes: Limit of one response's body; 0: none, for a watch.
+        """
+        self.host = host
+        self.max_body_bytes = max_body_bytes
         self.status: int | None = None
-        self.done = False  # the whole answer is here
-        self.reusable = False  # and the connection takes another request
-        self._read = 0
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
+        self.complete = False  # the whole response was received
+        self.reusable = False  # the connection can take another request
+        self._body_bytes = 0
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
-    def ask(self, method: str, target: str, body: bytes | None = None) -> bytes:
-        if self.done:
+    def request(self, method: str, target: str, body: bytes | None = None) -> bytes:
+        """Return the bytes of a request; the response to the one before must be complete."""
+        if self.complete:
             self._http.start_next_cycle()
-            self.done, self.status, self._read = False, None, 0
+            self.complete = False
+            self.status = None
+            self._body_bytes = 0
         headers = [("Host", self.host)]
         if body is not None:
             headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
@@ -37,26 +68,37 @@
         return out + (self._http.send(h11.EndOfMessage()) or b"")
 
     def receive(self, data: bytes) -> list[bytes]:
-        """Pieces of the body; b"" as data says that the connection has ended. Raises Unreadable."""
-        pieces: list[bytes] = []
+        """Parse received bytes, and return the pieces of the body among them.
+
+        Args:
+            data: Bytes as received; empty: the connection has ended.
+
+        Raises:
+            MalformedResponseError: This is no HTTP response, or its body exceeds the limit.
+        """
         try:
             self._http.receive_data(data)
-            while True:
-                event = self._http.next_event()
-                if isinstance(event, h11.Response):
-                    self.status = event.status_code
-                elif isinstance(event, h11.Data):
-                    self._read += len(event.data)
-                    if self.body_most and self._read > self.body_most:
-                        raise Unreadable(f"body over {self.body_most} bytes")
-                    pieces.append(bytes(event.data))
-                elif isinstance(event, h11.EndOfMessage):
-                    self.done = True
-                    # Bytes beyond the answer would be read as that to the next request.
-                    self.reusable = self._http.our_state is h11.DONE and not self._http.trailing_data[0]
-                elif isinstance(event, h11.InformationalResponse):
-                    continue
-                else:
-                    return pieces
+            return self._body_pieces()
         except h11.RemoteProtocolError as error:
-            raise Unreadable(str(error)) from None
+            raise MalformedResponseError(str(error)) from error
+
+    def _body_pieces(self) -> list[bytes]:
+        pieces: list[bytes] = []
+        while True:
+            event = self._http.next_event()
+            if isinstance(event, h11.Response):
+                self.status = event.status_code
+            elif isinstance(event, h11.Data):
+                self._count_body(len(event.data))
+                pieces.append(bytes(event.data))
+            elif isinstance(event, h11.EndOfMessage):
+                self.complete = True
+                # Bytes beyond the response would be read as the response to the next request.
+                self.reusable = self._http.our_state is h11.DONE and not self._http.trailing_data[0]
+            elif not isinstance(event, h11.InformationalResponse):
+                return pieces
+
+    def _count_body(self, size: int) -> None:
+        self._body_bytes += size
+        if self.max_body_bytes and self._body_bytes > self.max_body_bytes:
+            raise MalformedResponseError(f"body over {self.max_body_bytes} bytes")
--- a/puffintide/platform/http_request.py
+++ b/puffintide/platform/http_request.py
@@ -1,4 +1,4 @@
-"""One request on a connection of its own, with an end to every wait."""
+"""One HTTP request on a connection of its own, with a limit on every wait."""
 
 from __future__ import annotations
 
@@ -7,94 +7,97 @@
 from dataclasses import dataclass
 from typing import Any
 
-from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
+from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
 from puffintide.platform.config import Address
-from puffintide.platform.http_exchange import Exchange, Unreadable
+from puffintide.platform.errors import MalformedResponseError
+from puffintide.platform.http_exchange import HttpExchange, RequestResult, Response
+from puffintide.platform.reactor import Reactor, Timer, connect
 
-GRACE_S = (
-    0.01  # before a wait ends, what has come in meanwhile is read: this process may have been late itself
-)
+GRACE_S = 0.01  # before a wait ends, for a response that waits unread because this process was late
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """how: answer, unreachable, broken, silent or unreadable."""
+class RequestLimits:
+    """Limits of one request."""
 
-    how: str
-    status: int = 0
-    body: bytes = b""
+    connect_timeout_s: float
+    response_timeout_s: float  # once connected
+    max_body_bytes: int
 
 
-class Request(Protocol):
-    """Calls done(Outcome) once, whatever happens."""
+class HttpRequest(Protocol):
+    """Sends a request at once, and calls on_done once, whatever happens."""
 
     transport: Any
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         address: Address,
         request: tuple[str, str, bytes | None],
-        done: Callable[[Outcome], None],
-        connect_s: float,
-        answer_s: float,
-        body_most: int,
+        on_done: Callable[[Response], None],
+        limits: RequestLimits,
     ) -> None:
-        self.reactor, self.request, self.done = reactor, request, done
-        self.answer_s = answer_s
-        self.exchange = Exchange(f"{address[0]}:{address[1]}", body_most)
-        self.body: list[bytes] = []
-        self.ended = False
-        self.timer: Any = None
-        factory = ClientFactory.forProtocol(lambda: self)
-        factory.noisy = False
-        factory.clientConnectionFailed = lambda *_: self._end("unreachable")  # type: ignore[attr-defined]
-        self.connector = reactor.connectTCP(*address, factory, timeout=connect_s)
+        """Send a request.
+
+        Args:
+            reactor: The reactor of the connection.
+            address: Where to send it to.
+            request: Method, target and body.
+            on_done: Called with the response.
+            limits: Limits of time and size.
+        """
+        self.request = request
+        self.on_done = on_done
+        self.limits = limits
+        self.exchange = HttpExchange(f"{address[0]}:{address[1]}", limits.max_body_bytes)
+        self._body: list[bytes] = []
+        self._ended = False
+        self._timer = Timer(reactor)
+        connect(reactor, address, self, self._on_connect_failure, limits.connect_timeout_s)
+
+    def _on_connect_failure(self) -> None:
+        self._end(RequestResult.UNREACHABLE)
 
     def connectionMade(self) -> None:
-        if self.ended:
+        """Send the request."""
+        if self._ended:
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
-        self.transport.write(self.exchange.ask(*self.request))
-        self.timer = self.reactor.callLater(self.answer_s, self._late)
+        self.transport.write(self.exchange.request(*self.request))
+        self._timer.start(self.limits.response_timeout_s, self._on_timeout)
 
-    def _late(self) -> None:
-        self.timer = self.reactor.callLater(GRACE_S, self._end, "silent")
+    def _on_timeout(self) -> None:
+        self._timer.start(GRACE_S, self._end, RequestResult.TIMED_OUT)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.ended:
+        """Read a part of the response."""
+        if self._ended:
             return
         try:
-            self.body += self.exchange.receive(data)
-        except Unreadable:
-            self._end("unreadable")
+            self._body += self.exchange.receive(data)
+        except MalformedResponseError:
+            self._end(RequestResult.MALFORMED)
             return
-        if self.exchange.done:
-            self._end("answer")
+        if self.exchange.complete:
+            self._end(RequestResult.ANSWERED)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        if self.ended:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """End the request, unless it has ended before."""
+        if self._ended:
             return
-        with suppress(Unreadable):  # an answer without a length ends with its connection
-            self.body += self.exchange.receive(b"")
-        self._end("answer" if self.exchange.done else "broken")
+        with suppress(MalformedResponseError):  # a response without a length ends with its connection
+            self._body += self.exchange.receive(b"")
+        self._end(RequestResult.ANSWERED if self.exchange.complete else RequestResult.DISCONNECTED)
 
-    def cancel(self) -> None:
-        self.ended = True
-        self._hang_up()
-
-    def _hang_up(self) -> None:
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
+    def _end(self, result: RequestResult) -> None:
+        if self._ended:
+            return
+        self._ended = True
+        self._timer.cancel()
         if self.transport is not None:
             self.transport.abortConnection()
-
-    def _end(self, how: str) -> None:
-        if self.ended:
-            return
-        self.ended = True
-        self._hang_up()
-        self.done(Outcome(how, self.exchange.status or 0, b"".join(self.body)))
+        self.on_done(Response(result, self.exchange.status or 0, b"".join(self._body)))
--- a/puffintide/platform/lifecycle.py
+++ b/puffintide/platform/lifecycle.py
@@ -1,7 +1,7 @@
-"""Start, reload and end of one assigner, as states. Pure: the service does what these answers say.
+"""Start, reload and shutdown of an assigner, as states. Performs no I/O.
 
-starting --ready--> serving --terminate--> stopping --ended--> over
-    \\_________________terminate_________/ \\___ nothing on its way ___/
+STARTING --on_ready--> SERVING --on_terminate--> STOPPING --on_idle--> STOPPED;
+on_terminate leads to STOPPING from STARTING too.
 """
 
 from __future__ import annotations
@@ -12,53 +12,65 @@
 from puffintide.decisions.settings import Settings
 from puffintide.platform.config import Config
 
-KEPT = ("name", "listen", "sockets", "memory_mb")
+RESTART_KEYS = ("name", "listen", "sockets", "memory_mb")  # that take effect at a restart
 
 
 class Phase(Enum):
+    """State of an assigner."""
+
     STARTING = auto()
     SERVING = auto()
     STOPPING = auto()
-    OVER = auto()
+    STOPPED = auto()
 
 
 class Lifecycle:
+    """The phase of an assigner; each method returns whether the phase has changed."""
+
     def __init__(self) -> None:
         self.phase = Phase.STARTING
 
     @property
     def running(self) -> bool:
-        """Whether rounds are held, streams dialled and configurations taken."""
+        """Whether rounds are run, connections opened and configurations reloaded."""
         return self.phase in (Phase.STARTING, Phase.SERVING)
 
-    def ready(self) -> bool:
-        """What stands has been told, or the wait for it is over. True: signs of life are given from here on."""
+    def on_ready(self) -> bool:
+        """Start to answer pings: the initial state was received, or the wait for it has ended."""
         if self.phase is not Phase.STARTING:
             return False
         self.phase = Phase.SERVING
         return True
 
-    def terminate(self) -> bool:
-        """SIGTERM. True the first time: nothing new begins from here on."""
+    def on_terminate(self) -> bool:
+        """Start nothing new from now on: SIGTERM was received."""
         if not self.running:
             return False
         self.phase = Phase.STOPPING
         return True
 
-    def ended(self) -> bool:
-        """What was on its way has ended, or the wait for it has. True once: the process ends."""
+    def on_idle(self) -> bool:
+        """End the process: what was in flight has ended, or the wait for it has."""
         if self.phase is not Phase.STOPPING:
             return False
-        self.phase = Phase.OVER
+        self.phase = Phase.STOPPED
         return True
 
 
-def reloaded(old: Config, new: Config) -> tuple[Config, list[str]]:
-    """What is in force once a new configuration was read, and the keys that it changes and that wait for a restart.
-    The two addresses move. Rules, limits and names stay those that the module was made with, whole; the list as
-    last had and the seed are of a start alone, and differ between any two files."""
-    waiting = [key for key in KEPT if getattr(new, key) != getattr(old, key)]
-    settings = [f.name for f in fields(Settings) if f.name != "seed"]
-    waiting += [f"settings.{k}" for k in settings if getattr(new.settings, k) != getattr(old.settings, k)]
-    waiting += [f"names.{k}" for k, names in vars(new.names).items() if names != vars(old.names)[k]]
-    return replace(old, discovery=new.discovery, relay=new.relay), waiting
+def merge_reloaded(current: Config, reloaded: Config) -> tuple[Config, list[str]]:
+    """Merge a reloaded configuration into the current one.
+
+    Returns:
+        The configuration in force, where only the addresses of discovery and relay are new, and the other keys that
+        differ and take effect at a restart. The last endpoint list and the seed matter at a start alone.
+    """
+    ignored = [key for key in RESTART_KEYS if getattr(reloaded, key) != getattr(current, key)]
+    for setting in fields(Settings):
+        differs = getattr(reloaded.settings, setting.name) != getattr(current.settings, setting.name)
+        if differs and setting.name != "seed":
+            ignored.append(f"settings.{setting.name}")
+    current_names = vars(current.names)
+    for key, names in vars(reloaded.names).items():
+        if names != current_names[key]:
+            ignored.append(f"names.{key}")
+    return replace(current, discovery=reloaded.discovery, relay=reloaded.relay), ignored
--- a/puffintide/platform/line_buffer.py
+++ b/puffintide/platform/line_buffer.py
@@ -1,41 +1,49 @@
-"""Bytes to lines that end in LF. Sans-I/O."""
+"""Splits a stream of bytes into lines that end in LF. Performs no I/O."""
 
 from __future__ import annotations
 
+from puffintide.platform.errors import LineTooLongError
 
-class TooLong(Exception):
-    """A line passed the limit."""
+MAX_PIECES = 64  # of an incomplete line, before they are joined
 
 
-class Lines:
-    """feed() bytes as they come, in any pieces. What is kept is bounded by the limit."""
+class LineBuffer:
+    """Collects bytes into lines; what it retains is bounded by the length limit."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_line_bytes: int) -> None:
+        self.max_line_bytes = max_line_bytes
         self._pieces: list[bytes] = []
-        self._kept = 0
+        self._buffered_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now, without LF. Raises TooLong."""
+        """Add bytes as received, and return the lines that are complete now, without their LF.
+
+        Raises:
+            LineTooLongError: A line exceeds the limit.
+        """
         if b"\n" not in data:
-            self._keep(data)
+            self._buffer(data)
             return []
-        first, *rest = data.split(b"\n")
-        self._keep(first)
-        whole = [b"".join(self._pieces), *rest[:-1]]
-        self._pieces, self._kept = [], 0
-        self._keep(rest[-1])
-        if max(map(len, whole)) > self.most:
-            raise TooLong(f"line over {self.most} bytes")
-        return whole
-
-    def _keep(self, data: bytes) -> None:
+        first, *others = data.split(b"\n")
+        self._buffer(first)
+        lines = [b"".join(self._pieces), *others[:-1]]
+        self._clear()
+        self._buffer(others[-1])
+        if max(map(len, lines)) > self.max_line_bytes:
+            raise LineTooLongError(f"line over {self.max_line_bytes} bytes")
+        return lines
+
+    def _buffer(self, data: bytes) -> None:
         if not data:
             return
-        self._kept += len(data)
-        if self._kept > self.most:
-            self._pieces, self._kept = [], 0
-            raise TooLong(f"line over {self.most} bytes")
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > self.max_line_bytes:
+            self._clear()
+            raise LineTooLongError(f"line over {self.max_line_bytes} bytes")
         self._pieces.append(data)
-        if len(self._pieces) > 64:  # a line that comes byte by byte
+        if len(self._pieces) > MAX_PIECES:  # a line that arrives byte by byte
             self._pieces = [b"".join(self._pieces)]
+
+    def _clear(self) -> None:
+        self._pieces = []
+        self._buffered_bytes = 0
--- a/puffintide/platform/listener.py
+++ b/puffintide/platform/listener.py
@@ -1,204 +1,272 @@
-"""Who connects to the assigner's address: collectors, those who ask for a sign of life, and strangers."""
+"""The assigner's address: collectors of load reports, pings, and connections that turn out to be neither."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Container
+from dataclasses import dataclass
 from typing import Any
 
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.platform import messages as m
-from puffintide.platform.line_buffer import Lines, TooLong
+from puffintide.platform.client_messages import (
+    PONG,
+    REJECTED,
+    ClientMessage,
+    CollectorHello,
+    Ping,
+    ServerReport,
+    SliceReport,
+    decode_client_message,
+)
+from puffintide.platform.errors import InvalidMessageError, LineTooLongError, MalformedMessageError
+from puffintide.platform.line_buffer import LineBuffer
+from puffintide.platform.log import Log
+from puffintide.platform.message_decoding import quoted
+from puffintide.platform.reactor import Reactor
+
+MAX_LINE_BYTES = 1 << 20
+MAX_UNIDENTIFIED_LINE_BYTES = 4096
+IDENTIFY_TIMEOUT_S = 1.5  # the platform grants 1 s and asks for 3 s at most
+SWEEP_PERIOD_S = 0.25
+CLOSE_TIMEOUT_S = 0.5  # after which a closing connection is aborted
+MAX_COLLECTORS = 32  # beyond it the one that was silent for longest is closed
+DEAD_COLLECTOR_S = 3.0  # unless all were active so lately: then the newest one is
+# Twisted accepts ever more connections in one turn under a flood, while those closed in their favour end a turn
+# later: its limit is set again at each connection.
+MAX_ACCEPTS_PER_TURN = 20
+MAX_LOGGED_REASON = 200
+
+
+@dataclass(slots=True)
+class ListenerCounters:
+    """Connections and messages since the start."""
+
+    accepted: int = 0
+    rejected: int = 0
+    invalid_messages: int = 0
+    reports: int = 0
+    closed: int = 0
+
+
+class ClientConnection(Protocol):
+    """One accepted connection."""
 
-LINE_MOST = 1 << 20
-STRANGER_LINE_MOST = 4096  # nothing that is due before joining is longer
-JOIN_S = 1.5  # who has not joined by then is closed; the platform grants 1 s and asks for 3 s at most
-SWEEP_S = 0.25
-LINGER_S = 0.5  # a refused connection that has not closed by then is cut
-COLLECTORS_MOST = 32  # of which the longest silent is cut, as dead ones give no sign
-DEAD_S = 3.0  # unless all were heard so lately: then the newest is, so that none that reports is displaced
-# Connections taken in one turn of the reactor, which by itself takes ever more of them in a flood: those that are
-# cut to make room close a turn later. It adds 20 to what is set here before that is set again.
-ACCEPTS = 20
-REFUSED = b'{"msg":"refused"}\n'
-
-
-class Peer(Protocol):
     transport: Any
 
-    def __init__(self, owner: Listener) -> None:
-        self.owner = owner
-        self.lines = Lines(STRANGER_LINE_MOST)
-        self.since = self.heard = owner.reactor.seconds()
-        self.zone: str | None = None  # once joined
-        self.closing: float | None = None
-        self.asked = 0  # signs of life that wait until this assigner can serve
+    def __init__(self, listener: Listener) -> None:
+        self.listener = listener
+        self.accepted_at_s = listener.reactor.seconds()
+        self.active_at_s = self.accepted_at_s
+        self.closing_since_s: float | None = None
+        self.zone: str | None = None  # of a collector
+        self.unanswered_pings = 0  # until this assigner serves
+        self._lines = LineBuffer(MAX_UNIDENTIFIED_LINE_BYTES)
+
+    @property
+    def is_collector(self) -> bool:
+        """Whether it has identified itself as a collector."""
+        return self.zone is not None
 
     def connectionMade(self) -> None:
+        """Register the connection, also as a producer: Twisted pauses it when output waits unread."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.owner.came(self)
+        self.listener.on_connected(self)
 
-    # A producer only to be told that output waits unread.
     def pauseProducing(self) -> None:
+        """Abort a connection that does not read."""
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
-        pass
+        """Do nothing: a paused connection was aborted."""
 
     def stopProducing(self) -> None:
-        pass
+        """Do nothing: the connection has ended."""
 
     def dataReceived(self, data: bytes) -> None:
-        if self.closing is not None:
+        """Handle the lines that are complete."""
+        if self.closing_since_s is not None:
             return
-        self.heard = self.owner.reactor.seconds()
+        self.active_at_s = self.listener.reactor.seconds()
         try:
-            lines = self.lines.feed(data)
-        except TooLong as error:
-            self.refuse(str(error))
+            lines = self._lines.feed(data)
+        except LineTooLongError as error:
+            self.reject(str(error))
             return
         for line in lines:
-            if self.closing is None:
-                self._line(line)
+            if self.closing_since_s is None and line.strip():
+                self._on_line(line)
 
-    def _line(self, line: bytes) -> None:
-        if not line.strip():
-            return
+    def _on_line(self, line: bytes) -> None:
         try:
-            message = m.read_line(line)
-        except m.Invalid as error:
-            if self.zone is None:
-                self.refuse(str(error))
+            message = decode_client_message(line)
+        except InvalidMessageError as error:
+            if self.is_collector:
+                self.listener.on_invalid_message(str(error))
             else:
-                self.owner.spoilt(str(error))
-            return
-        except m.Unreadable as error:
-            self.refuse(str(error))
-            return
+                self.reject(str(error))
+        except MalformedMessageError as error:
+            self.reject(str(error))
+        else:
+            self._on_message(message)
+
+    def _on_message(self, message: ClientMessage) -> None:
         match message:
-            case m.Ping():
-                self.asked += 1
-                if self.owner.ready:
-                    self.pong()
-            case m.Collector(az) if az not in self.owner.zones:
-                self.refuse(f"zone {az[:40]!r} is not in the settings")
-            case m.Collector(az):
-                if self.zone is None:
-                    self.zone = az
-                    self.lines.most = LINE_MOST
-                    self.owner.joined(self)
-            case _ if self.zone is None:
-                self.refuse(f"a {type(message).__name__} before joining")
-            case _:
-                self.owner.report(message)
-
-    def pong(self) -> None:
-        self.transport.write(m.PONG * self.asked)
-        self.asked = 0
-
-    def refuse(self, why: str) -> None:
-        if self.closing is None:
-            self.owner.refused(why)
-            self.close(REFUSED if self.zone is None else b"")
-
-    def close(self, last: bytes = b"") -> None:
-        self.closing = self.owner.reactor.seconds()
-        if last:
-            self.transport.write(last)
+            case Ping():
+                self.unanswered_pings += 1
+                if self.listener.serving:
+                    self.answer_pings()
+            case CollectorHello():
+                self._identify(message.zone)
+            case ServerReport() | SliceReport():
+                if self.is_collector:
+                    self.listener.on_report(message)
+                else:
+                    self.reject(f"a {type(message).__name__} before CollectorHello")
+
+    def _identify(self, zone: str) -> None:
+        if zone not in self.listener.zones:
+            self.reject(f"zone {quoted(zone)} is not in the settings")
+        elif not self.is_collector:
+            self.zone = zone
+            self._lines.max_line_bytes = MAX_LINE_BYTES
+            self.listener.on_identified(self)
+
+    def answer_pings(self) -> None:
+        """Answer all pings received so far."""
+        self.transport.write(PONG * self.unanswered_pings)
+        self.unanswered_pings = 0
+
+    def reject(self, reason: str) -> None:
+        """Log the reason and close the connection; collectors are never written to."""
+        if self.closing_since_s is None:
+            self.listener.on_rejected(reason)
+            self.close(b"" if self.is_collector else REJECTED)
+
+    def close(self, last_line: bytes = b"") -> None:
+        """Close the connection once this line is sent."""
+        self.closing_since_s = self.listener.reactor.seconds()
+        if last_line:
+            self.transport.write(last_line)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.owner.went(self)
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Forget the connection."""
+        self.listener.on_disconnected(self)
 
 
 class Listener(Factory):
-    """strangers_most: connections that have not joined; beyond it the oldest is cut."""
+    """Accepts connections and bounds how many are open."""
 
     noisy = False
 
     def __init__(
         self,
-        reactor: Any,
-        zones: Any,
-        report: Callable[[m.Line], None],
-        log: Callable[..., None],
-        strangers_most: int,
+        reactor: Reactor,
+        zones: Container[str],
+        on_report: Callable[[ServerReport | SliceReport], None],
+        log: Log,
+        max_unidentified: int,
     ) -> None:
-        self.reactor, self.zones, self._report, self.log = reactor, zones, report, log
-        self.strangers_most = strangers_most
-        self.ready = False
+        """Prepare the listener.
+
+        Args:
+            reactor: Clock of the timeouts.
+            zones: Names of the zones in the settings.
+            on_report: Called with each report of a collector.
+            log: Log of the assigner.
+            max_unidentified: Connections that are not collectors; beyond it the oldest is closed.
+        """
+        self.reactor = reactor
+        self.zones = zones
+        self.log = log
+        self.max_unidentified = max_unidentified
+        self.serving = False
         self.port: Any = None
-        self.strangers: dict[Peer, None] = {}  # oldest first
-        self.collectors: dict[Peer, None] = {}
-        self.counts = {"came": 0, "refused": 0, "spoilt": 0, "reports": 0, "closed": 0}
+        self.unidentified: dict[ClientConnection, None] = {}  # oldest first
+        self.collectors: dict[ClientConnection, None] = {}
+        self.counters = ListenerCounters()
+        self._on_report = on_report
 
-    def buildProtocol(self, addr: Any) -> Peer:
-        return Peer(self)
+    def buildProtocol(self, _address: Any) -> ClientConnection:
+        """Return the protocol of a new connection."""
+        return ClientConnection(self)
 
     def start(self, port: Any) -> None:
+        """Start the timeouts of the connections accepted at this port."""
         self.port = port
         self._sweep()
 
     def serve(self) -> None:
-        """From now on signs of life are given."""
-        self.ready = True
-        for peer in [*self.strangers, *self.collectors]:
-            if peer.asked:
-                peer.pong()
+        """Answer pings from now on."""
+        self.serving = True
+        for connection in self._connections():
+            if connection.unanswered_pings:
+                connection.answer_pings()
 
     def stop(self) -> None:
-        """No further sign of life, and no report is taken."""
-        self.ready = False
-        for peer in [*self.strangers, *self.collectors]:
-            peer.transport.abortConnection()
-
-    def came(self, peer: Peer) -> None:
-        self.counts["came"] += 1
-        self.port.numberAccepts = ACCEPTS
-        self.strangers[peer] = None
-        if len(self.strangers) > self.strangers_most:
-            self.counts["closed"] += 1
-            oldest = next(iter(self.strangers))
-            del self.strangers[oldest]  # at once: it ends a turn later, and the next to come cuts another
+        """Abort all connections, and answer no ping from now on."""
+        self.serving = False
+        for connection in self._connections():
+            connection.transport.abortConnection()
+
+    def _connections(self) -> list[ClientConnection]:
+        return [*self.unidentified, *self.collectors]
+
+    def on_connected(self, connection: ClientConnection) -> None:
+        """Register a connection, and close the oldest unidentified one if there are too many."""
+        self.counters.accepted += 1
+        self.port.numberAccepts = MAX_ACCEPTS_PER_TURN
+        self.unidentified[connection] = None
+        if len(self.unidentified) > self.max_unidentified:
+            self.counters.closed += 1
+            oldest = next(iter(self.unidentified))
+            del self.unidentified[
+                oldest
+            ]  # at once: it ends a turn later, and the next connection closes another
             oldest.transport.abortConnection()
 
-    def joined(self, peer: Peer) -> None:
-        self.strangers.pop(peer, None)
-        self.collectors[peer] = None
-        self.log("collector_joined", zone=peer.zone)
-        if len(self.collectors) > COLLECTORS_MOST:
-            oldest = min(self.collectors, key=lambda p: p.heard)
-            dead = self.reactor.seconds() - oldest.heard > DEAD_S
-            (oldest if dead else peer).transport.abortConnection()
-
-    def went(self, peer: Peer) -> None:
-        self.strangers.pop(peer, None)
-        self.collectors.pop(peer, None)
-        if peer.zone is not None:
-            self.log("collector_left", zone=peer.zone)
-
-    def report(self, message: m.Line) -> None:
-        self.counts["reports"] += 1
-        self._report(message)
-
-    def spoilt(self, why: str) -> None:
-        self.counts["spoilt"] += 1
-        self.log("spoilt", reason=why[:200])
-
-    def refused(self, why: str) -> None:
-        self.counts["refused"] += 1
-        self.log("refused", reason=why[:200])
+    def on_identified(self, connection: ClientConnection) -> None:
+        """Register a collector, and close another if there are too many."""
+        self.unidentified.pop(connection, None)
+        self.collectors[connection] = None
+        self.log("collector_connected", zone=connection.zone)
+        if len(self.collectors) > MAX_COLLECTORS:
+            quietest = min(self.collectors, key=lambda collector: collector.active_at_s)
+            dead = self.reactor.seconds() - quietest.active_at_s > DEAD_COLLECTOR_S
+            (quietest if dead else connection).transport.abortConnection()
+
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Forget a connection."""
+        self.unidentified.pop(connection, None)
+        self.collectors.pop(connection, None)
+        if connection.is_collector:
+            self.log("collector_disconnected", zone=connection.zone)
+
+    def on_report(self, report: ServerReport | SliceReport) -> None:
+        """Pass on a report."""
+        self.counters.reports += 1
+        self._on_report(report)
+
+    def on_invalid_message(self, reason: str) -> None:
+        """Count and log a message that was left out."""
+        self.counters.invalid_messages += 1
+        self.log("message_rejected", reason=reason[:MAX_LOGGED_REASON])
+
+    def on_rejected(self, reason: str) -> None:
+        """Count and log a connection that is closed."""
+        self.counters.rejected += 1
+        self.log("connection_rejected", reason=reason[:MAX_LOGGED_REASON])
 
     def _sweep(self) -> None:
-        now = self.reactor.seconds()
-        self.reactor.callLater(SWEEP_S, self._sweep)
-        for peer in [*self.strangers, *self.collectors]:
-            if peer.closing is not None:
-                if now - peer.closing > LINGER_S:
-                    peer.transport.abortConnection()
-            elif peer.zone is None and now - peer.since > JOIN_S:
-                self.counts["closed"] += 1
-                peer.close()
+        now_s = self.reactor.seconds()
+        self.reactor.callLater(SWEEP_PERIOD_S, self._sweep)
+        for connection in self._connections():
+            if connection.closing_since_s is not None:
+                if now_s - connection.closing_since_s > CLOSE_TIMEOUT_S:
+                    connection.transport.abortConnection()
+            elif not connection.is_collector and now_s - connection.accepted_at_s > IDENTIFY_TIMEOUT_S:
+                self.counters.closed += 1
+                connection.close()
--- a/puffintide/platform/log.py
+++ b/puffintide/platform/log.py
@@ -1,6 +1,6 @@
-"""Log of the node: JSON lines on standard error, with a bound on how many of one event are written.
+"""Log of the assigner: JSON lines on standard error, with a limit on the rate of each event.
 
-structlog is not loaded here: memory is scarce in service.
+structlog is not loaded here, as memory is scarce in service.
 """
 
 from __future__ import annotations
@@ -9,37 +9,62 @@
 import sys
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
-BURST, PER_S = 20.0, 2.0  # lines of one event: at once, and over time
+BURST_LINES = 20.0  # of one event, at once
+LINES_PER_S = 2.0  # of one event, over time
 
+Log = Callable[..., None]  # log("event", field=value, ...)
 
-class Log:
-    """log("event", field=value); what passes the bound is counted and told with the next line of that event."""
+
+@dataclass(slots=True)
+class _Budget:
+    """Token bucket of one event."""
+
+    tokens: float
+    updated_at_s: float
+    skipped: int = 0
+
+
+class EventLog:
+    """Writes log("event", field=value) as a line; lines over the limit are counted in the next line's `skipped`."""
 
     def __init__(
         self,
         name: str,
         write: Callable[[str], Any] | None = None,
         clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
+        """Open a log.
+
+        Args:
+            name: Name of this assigner, in each line.
+            write: Where lines go to; by default standard error.
+            clock: Monotonic time in seconds, for the limit.
+            wall_clock: Unix time in seconds, for the lines.
+        """
         self.name = name
         self._write = write or sys.stderr.write
-        self._clock, self._wall = clock, wall
-        self._left: dict[str, tuple[float, float, int]] = {}  # by event: tokens, when, passed over
+        self._clock = clock
+        self._wall_clock = wall_clock
+        self._budgets: dict[str, _Budget] = {}
 
     def __call__(self, event: str, **fields: Any) -> None:
-        now = self._clock()
-        tokens, at, skipped = self._left.get(event, (BURST, now, 0))
-        tokens = min(BURST, tokens + (now - at) * PER_S)
-        if tokens < 1:
-            self._left[event] = (tokens, now, skipped + 1)
+        """Write one line, unless the event is over its limit."""
+        now_s = self._clock()
+        budget = self._budgets.setdefault(event, _Budget(BURST_LINES, now_s))
+        budget.tokens = min(BURST_LINES, budget.tokens + (now_s - budget.updated_at_s) * LINES_PER_S)
+        budget.updated_at_s = now_s
+        if budget.tokens < 1:
+            budget.skipped += 1
             return
-        self._left[event] = (tokens - 1, now, 0)
-        row: dict[str, Any] = {"t": round(self._wall(), 3), "name": self.name, "event": event, **fields}
-        if skipped:
-            row["skipped"] = skipped
+        budget.tokens -= 1
+        row: dict[str, Any] = {"t": round(self._wall_clock(), 3), "name": self.name, "event": event, **fields}
+        if budget.skipped:
+            row["skipped"] = budget.skipped
+            budget.skipped = 0
         try:
             self._write(json.dumps(row, default=str) + "\n")
         except OSError:  # nobody reads the log: the service goes on
--- a/puffintide/platform/relay_client.py
+++ b/puffintide/platform/relay_client.py
@@ -1,88 +1,102 @@
-"""Makes the outbox's calls at the relay, one after another, each on a connection of its own. What an answer means
-and what is done next is the outbox's.
+"""Makes the calls of the outbox at the relay, one after another, each on a connection of its own.
 
-A kept connection may be closed on us at any time when idle, and a call that broke on it would be one that may
-have been carried out: calls are a few a second, and a connection costs less than such a doubt.
+An idle connection may be closed by the relay at any time, and a call that is lost with it may or may not have been
+carried out: calls are a few a second, and a connection costs less than such a doubt.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from puffintide.platform.config import Address
-from puffintide.platform.http_request import Outcome, Request
-from puffintide.platform.relay_outbox import Outbox, Tables, Verdict
-from puffintide.platform.relay_snapshot import SnapshotRead
-
-TARGET = "/api/txn"
-CONNECT_S = 0.5
-ANSWER_S = 0.12  # an answer comes within 50 ms or never; the rest is for a busy core
-BODY_MOST = 64 * 1024
-
-
-class Caller:
-    def __init__(self, reactor: Any, address: Address, outbox: Outbox, log: Callable[..., None]) -> None:
-        self.reactor, self.address, self.outbox, self.log = reactor, address, outbox, log
-        self._due: Any = None
-        self._not_before = 0.0
-        self._began = 0.0
-        self._stopped: Callable[[], None] | None = None
-        self.calling = False  # a call is on its way, and no answer has come
+from puffintide.platform.http_exchange import RequestResult, Response
+from puffintide.platform.http_request import HttpRequest, RequestLimits
+from puffintide.platform.log import Log
+from puffintide.platform.reactor import Reactor, Timer
+from puffintide.platform.relay_calls import NextStep
+from puffintide.platform.relay_outbox import Outbox
+from puffintide.platform.relay_snapshot import RelaySnapshot
+from puffintide.platform.relay_state import Tables
+
+CALL_TARGET = "/api/txn"
+CONNECT_TIMEOUT_S = 0.5
+RESPONSE_TIMEOUT_S = 0.12  # a response comes within 50 ms or never; the rest is for a busy core
+MAX_BODY_BYTES = 64 * 1024
+
+
+class RelayClient:
+    """Sends what is queued in an outbox."""
+
+    def __init__(self, reactor: Reactor, address: Address, outbox: Outbox, log: Log) -> None:
+        self.reactor = reactor
+        self.address = address  # of the next call
+        self.outbox = outbox
+        self.log = log
+        self.in_flight = False
         self.calls = 0
-        self.took_most_s = 0.0
+        self.max_duration_s = 0.0  # of a call, since the last statistics
+        self._next_call = Timer(reactor)
+        self._not_before_s = 0.0
+        self._started_at_s = 0.0
+        self._on_stopped: Callable[[], None] | None = None
 
     def send_next(self) -> None:
-        """Sends what waits, when it may go."""
-        if self._stopped is not None:
-            return
-        wait = self.outbox.ready_in(self.reactor.seconds())
-        if wait is None:
+        """Make the next call as soon as the outbox allows."""
+        if self._on_stopped is not None:
             return
-        wait = max(wait, self._not_before - self.reactor.seconds())
-        if wait > 0:
-            if self._due is None or not self._due.active():
-                self._due = self.reactor.callLater(wait, self.send_next)
+        now_s = self.reactor.seconds()
+        delay_s = self.outbox.ready_in_s(now_s)
+        if delay_s is None:
             return
-        call = self.outbox.next()
+        delay_s = max(delay_s, self._not_before_s - now_s)
+        if delay_s <= 0:
+            self._call()
+        elif not self._next_call.pending:
+            self._next_call.start(delay_s, self.send_next)
+
+    def _call(self) -> None:
+        call = self.outbox.next_call()
         self.calls += 1
-        self.calling = True
-        self._began = self.reactor.seconds()
-        request = ("POST", TARGET, call.body)
-        Request(self.reactor, self.address, request, self._answered, CONNECT_S, ANSWER_S, BODY_MOST)
-
-    def stop(self, done: Callable[[], None]) -> None:
-        """No call begins from here on. done() once the one on its way has ended, now if there is none."""
-        self._stopped = done
-        if self._due is not None and self._due.active():
-            self._due.cancel()
-        if not self.calling:
-            done()
-
-    def _answered(self, outcome: Outcome) -> None:
-        now = self.reactor.seconds()
-        self.calling = False
-        if self._stopped is not None:
-            self._stopped()
+        self.in_flight = True
+        self._started_at_s = self.reactor.seconds()
+        limits = RequestLimits(CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, MAX_BODY_BYTES)
+        HttpRequest(self.reactor, self.address, ("POST", CALL_TARGET, call.body), self._on_response, limits)
+
+    def stop(self, on_stopped: Callable[[], None]) -> None:
+        """Make no call from now on.
+
+        Args:
+            on_stopped: Called once no call is in flight, at once if none is now.
+        """
+        self._on_stopped = on_stopped
+        self._next_call.cancel()
+        if not self.in_flight:
+            on_stopped()
+
+    def _on_response(self, response: Response) -> None:
+        now_s = self.reactor.seconds()
+        self.in_flight = False
+        if self._on_stopped is not None:
+            self._on_stopped()
             return
-        if outcome.how == "answer":
-            self.took_most_s = max(self.took_most_s, now - self._began)
-        self._go_on(now, self.outbox.answered(now, outcome.how, outcome.status, outcome.body))
-
-    def _snapshot_read(self, tables: Tables | None, whole: bool) -> None:
-        now = self.reactor.seconds()
-        self._go_on(now, self.outbox.snapshot_read(now, tables, whole))
-
-    def _go_on(self, now: float, verdict: Verdict) -> None:
-        if verdict.event:
-            self.log(verdict.event, **verdict.fields)
-        if verdict.snapshot:
-            self.reactor.callLater(verdict.pause_s, self._read_snapshot)
+        if response.result is RequestResult.ANSWERED:
+            self.max_duration_s = max(self.max_duration_s, now_s - self._started_at_s)
+        self._continue(now_s, self.outbox.on_response(now_s, response))
+
+    def _on_snapshot(self, tables: Tables | None, complete: bool) -> None:
+        now_s = self.reactor.seconds()
+        self._continue(now_s, self.outbox.on_snapshot(now_s, tables, complete))
+
+    def _continue(self, now_s: float, step: NextStep) -> None:
+        if step.event:
+            self.log(step.event, **step.fields)
+        if step.snapshot:
+            self.reactor.callLater(step.delay_s, self._read_snapshot)
             return
-        if verdict.pause_s:
-            self._not_before = now + verdict.pause_s
+        if step.delay_s:
+            self._not_before_s = now_s + step.delay_s
         self.send_next()
 
     def _read_snapshot(self) -> None:
-        if self._stopped is None:
-            SnapshotRead(self.reactor, self.address, self._snapshot_read)
+        if self._on_stopped is None:
+            RelaySnapshot(self.reactor, self.address, self._on_snapshot)
--- /dev/null
+++ b/puffintide/platform/relay_orders.py
@@ -0,0 +1,161 @@
+"""Encodes the actions of the director as orders to the relay. Performs no I/O.
+
+The platform's field names and verbs are written here and nowhere else.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass
+from enum import Enum, IntEnum, auto
+from typing import NamedTuple
+
+from puffintide.decisions.actions import (
+    ALL_SLICES,
+    Action,
+    SendCheckpoint,
+    SetAdmission,
+    SetWeight,
+    SetWithdrawn,
+)
+from puffintide.platform.errors import UnknownServerError
+from puffintide.platform.identifiers import HostRegistry, SettingsNames
+
+NO_SLICE = -1
+WEIGHT_DECIMALS = 6
+FRACTION_DECIMALS = 4
+
+
+class OrderType(Enum):
+    """What an order sets."""
+
+    WEIGHT = auto()
+    WITHDRAWAL = auto()
+    ADMISSION = auto()
+    CHECKPOINT = auto()
+
+
+class SendPriority(IntEnum):
+    """The order in which the parts of a batch that exceeds one call are safe; the lowest goes first."""
+
+    WITHDRAWAL = 0
+    ADDED_WEIGHT = 1
+    REMOVED_WEIGHT = 2
+    READMISSION = 3
+    ADMISSION = 4
+    CHECKPOINT = 5
+
+
+class OrderKey(NamedTuple):
+    """Identifies what an order sets: a newer order with the same key replaces it."""
+
+    order_type: OrderType
+    slice_id: int = NO_SLICE
+    item_id: int = 0  # server of a weight or withdrawal, class mask of an admission, id of a checkpoint
+
+
+class OrderedWeight(NamedTuple):
+    """A table entry that an order sets."""
+
+    slice_id: int
+    host: str
+    weight: float
+
+
+@dataclass(frozen=True, slots=True)
+class Order:
+    """An encoded order."""
+
+    key: OrderKey
+    text: bytes
+    priority: SendPriority
+    weight: OrderedWeight | None = None  # of a weight
+
+    @property
+    def is_weight(self) -> bool:
+        """Whether it sets a table entry."""
+        return self.key.order_type is OrderType.WEIGHT
+
+
+class OrderEncoder:
+    """Encodes actions; those that concern only this process are left out."""
+
+    def __init__(self, names: SettingsNames, hosts: HostRegistry) -> None:
+        self._names = names
+        self._hosts = hosts
+
+    def encode(
+        self, actions: Iterable[Action], owned_slices: Collection[int]
+    ) -> tuple[list[Order], list[str]]:
+        """Encode a batch of actions.
+
+        Args:
+            actions: In the order in which they were decided.
+            owned_slices: Weights of other slices are left out.
+
+        Returns:
+            The orders, and the errors of actions that can't be encoded.
+        """
+        orders: list[Order] = []
+        errors: list[str] = []
+        for action in actions:
+            try:
+                order = self._encode(action, owned_slices)
+            except UnknownServerError as error:
+                errors.append(str(error))
+                continue
+            if order is not None:
+                orders.append(order)
+        return orders, errors
+
+    def _encode(self, action: Action, owned_slices: Collection[int]) -> Order | None:
+        match action:
+            case SetWeight():
+                order = self._weight(action)
+                return order if action.slice_id in owned_slices else None
+            case SetWithdrawn():
+                return self._withdrawal(action)
+            case SetAdmission():
+                return self._admission(action)
+            case SendCheckpoint(checkpoint_id):
+                text = _json(do="SYNC", stamp=checkpoint_id, yes=0)
+                return Order(
+                    OrderKey(OrderType.CHECKPOINT, item_id=checkpoint_id), text, SendPriority.CHECKPOINT
+                )
+        return None
+
+    def _weight(self, action: SetWeight) -> Order:
+        slice_id = action.slice_id
+        host = self._host(action.server_id, f"weight in slice {slice_id}")
+        text = _json(do="SET", group=slice_id, host=host, share=round(action.weight, WEIGHT_DECIMALS))
+        priority = SendPriority.ADDED_WEIGHT if action.weight > 0 else SendPriority.REMOVED_WEIGHT
+        key = OrderKey(OrderType.WEIGHT, slice_id, action.server_id)
+        return Order(key, text, priority, OrderedWeight(slice_id, host, action.weight))
+
+    def _withdrawal(self, action: SetWithdrawn) -> Order:
+        host = self._host(action.server_id, "withdrawal")
+        text = _json(do="OUT" if action.withdrawn else "IN", host=host)
+        priority = SendPriority.WITHDRAWAL if action.withdrawn else SendPriority.READMISSION
+        return Order(OrderKey(OrderType.WITHDRAWAL, item_id=action.server_id), text, priority)
+
+    def _admission(self, action: SetAdmission) -> Order:
+        fields: dict[str, object] = {"do": "LIMIT"}
+        if action.slice_id != ALL_SLICES:
+            fields["group"] = action.slice_id
+        if action.class_mask:
+            fields["for"] = self._names.classes_in(action.class_mask)
+        fields["gate"] = round(action.fraction, FRACTION_DECIMALS)
+        fields["again"] = action.retry_mode
+        key = OrderKey(OrderType.ADMISSION, action.slice_id, action.class_mask)
+        return Order(key, _json(**fields), SendPriority.ADMISSION)
+
+    def _host(self, server_id: int, purpose: str) -> str:
+        host = self._hosts.host(server_id)
+        if host is None:
+            raise UnknownServerError(f"{purpose}: server {server_id} has no host name")
+        return host
+
+
+def _json(**fields: object) -> bytes:
+    return json.dumps(fields, separators=(",", ":")).encode()
--- a/puffintide/platform/relay_snapshot.py
+++ b/puffintide/platform/relay_snapshot.py
@@ -1,79 +1,88 @@
-"""A snapshot of what stands at the relay: a watch that is read to the end of what it starts with, and closed."""
+"""Reads the relay's state once: a watch that is closed at the end of its snapshot."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
+from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.platform import messages as m
 from puffintide.platform.config import Address
-from puffintide.platform.http_exchange import Exchange, Unreadable
-from puffintide.platform.line_buffer import Lines, TooLong
-from puffintide.platform.relay_state import Standing, Tables
-from puffintide.platform.watch_stream import LINE_MOST
+from puffintide.platform.errors import InvalidMessageError, StreamError
+from puffintide.platform.http_exchange import HttpExchange
+from puffintide.platform.line_buffer import LineBuffer
+from puffintide.platform.reactor import Reactor, Timer, connect
+from puffintide.platform.relay_messages import WATCH_TARGET, Heartbeat, decode_relay_message
+from puffintide.platform.relay_state import RelayState, Tables
+from puffintide.platform.watch_stream import MAX_LINE_BYTES
 
-CONNECT_S = 0.5
-QUIET_S = 0.06  # after so long without a line what stands has most likely been told
-MOST_S = 0.6
+CONNECT_TIMEOUT_S = 0.5
+QUIET_S = 0.06  # after so long without a line the snapshot has most likely been sent
+TIMEOUT_S = 0.6
 
+OnSnapshot = Callable[[Tables | None, bool], None]
 
-class SnapshotRead(Protocol):
-    """Calls done(tables in charge, whether a sign of life ended them); done(None, False) if none could be had."""
+
+class RelaySnapshot(Protocol):
+    """Calls on_done(tables, complete) once.
+
+    The tables are those of all owned slices, complete if a heartbeat ended the snapshot; None: it failed.
+    """
 
     transport: Any
 
-    def __init__(self, reactor: Any, address: Address, done: Callable[[Tables | None, bool], None]) -> None:
-        self.reactor, self.done = reactor, done
-        self.exchange = Exchange(f"{address[0]}:{address[1]}", 0)
-        self.lines, self.standing = Lines(LINE_MOST), Standing()
-        self.standing.opened()
-        self.ended = False
-        self.quiet: Any = None
-        self.most = reactor.callLater(MOST_S, self._end, None)
-        factory = ClientFactory.forProtocol(lambda: self)
-        factory.noisy = False
-        factory.clientConnectionFailed = lambda *_: self._end(None)  # type: ignore[attr-defined]
-        reactor.connectTCP(*address, factory, timeout=CONNECT_S)
+    def __init__(self, reactor: Reactor, address: Address, on_done: OnSnapshot) -> None:
+        self._on_done = on_done
+        self.exchange = HttpExchange(f"{address[0]}:{address[1]}")
+        self.lines = LineBuffer(MAX_LINE_BYTES)
+        self.state = RelayState()
+        self.state.on_watch_opened()
+        self._ended = False
+        self._quiet = Timer(reactor)
+        self._timeout = Timer(reactor)
+        self._timeout.start(TIMEOUT_S, self._fail)
+        connect(reactor, address, self, self._fail, CONNECT_TIMEOUT_S)
 
     def connectionMade(self) -> None:
-        if self.ended:
+        """Open the watch."""
+        if self._ended:
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
-        self.transport.write(self.exchange.ask("GET", "/api/watch"))
+        self.transport.write(self.exchange.request("GET", WATCH_TARGET))
 
     def dataReceived(self, data: bytes) -> None:
-        if self.ended:
+        """Read a part of the snapshot."""
+        if self._ended:
             return
         try:
             lines = [line for piece in self.exchange.receive(data) for line in self.lines.feed(piece)]
-            told = [m.read_news(line) for line in lines]
-        except (Unreadable, TooLong, m.Invalid, m.Unreadable):
-            self._end(None)
+            messages = [decode_relay_message(line) for line in lines]
+        except (StreamError, InvalidMessageError):
+            self._fail()
             return
-        for news in told:
-            if isinstance(news, m.Sign):
-                self._end(self.standing.tables, whole=True)
+        for message in messages:
+            if isinstance(message, Heartbeat):
+                self._end(self.state.snapshot_tables, complete=True)
                 return
-            self.standing.hear(news)
-        if told:  # before the first line nothing has been told, however long the pause
-            if self.quiet is not None and self.quiet.active():
-                self.quiet.cancel()
-            self.quiet = self.reactor.callLater(QUIET_S, self._end, self.standing.tables)
+            self.state.on_message(message)
+        if messages:  # before the first line nothing was sent, however long the pause
+            self._quiet.start(QUIET_S, self._end, self.state.snapshot_tables, False)
+
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Fail, unless the snapshot has ended before."""
+        self._fail()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._end(None)
+    def _fail(self) -> None:
+        self._end(None, complete=False)
 
-    def _end(self, tables: Tables | None, whole: bool = False) -> None:
-        if self.ended:
+    def _end(self, tables: Tables | None, complete: bool) -> None:
+        if self._ended:
             return
-        self.ended = True
-        for timer in (self.quiet, self.most):
-            if timer is not None and timer.active():
-                timer.cancel()
+        self._ended = True
+        self._quiet.cancel()
+        self._timeout.cancel()
         if self.transport is not None:
             self.transport.abortConnection()
-        self.done(tables, whole)
+        self._on_done(tables, complete)
--- a/puffintide/platform/relay_state.py
+++ b/puffintide/platform/relay_state.py
@@ -1,9 +1,9 @@
-"""What the relay says stands: proxies, slices in charge and their lines. Sans-I/O.
+"""State of the relay as its watch delivers it: proxies, owned slices and their tables. Performs no I/O.
 
-A watch starts with what stands. The one end of it that the protocol states is the next sign of life; a pause may
-as well be a gap between two pieces, or this process being late. So what a watch adds is passed on at a pause, and
-what it lacks counts as gone at the sign of life alone. A later watch is compared with what is known, so that a
-break looks like neither all proxies leaving nor all slices given anew.
+A watch starts with a snapshot of the state, and only the next heartbeat ends it: a pause may as well be a gap
+between two packets, or this process being late. So what a snapshot adds is passed on after a pause, and what it
+lacks counts as removed at the heartbeat alone. A later watch is compared with the known state, so that a lost
+connection looks neither as if all proxies had left nor as if all slices were granted anew.
 """
 
 from __future__ import annotations
@@ -11,145 +11,219 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from puffintide.platform import messages as m
+from puffintide.platform.relay_messages import (
+    CheckpointApplied,
+    ProxyDeparted,
+    ProxyJoined,
+    RelayMessage,
+    SliceGranted,
+    TableWeight,
+)
 
-Tables = dict[int, dict[str, float]]  # by slice: shares by host
+Tables = dict[int, dict[str, float]]  # weights by host, by slice
+WEIGHT_TOLERANCE = 1e-3  # the relay stores rounded weights
 
 
 @dataclass(slots=True)
-class Changes:
-    """What the runtime is to be told, in this order."""
+class RelayChanges:
+    """Changes of the state, which take effect in this order."""
 
-    left: list[int] = field(default_factory=list)
-    joined: list[m.Joined] = field(default_factory=list)
-    taken: list[int] = field(default_factory=list)
-    given: Tables = field(default_factory=dict)
-    late: Tables = field(default_factory=dict)  # further lines of slices that were passed on before
-    applied: list[m.Applied] = field(default_factory=list)
-    again: Tables = field(default_factory=dict)  # slices held on, as the store has them
+    departed_proxies: list[int] = field(default_factory=list)
+    joined_proxies: list[ProxyJoined] = field(default_factory=list)
+    revoked_slices: list[int] = field(default_factory=list)
+    granted_tables: Tables = field(default_factory=dict)
+    added_weights: Tables = field(default_factory=dict)  # of tables that were passed on before
+    applied_checkpoints: list[CheckpointApplied] = field(default_factory=list)
+    retained_tables: Tables = field(default_factory=dict)  # of slices owned before and after a reconnection
 
     def __bool__(self) -> bool:
-        rest = self.given or self.late or self.applied or self.again
-        return bool(self.left or self.joined or self.taken or rest)
+        return any(
+            (
+                self.departed_proxies,
+                self.joined_proxies,
+                self.revoked_slices,
+                self.granted_tables,
+                self.added_weights,
+                self.applied_checkpoints,
+                self.retained_tables,
+            )
+        )
+
+
+class RelayState:
+    """Turns the messages of successive watches into changes of the state."""
 
-
-class Standing:
     def __init__(self) -> None:
-        self.proxies: dict[int, m.Joined] = {}
+        self.proxies: dict[int, ProxyJoined] = {}
         self.slices: set[int] = set()
-        self.opening = False
-        # Of the watch that opens: proxies not passed on yet, and all proxies and slices that it has named.
-        self._snap: dict[int, m.Joined] = {}
-        self._seen_proxies: set[int] = set()
-        self._seen_slices: set[int] = set()
-        self._fresh: Tables = {}  # given, with lines that may still come
-        self._passed: set[int] = set()  # passed on with or since the last sign of life: more lines may come
-        self._late: Tables = {}
-        self.stray = 0  # lines held of slices that were not given
-        # A proxy has joined. Before that the platform's tasks answer probes without the work that they take in
-        # service, which would make all later answers look slow: no probe goes out.
+        self.in_snapshot = False  # of the watch that was opened last
+        self.unowned_weights = 0  # table entries of slices that were not granted
+        # Before the first proxy joins, servers answer health checks without the work that these take in service,
+        # and all later answers would look slow: no health check is sent.
         self.in_service = False
-
-    def opened(self) -> None:
-        """A watch begins: what stands comes first."""
-        self.opening = True
-        self._snap, self._fresh, self._late = {}, {}, {}
-        self._seen_proxies, self._seen_slices, self._passed = set(), set(), set()
+        self._snapshot_proxies: dict[int, ProxyJoined] = {}  # that were not passed on yet
+        self._listed_proxies: set[int] = set()  # by the snapshot
+        self._listed_slices: set[int] = set()
+        self._new_tables: Tables = {}  # granted, with entries that may still follow
+        self._open_tables: set[int] = set()  # passed on since the last heartbeat: entries may still follow
+        self._added_weights: Tables = {}
+
+    def on_watch_opened(self) -> None:
+        """Expect a snapshot from now on."""
+        self.in_snapshot = True
+        self._snapshot_proxies = {}
+        self._listed_proxies = set()
+        self._listed_slices = set()
+        self._new_tables = {}
+        self._open_tables = set()
+        self._added_weights = {}
 
     @property
-    def unsettled(self) -> bool:
-        return self.opening or bool(self._fresh or self._late)
+    def has_unflushed(self) -> bool:
+        """Whether flush() may have something to pass on."""
+        return self.in_snapshot or bool(self._new_tables or self._added_weights)
 
     @property
-    def tables(self) -> Tables:
-        """Those of all slices given so far, where nothing was passed on."""
-        return self._fresh
-
-    def hear(self, news: m.News | None) -> Changes:
-        out = Changes()
-        match news:
-            case m.Joined(sidecar=number):
-                if self.opening:
-                    self._snap[number] = news
-                    self._seen_proxies.add(number)
-                else:
-                    self._join(news, out)
-            case m.Left(sidecar=number):
-                if self.opening:
-                    self._snap.pop(number, None)
-                    self._seen_proxies.discard(number)
-                elif self.proxies.pop(number, None) is not None:
-                    out.left.append(number)
-            case m.Applied():
-                out.applied.append(news)
-            case m.Given(partition=number, yes=True):
-                self._fresh[number] = {}
-                self._late.pop(number, None)
-                self._seen_slices.add(number)
-            case m.Given(partition=number):
-                self._fresh.pop(number, None)
-                self._late.pop(number, None)
-                self._passed.discard(number)
-                self._seen_slices.discard(number)
-                if not self.opening and number in self.slices:
-                    self.slices.discard(number)
-                    out.taken.append(number)
-            case m.Held(partition=number, host=host, share=share):
-                if number in self._fresh:
-                    self._fresh[number][host] = share
-                elif number in self._passed:
-                    self._late.setdefault(number, {})[host] = share
-                else:
-                    self.stray += 1
-        return out
-
-    def _join(self, news: m.Joined, out: Changes) -> None:
-        if news.sidecar in self.proxies:  # it came back before its leaving was told
-            out.left.append(news.sidecar)
-        self.proxies[news.sidecar] = news
+    def snapshot_tables(self) -> Tables:
+        """Tables of all slices granted so far, if nothing was passed on."""
+        return self._new_tables
+
+    def on_message(self, message: RelayMessage | None) -> RelayChanges:
+        """Handle a message, and return the changes that take effect at once."""
+        changes = RelayChanges()
+        match message:
+            case ProxyJoined():
+                self._on_proxy_joined(message, changes)
+            case ProxyDeparted():
+                self._on_proxy_departed(message.proxy_id, changes)
+            case CheckpointApplied():
+                changes.applied_checkpoints.append(message)
+            case SliceGranted(granted=True):
+                self._on_granted(message.slice_id)
+            case SliceGranted():
+                self._on_revoked(message.slice_id, changes)
+            case TableWeight():
+                self._on_weight(message)
+        return changes
+
+    def _on_proxy_joined(self, proxy: ProxyJoined, changes: RelayChanges) -> None:
+        if self.in_snapshot:
+            self._snapshot_proxies[proxy.proxy_id] = proxy
+            self._listed_proxies.add(proxy.proxy_id)
+        else:
+            self._join(proxy, changes)
+
+    def _on_proxy_departed(self, proxy_id: int, changes: RelayChanges) -> None:
+        if self.in_snapshot:
+            self._snapshot_proxies.pop(proxy_id, None)
+            self._listed_proxies.discard(proxy_id)
+        elif self.proxies.pop(proxy_id, None) is not None:
+            changes.departed_proxies.append(proxy_id)
+
+    def _on_granted(self, slice_id: int) -> None:
+        self._new_tables[slice_id] = {}
+        self._added_weights.pop(slice_id, None)
+        self._listed_slices.add(slice_id)
+
+    def _on_revoked(self, slice_id: int, changes: RelayChanges) -> None:
+        self._new_tables.pop(slice_id, None)
+        self._added_weights.pop(slice_id, None)
+        self._open_tables.discard(slice_id)
+        self._listed_slices.discard(slice_id)
+        if not self.in_snapshot and slice_id in self.slices:
+            self.slices.discard(slice_id)
+            changes.revoked_slices.append(slice_id)
+
+    def _on_weight(self, entry: TableWeight) -> None:
+        if entry.slice_id in self._new_tables:
+            self._new_tables[entry.slice_id][entry.host] = entry.weight
+        elif entry.slice_id in self._open_tables:
+            self._added_weights.setdefault(entry.slice_id, {})[entry.host] = entry.weight
+        else:
+            self.unowned_weights += 1
+
+    def _join(self, proxy: ProxyJoined, changes: RelayChanges) -> None:
+        if proxy.proxy_id in self.proxies:  # it reconnected before its leaving was reported
+            changes.departed_proxies.append(proxy.proxy_id)
+        self.proxies[proxy.proxy_id] = proxy
         self.in_service = True
-        out.joined.append(news)
-
-    def settled(self, whole: bool) -> Changes:
-        """What has come so far is passed on. whole: a sign of life has come, and with it all before it."""
-        out = Changes()
-        kept = self.slices & self._fresh.keys() if self.opening else set[int]()
-        for number, news in sorted(self._snap.items()):
-            if number not in self.proxies or news.standing:
-                self._join(news, out)
-        self._snap = {}
-        if whole and self.opening:
-            self.opening = False
-            for number in sorted(self.proxies.keys() - self._seen_proxies):
-                del self.proxies[number]
-                out.left.append(number)
-            for number in sorted(self.slices - self._seen_slices):
-                self.slices.discard(number)
-                out.taken.append(number)
-            out.again = {number: self._fresh.pop(number) for number in sorted(kept)}
-            kept = set()
-        out.given = {n: table for n, table in self._fresh.items() if n not in kept}
-        self._fresh = {n: table for n, table in self._fresh.items() if n in kept}
-        self.slices |= out.given.keys()
-        out.late, self._late = self._late, {}
-        self._passed = (
-            set(out.given) if whole else self._passed | out.given.keys()
-        )  # a sign may come in between
-        return out
-
-
-def table_anew(
-    stored: Mapping[int, float], believed: Mapping[int, float], ours: Collection[int]
+        changes.joined_proxies.append(proxy)
+
+    def flush(self, at_heartbeat: bool) -> RelayChanges:
+        """Return the changes received so far.
+
+        Args:
+            at_heartbeat: A heartbeat was received, and so all before it; else a pause.
+        """
+        changes = RelayChanges()
+        retained = self.slices & self._new_tables.keys() if self.in_snapshot else set[int]()
+        self._flush_snapshot_proxies(changes)
+        if at_heartbeat and self.in_snapshot:
+            self.in_snapshot = False
+            self._remove_unlisted(changes)
+            changes.retained_tables = {
+                slice_id: self._new_tables.pop(slice_id) for slice_id in sorted(retained)
+            }
+            retained = set()
+        self._flush_tables(retained, changes)
+        granted = changes.granted_tables.keys()
+        # A heartbeat may come between a slice and its entries.
+        self._open_tables = set(granted) if at_heartbeat else self._open_tables | granted
+        return changes
+
+    def _flush_snapshot_proxies(self, changes: RelayChanges) -> None:
+        for proxy_id, proxy in sorted(self._snapshot_proxies.items()):
+            if proxy_id not in self.proxies or proxy.first_connection:
+                self._join(proxy, changes)
+        self._snapshot_proxies = {}
+
+    def _remove_unlisted(self, changes: RelayChanges) -> None:
+        for proxy_id in sorted(self.proxies.keys() - self._listed_proxies):
+            del self.proxies[proxy_id]
+            changes.departed_proxies.append(proxy_id)
+        for slice_id in sorted(self.slices - self._listed_slices):
+            self.slices.discard(slice_id)
+            changes.revoked_slices.append(slice_id)
+
+    def _flush_tables(self, retained: set[int], changes: RelayChanges) -> None:
+        """Pass on new tables, but for those that wait to be compared at the heartbeat."""
+        for slice_id, table in self._new_tables.items():
+            if slice_id not in retained:
+                changes.granted_tables[slice_id] = table
+        self._new_tables = {
+            slice_id: self._new_tables[slice_id] for slice_id in self._new_tables if slice_id in retained
+        }
+        self.slices |= changes.granted_tables.keys()
+        changes.added_weights = self._added_weights
+        self._added_weights = {}
+
+
+def merge_tables(
+    stored: Mapping[int, float], believed: Mapping[int, float], unsettled_servers: Collection[int]
 ) -> dict[int, float]:
-    """The table that holds where it is read anew: the store's, but for our own lines that it may not have yet."""
-    kept = {s: share for s, share in believed.items() if s in ours}
-    return {s: share for s, share in stored.items() if s not in ours} | kept
+    """Return the table that holds: the stored one, except for our own entries that the relay may not have yet.
+
+    Args:
+        stored: Weights by server id, as the relay has them.
+        believed: Weights by server id, as this assigner decided them.
+        unsettled_servers: Servers whose entries are in flight or were sent just now.
+    """
+    settled = {
+        server_id: weight for server_id, weight in stored.items() if server_id not in unsettled_servers
+    }
+    own = {server_id: weight for server_id, weight in believed.items() if server_id in unsettled_servers}
+    return settled | own
+
 
+def tables_differ(
+    stored: Mapping[int, float], believed: Mapping[int, float], unsettled_servers: Collection[int]
+) -> bool:
+    """Whether another assigner has written to the table of a slice that was owned before and after a reconnection.
 
-def read_anew(stored: Mapping[int, float], believed: Mapping[int, float], ours: Collection[int]) -> bool:
-    """Whether the table of a slice that was ours before a watch and is ours still is to be read anew. Lines to the
-    servers in `ours` are still on their way or were sent just now, so the store may be behind. Where it differs
-    otherwise, another has had the slice meanwhile, and what it wrote holds.
+    Entries of unsettled servers are not compared, as the relay may be behind.
     """
-    keys = stored.keys() | believed.keys()
-    return any(abs(stored.get(s, 0.0) - believed.get(s, 0.0)) > 1e-3 for s in keys - set(ours))
+    compared = (stored.keys() | believed.keys()) - set(unsettled_servers)
+    return any(
+        abs(stored.get(server_id, 0.0) - believed.get(server_id, 0.0)) > WEIGHT_TOLERANCE
+        for server_id in compared
+    )
--- a/puffintide/platform/relay_watch.py
+++ b/puffintide/platform/relay_watch.py
@@ -1,78 +1,93 @@
-"""The relay's news as changes of what stands: one watch, and when what it tells is passed on."""
+"""Follows the relay's state by a watch, and decides when what it has received is passed on."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
-from puffintide.platform import messages as m
 from puffintide.platform.config import Address
-from puffintide.platform.http_exchange import Unreadable
-from puffintide.platform.relay_state import Changes, Standing
+from puffintide.platform.errors import InvalidMessageError, MalformedMessageError, StreamError
+from puffintide.platform.log import Log
+from puffintide.platform.reactor import Reactor, Timer
+from puffintide.platform.relay_messages import WATCH_TARGET, Heartbeat, decode_relay_message
+from puffintide.platform.relay_state import RelayChanges, RelayState
 from puffintide.platform.watch_stream import Watch
 
-SETTLE_S = 0.15  # after so long without a line, what has come of what stands at the relay is passed on
-GIVEN_S = 0.03  # and the lines of a slice just given
-SILENT_S = 3.0  # the relay writes every second
+SNAPSHOT_PAUSE_S = 0.15  # after so long without a line, what was received of a snapshot is passed on
+TABLE_PAUSE_S = 0.03  # and the table of a slice just granted
+SILENCE_TIMEOUT_S = 3.0  # the relay writes every second
 
 
-class NewsFeed:
+class RelayWatch:
+    """The watch of the relay's state."""
+
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         address: Address,
-        changed: Callable[[Changes], None],
-        settled: Callable[[], None],
-        log: Callable[..., None],
+        on_changes: Callable[[RelayChanges], None],
+        on_first_flush: Callable[[], None],
+        log: Log,
     ) -> None:
-        """settled: what stands has been passed on for the first time."""
-        self.reactor, self.log = reactor, log
-        self._changed, self._first = changed, settled
-        self.standing = Standing()
-        self.watch = Watch(
-            reactor, address, lambda: "/api/watch", self._opened, self._line, self._lost, SILENT_S
-        )
-        self.settled = False
-        self._timer: Any = None
+        """Prepare the watch.
+
+        Args:
+            reactor: The reactor of its connections.
+            address: The relay's address.
+            on_changes: Called with each change of the state; it may be empty.
+            on_first_flush: Called once, before the initial state is passed on for the first time.
+            log: Log of the assigner.
+        """
+        self.log = log
+        self.state = RelayState()
+        self.watch = Watch(reactor, address, self, SILENCE_TIMEOUT_S)
+        self.flushed = False
+        self._on_changes = on_changes
+        self._on_first_flush = on_first_flush
+        self._pause = Timer(reactor)
 
     def stop(self) -> None:
-        self._cancel()
+        """Close the watch."""
+        self._pause.cancel()
         self.watch.stop()
 
-    def _opened(self) -> None:
-        self.log("news_watch")
-        self.standing.opened()
-        self._settle_in(SETTLE_S)
+    def watch_target(self) -> str:
+        """Return the request target of the relay's watch."""
+        return WATCH_TARGET
 
-    def _lost(self, why: str) -> None:
-        self.log("news_watch_lost", reason=why)
-        self._cancel()
+    def on_watch_opened(self) -> None:
+        """Expect a snapshot."""
+        self.log("relay_watch_opened")
+        self.state.on_watch_opened()
+        self._pause.start(SNAPSHOT_PAUSE_S, self._flush)
 
-    def _line(self, line: bytes) -> None:
-        try:
-            news = m.read_news(line)
-        except (m.Invalid, m.Unreadable) as error:
-            self.log("news_refused", reason=str(error))
-            raise Unreadable("news that can't be read") from None  # what it told is told by a new watch
-        if isinstance(news, m.Sign):
-            self._settle(whole=True)
-            return
-        self._changed(self.standing.hear(news))
-        if self.standing.unsettled:
-            self._settle_in(SETTLE_S if self.standing.opening else GIVEN_S)
+    def on_watch_lost(self, reason: str) -> None:
+        """Keep what is known until the next watch."""
+        self.log("relay_watch_lost", reason=reason)
+        self._pause.cancel()
 
-    def _settle_in(self, after_s: float) -> None:
-        self._cancel()
-        self._timer = self.reactor.callLater(after_s, self._settle)
+    def on_watch_line(self, line: bytes) -> None:
+        """Handle a message.
 
-    def _cancel(self) -> None:
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        Raises:
+            StreamError: The line is no message: its content is in the snapshot of a new watch.
+        """
+        try:
+            message = decode_relay_message(line)
+        except (InvalidMessageError, MalformedMessageError) as error:
+            self.log("relay_message_rejected", reason=str(error))
+            raise StreamError("unreadable relay message") from error
+        if isinstance(message, Heartbeat):
+            self._flush(at_heartbeat=True)
+            return
+        self._on_changes(self.state.on_message(message))
+        if self.state.has_unflushed:
+            pause_s = SNAPSHOT_PAUSE_S if self.state.in_snapshot else TABLE_PAUSE_S
+            self._pause.start(pause_s, self._flush)
 
-    def _settle(self, whole: bool = False) -> None:
-        self._cancel()
-        changes = self.standing.settled(whole)
-        if not self.settled:
-            self.settled = True
-            self._first()
-        self._changed(changes)
+    def _flush(self, at_heartbeat: bool = False) -> None:
+        self._pause.cancel()
+        changes = self.state.flush(at_heartbeat)
+        if not self.flushed:
+            self.flushed = True
+            self._on_first_flush()
+        self._on_changes(changes)
--- a/puffintide/platform/watch_stream.py
+++ b/puffintide/platform/watch_stream.py
@@ -1,162 +1,204 @@
-"""A watch: one answer without end, a JSON object a line; dialled again whenever it breaks or falls silent."""
+"""A watch: an HTTP response without end, of a JSON object a line, reopened when it breaks or falls silent."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
-from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
+from twisted.internet.protocol import Protocol as Connection
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from puffintide.platform.config import Address
-from puffintide.platform.http_exchange import Exchange, Unreadable
-from puffintide.platform.line_buffer import Lines, TooLong
+from puffintide.platform.errors import MalformedResponseError, StreamError
+from puffintide.platform.http_exchange import STATUS_OK, HttpExchange
+from puffintide.platform.line_buffer import LineBuffer
+from puffintide.platform.reactor import Reactor, Timer, connect
 
-CONNECT_S = 1.0  # a connection that can be had at all stands well within
-CHECK_S = 0.5
-REDIAL_S, REDIAL_MOST_S = 0.05, 1.0
-LINE_MOST = 8 << 20  # a whole list of a large site
+CONNECT_TIMEOUT_S = 1.0
+CHECK_PERIOD_S = 0.5
+MIN_CHECKS = 2  # without a byte, before a stream is given up
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+MAX_LINE_BYTES = 8 << 20  # a snapshot of a large site
 
 
-class _Stream(Protocol):
+class WatchHandler(Protocol):
+    """Receives what a watch delivers."""
+
+    def watch_target(self) -> str:
+        """Return the request target that a new stream is opened with."""
+
+    def on_watch_opened(self) -> None:
+        """Handle a new stream; its first line follows."""
+
+    def on_watch_line(self, line: bytes) -> None:
+        """Handle a line.
+
+        Raises:
+            StreamError: The line is lost, so that the stream has to be opened again.
+        """
+
+    def on_watch_lost(self, reason: str) -> None:
+        """Handle the end of the stream; another is opened."""
+
+
+class _Stream(Connection):
+    """One connection of a watch."""
+
     transport: Any
 
-    def __init__(self, owner: Watch, address: Address) -> None:
-        self.owner = owner
-        self.exchange = Exchange(f"{address[0]}:{address[1]}", 0)
-        self.lines = Lines(LINE_MOST)
+    def __init__(self, watch: Watch, address: Address) -> None:
+        self.watch = watch
+        self.exchange = HttpExchange(f"{address[0]}:{address[1]}")
+        self.lines = LineBuffer(MAX_LINE_BYTES)
         self.ended = False
-        self.quiet = 0  # checks since anything came
-        self.why = ""
-        factory = ClientFactory.forProtocol(lambda: self)
-        factory.noisy = False
-        factory.clientConnectionFailed = lambda *_: self.lost("unreachable")  # type: ignore[attr-defined]
-        owner.reactor.connectTCP(*address, factory, timeout=CONNECT_S)
+        self.unresponsive_checks = 0  # since a byte was received
+        self.end_reason = ""
+        connect(watch.reactor, address, self, self._on_connect_failure, CONNECT_TIMEOUT_S)
+
+    def _on_connect_failure(self) -> None:
+        self.end("unreachable")
 
     def connectionMade(self) -> None:
         if self.ended:
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
-        self.transport.write(self.exchange.ask("GET", self.owner.target()))
+        self.transport.write(self.exchange.request("GET", self.watch.handler.watch_target()))
 
     def dataReceived(self, data: bytes) -> None:
         if self.ended:
             return
-        self.quiet = 0
+        self.unresponsive_checks = 0
         try:
-            pieces = self.exchange.receive(data)
-            if self.exchange.status not in (None, 200):
-                raise Unreadable(f"status {self.exchange.status}")
-            for piece in pieces:
-                for line in self.lines.feed(piece):
-                    if not self.ended:
-                        self.owner.heard(self, line)
-        except (Unreadable, TooLong) as error:
+            self._receive(data)
+        except StreamError as error:
             self.drop(str(error))
             return
-        if self.exchange.done:
+        if self.exchange.complete:
             self.drop("ended")
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.lost("broken")
+    def _receive(self, data: bytes) -> None:
+        pieces = self.exchange.receive(data)
+        if self.exchange.status not in (None, STATUS_OK):
+            raise MalformedResponseError(f"status {self.exchange.status}")
+        for piece in pieces:
+            for line in self.lines.feed(piece):
+                if not self.ended:
+                    self.watch.on_line(self, line)
 
-    def drop(self, why: str) -> None:
-        """Ends it from this side."""
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        self.end("disconnected")
+
+    def drop(self, reason: str) -> None:
+        """Close the connection."""
         if self.transport is not None:
             self.transport.abortConnection()
-        self.lost(why)
+        self.end(reason)
 
-    def lost(self, why: str) -> None:
+    def end(self, reason: str) -> None:
+        """Report the end of the stream, once."""
         if not self.ended:
-            self.ended, self.why = True, why
-            self.owner.ended(self)
+            self.ended = True
+            self.end_reason = reason
+            self.watch.on_end(self)
 
 
 class Watch:
-    """Keeps one stream standing. It stands once its first line has come: on a move the old one is read until then.
+    """Keeps one stream open.
 
-    line(bytes) raises Unreadable where the stream is of no further use: what it told is lost, and dialled for anew.
-    silent_s: after so long without a byte a stream is dead. Counted in checks, so that a pause of this process
-    itself does not make it look so.
+    A new stream replaces the current one at its first line; until then the current one is read. Silence is counted
+    in periodic checks, so that a pause of this process does not look like silence of the peer.
     """
 
     def __init__(
-        self,
-        reactor: Any,
-        address: Address,
-        target: Callable[[], str],
-        opened: Callable[[], None],
-        line: Callable[[bytes], None],
-        lost: Callable[[str], None],
-        silent_s: float,
+        self, reactor: Reactor, address: Address, handler: WatchHandler, silence_timeout_s: float
     ) -> None:
-        self.reactor, self.address, self.target = reactor, address, target
-        self._opened, self._line, self._lost = opened, line, lost
-        self._checks = max(2, round(silent_s / CHECK_S))
-        self.up: _Stream | None = None
-        self._next: _Stream | None = None
-        self._redial_s = REDIAL_S
-        self._redial: Any = None
+        """Prepare a watch.
+
+        Args:
+            reactor: The reactor of its connections.
+            address: Where to connect to.
+            handler: Receives the lines.
+            silence_timeout_s: How long a stream may deliver nothing.
+        """
+        self.reactor = reactor
+        self.address = address
+        self.handler = handler
+        self.current: _Stream | None = None
+        self._pending: _Stream | None = None
+        self._max_unresponsive_checks = max(MIN_CHECKS, round(silence_timeout_s / CHECK_PERIOD_S))
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._reconnect = Timer(reactor)
         self._stopped = False
-        self.reason = ""
 
     def start(self) -> None:
-        self._dial()
-        self._check()
+        """Open the first stream."""
+        self._open()
+        self._check_silence()
 
     def move(self, address: Address) -> None:
+        """Replace the stream by one to another address."""
         if address == self.address:
             return
         self.address = address
-        self._redial_s = REDIAL_S
-        old, self._next = self._next, None
-        if old is not None:
-            old.drop("moved")
-        self._dial()
+        self._backoff_s = INITIAL_BACKOFF_S
+        pending = self._pending
+        self._pending = None
+        if pending is not None:
+            pending.drop("moved")
+        self._open()
+
+    def reopen(self, reason: str) -> None:
+        """Close the current stream, if there is one; another is opened."""
+        if self.current is not None:
+            self.current.drop(reason)
 
     def stop(self) -> None:
+        """Close all streams, and open none from now on."""
         self._stopped = True
-        for stream in (self._next, self.up):
+        for stream in (self._pending, self.current):
             if stream is not None:
                 stream.drop("stopped")
 
-    def _dial(self) -> None:
-        if self._redial is not None and self._redial.active():
-            self._redial.cancel()
-        if not self._stopped and self._next is None:
-            self._next = _Stream(self, self.address)
+    def _open(self) -> None:
+        self._reconnect.cancel()
+        if not self._stopped and self._pending is None:
+            self._pending = _Stream(self, self.address)
 
-    def _check(self) -> None:
+    def _check_silence(self) -> None:
         if self._stopped:
             return
-        for stream in (self.up, self._next):
+        for stream in (self.current, self._pending):
             if stream is not None:
-                stream.quiet += 1
-                if stream.quiet > self._checks:
+                stream.unresponsive_checks += 1
+                if stream.unresponsive_checks > self._max_unresponsive_checks:
                     stream.drop("silent")
-        self.reactor.callLater(CHECK_S, self._check)
-
-    def heard(self, stream: _Stream, line: bytes) -> None:
-        if stream is self._next:
-            old, self.up, self._next = self.up, stream, None
-            if old is not None:
-                old.drop("moved")
-            self._opened()
-        if stream is self.up:
-            self._line(line)
-            self._redial_s = REDIAL_S
-
-    def ended(self, stream: _Stream) -> None:
-        if stream is self.up:
-            self.up = None
+        self.reactor.callLater(CHECK_PERIOD_S, self._check_silence)
+
+    def on_line(self, stream: _Stream, line: bytes) -> None:
+        """Pass on a line, unless another stream has replaced this one."""
+        if stream is self._pending:
+            replaced = self.current
+            self.current = stream
+            self._pending = None
+            if replaced is not None:
+                replaced.drop("moved")
+            self.handler.on_watch_opened()
+        if stream is self.current:
+            self.handler.on_watch_line(line)
+            self._backoff_s = INITIAL_BACKOFF_S
+
+    def on_end(self, stream: _Stream) -> None:
+        """Open another stream after a backoff, if this one was in use."""
+        if stream is self.current:
+            self.current = None
             if not self._stopped:
-                self._lost(stream.why)
-        elif stream is self._next:
-            self._next = None
-            self.reason = stream.why
+                self.handler.on_watch_lost(stream.end_reason)
+        elif stream is self._pending:
+            self._pending = None
         else:
             return
-        if self._next is None and not self._stopped and (self._redial is None or not self._redial.active()):
-            self._redial = self.reactor.callLater(self._redial_s, self._dial)
-            self._redial_s = min(2 * self._redial_s, REDIAL_MOST_S)
+        if self._pending is None and not self._stopped and not self._reconnect.pending:
+            self._reconnect.start(self._backoff_s, self._open)
+            self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
--- a/tests/platform_peers.py
+++ b/tests/platform_peers.py
@@ -12,7 +12,7 @@
 import sys
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 
@@ -168,19 +168,31 @@
 
 
 SIGN: dict[str, Any] = {}  # of life
-LOUD = "import puffintide.platform.log as log; log.BURST = log.PER_S = 1e6"  # every row is written
-NODE = "import puffintide.platform.__main__ as main; raise SystemExit(main.main())"
+# Each row is written.
+UNLIMITED_LOG: Mapping[str, float] = {"platform.log.BURST_LINES": 1e6, "platform.log.LINES_PER_S": 1e6}
+# A constant that does not exist fails the process: a patch of it would do nothing.
+MAIN = """
+import importlib, json, sys
+for name, value in json.loads(sys.argv[1]).items():
+    module_name, constant = name.rsplit(".", 1)
+    module = importlib.import_module(f"puffintide.{module_name}")
+    getattr(module, constant)
+    setattr(module, constant, value)
+import puffintide.platform.__main__ as main
+raise SystemExit(main.main())
+"""
 
 
 class NodeProcess:
-    """One real assigner of the platform; its log row by row. hook: Python that runs in it first."""
+    """One real assigner of the platform, its log row by row. Constants of its modules can be replaced."""
 
-    def __init__(self, path: Path, config: dict[str, Any], hook: str = "") -> None:
+    def __init__(self, path: Path, config: dict[str, Any], constants: Mapping[str, float]) -> None:
         self.path, self.config = path, config
         self.write()
         self.rows: list[dict[str, Any]] = []
         self._more = threading.Condition()
-        words = [sys.executable, "-c", "\n".join((LOUD, hook, NODE))]
+        replaced = json.dumps({**UNLIMITED_LOG, **constants})
+        words = [sys.executable, "-c", MAIN, replaced]
         env = {**os.environ, "GW_CONFIG": str(path)}
         self.process = subprocess.Popen(words, env=env, text=True, stderr=subprocess.PIPE)
         threading.Thread(target=self._read, daemon=True).start()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -18,8 +18,10 @@
 
 from puffintide.assigner.cache import load_list, save_list
 from puffintide.emulators.etcd import Etcd
-from puffintide.platform.messages import read_line, read_members, read_news
-from puffintide.platform.identifiers import Hosts, Names
+from puffintide.platform.client_messages import decode_client_message
+from puffintide.platform.discovery_messages import decode_endpoint_list
+from puffintide.platform.identifiers import HostRegistry, SettingsNames
+from puffintide.platform.relay_messages import decode_relay_message
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 from puffintide.proxy.state import load_state, save_state
@@ -361,11 +363,11 @@
 
 
 def test_platform_messages_decode_to_the_values_of_the_older_program() -> None:
-    names = Names(["a", "b"], ["status", "start"], ["m1", "m2"], ["rif", "busy"])
+    names = SettingsNames(["a", "b"], ["status", "start"], ["m1", "m2"], ["rif", "busy"])
     readers: dict[str, Callable[[bytes], Any]] = {
-        "collector": read_line,
-        "relay": read_news,
-        "list": lambda text: read_members(text, names, Hosts(), 1764500002500.0),
+        "collector": decode_client_message,
+        "relay": decode_relay_message,
+        "list": lambda text: decode_endpoint_list(text, names, HostRegistry(), 1764500002500.0),
     }
     rows = [json.loads(line) for line in (DATA / "platform.jsonl").read_text().splitlines()]
     assert [row["reader"] for row in rows] == ["collector"] * 4 + ["relay"] * 6 + ["list"]
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -94,7 +94,9 @@
 
 def orders(p: Platform) -> bytes:
     """All that its relay received, and when; what its module was told; what it refused."""
-    refused = [row for row in p.rows if row[1] in ("spoilt", "entry_refused", "refused")]
+    refused = [
+        row for row in p.rows if row[1] in ("message_rejected", "endpoint_rejected", "connection_rejected")
+    ]
     return json.dumps([p.relay.calls, refused, repr(p.heard)]).encode()  # type: ignore[attr-defined]
 
 
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -21,10 +21,11 @@
 from twisted.internet.testing import StringTransport
 
 from puffintide.assigner.runtime import Effects
-from puffintide.platform.config import load
-from puffintide.platform.endpoint_list import BEHIND_S
-from puffintide.platform.http_request import Outcome, Request
-from puffintide.platform.listener import ACCEPTS
+from puffintide.platform.config import load_config
+from puffintide.platform.endpoint_list import STALE_LIST_GRACE_S
+from puffintide.platform.http_exchange import RequestResult, Response
+from puffintide.platform.http_request import HttpRequest, RequestLimits
+from puffintide.platform.listener import MAX_ACCEPTS_PER_TURN
 from puffintide.platform.service import Service
 from tests.deployment import Party, Reactor
 from tests.test_drill import CONF
@@ -298,7 +299,7 @@
 
     def start(self) -> Service:
         self.party = Party(self.net)
-        node = Service(self.party, load(str(self.path)), str(self.path), self._log, lambda: self.wall)
+        node = Service(self.party, load_config(str(self.path)), str(self.path), self._log, lambda: self.wall)
         node.start()
         return node
 
@@ -356,7 +357,7 @@
     def believed(self) -> dict[int, dict[str, float]]:
         """The module's tables, by the platform's names."""
         slices: Any = self.node.runtime.director.slices  # type: ignore[attr-defined]
-        return {s: {str(self.node.hosts.name(h)): w for h, w in v.lines.items()} for s, v in slices.items()}
+        return {s: {str(self.node.hosts.host(h)): w for h, w in v.lines.items()} for s, v in slices.items()}
 
 
 @pytest.fixture
@@ -416,7 +417,7 @@
     platform.go(1.5)
     assert "s-1" not in platform.relay.named() and all(platform.relay.tables.values())
     assert platform.believed() == platform.relay.tables
-    assert len(platform.node.outbox) == 0
+    assert len(platform.node.relay.outbox) == 0
     if fate != "bad 0":  # and none is written twice, as the channel holds what can't be put off but twice
         texts = [json.dumps(row) for _, rows in platform.relay.calls for row in rows]
         assert len(texts) == len(set(texts))
@@ -446,13 +447,17 @@
 
 def test_a_watch_that_breaks_looks_like_nothing_happened(platform: Platform) -> None:
     before = platform.believed()
-    rounds, heard = platform.node.rounds, platform.hears()
+    rounds, heard = platform.node.rounds.counters.rounds, platform.hears()
     platform.break_watches()
     platform.go(3.0)
     told = {type(e).__name__ for e in heard}
     assert not told & {"ProxyConnected", "ProxyDisconnected", "OwnershipChanged", "StoredWeight"}
     assert platform.node.runtime.proxy_zones.keys() == {0, 1, 2} and platform.believed() == before
-    assert platform.relay.watchers() and platform.discovery.watchers() and platform.node.rounds > rounds
+    assert (
+        platform.relay.watchers()
+        and platform.discovery.watchers()
+        and platform.node.rounds.counters.rounds > rounds
+    )
     assert [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"] == []
 
 
@@ -495,7 +500,7 @@
     platform.relay.fates = ["throttled"] * 4
     platform.discovery.change(entry(1, "leaving"))
     platform.go(0.1)
-    assert platform.node.outbox.servers(1)
+    assert platform.node.relay.outbox.pending_servers(1)
     platform.relay.tables[1] = {"s-0": 1.0}
     platform.relay.tell({"type": "given", "object": {"partition": 1, "yes": again}})
     if again:  # given anew, with another table
@@ -535,12 +540,15 @@
     platform.go(0.1)
     platform.discovery.seq = 2  # another agent, which has not heard of it yet
     platform.break_watches()
-    platform.go(BEHIND_S - 0.5)
-    number = platform.node.hosts.number("s-1")
-    assert platform.node.runtime.endpoints[number].status == 2 and platform.logged("list_behind")
+    platform.go(STALE_LIST_GRACE_S - 0.5)
+    number = platform.node.hosts.register("s-1")
+    assert platform.node.runtime.endpoints[number].status == 2 and platform.logged("endpoint_list_stale")
     assert "s-1" not in platform.relay.named()
     platform.go(1.0)
-    assert platform.node.runtime.endpoints[number].status == 1 and platform.node.listing.version == 2
+    assert (
+        platform.node.runtime.endpoints[number].status == 1
+        and platform.node.endpoint_watch.versions.version == 2
+    )
 
 
 def test_a_start_is_placed_on_our_clock_once_for_each_life(platform: Platform) -> None:
@@ -550,9 +558,9 @@
     platform.wall += 3600  # the wall clock is stepped
     platform.discovery.change(entry(1, born_ms=born, share=2.5))
     platform.go(0.1)
-    number = platform.node.hosts.number("s-1")
+    number = platform.node.hosts.register("s-1")
     started = platform.node.runtime.director.servers[number].entry.started_at_s  # type: ignore[attr-defined]
-    assert platform.node.now() - started == pytest.approx(2.2, abs=0.2)
+    assert platform.node.rounds.now_s() - started == pytest.approx(2.2, abs=0.2)
 
 
 def test_probes_wait_for_the_first_proxy(tmp_path: Path) -> None:
@@ -574,9 +582,11 @@
         view.next_probe = math.inf
     platform.go(0.2)
     at.clear()
-    platform.node._to_probe = [platform.node.hosts.number(f"s-{k}") for k in range(SERVERS - 1)]
-    platform.node._act(Effects(actions=(), health_checks=[platform.node.hosts.number(f"s-{SERVERS - 1}")]))
-    platform.node._probe_next()
+    platform.node.health_checks._queue = [platform.node.hosts.register(f"s-{k}") for k in range(SERVERS - 1)]
+    platform.node.apply_effects(
+        Effects(actions=(), health_checks=[platform.node.hosts.register(f"s-{SERVERS - 1}")])
+    )
+    platform.node.health_checks._send_next()
     platform.go(0.2)
     assert (
         len(at) >= SERVERS and min(b - a for a, b in pairwise(at[:SERVERS])) > 0.03 and at[-1] - at[0] < 0.25
@@ -593,7 +603,7 @@
     if mode == "down":
         platform.tasks[0].party.kill()
     platform.go(3.0)
-    number = platform.node.hosts.number("s-0")
+    number = platform.node.hosts.register("s-0")
     results = [e for e in heard if type(e).__name__ == "HealthCheckResult" and e.server_id == number]
     assert len(results) >= 2 and {e.status for e in results[1:]} == {status}
     if status == 0:
@@ -612,7 +622,7 @@
     for c in [c for c in task.connections if c.open]:
         c.dataReceived = lambda data, c=c: c.transport.abortConnection()
     platform.go(2.0)
-    number = platform.node.hosts.number("s-0")
+    number = platform.node.hosts.register("s-0")
     results = [e for e in heard if type(e).__name__ == "HealthCheckResult" and e.server_id == number]
     assert len(results) >= 2 and {e.status for e in results} == {0} and len(task.connections) == 3
 
@@ -641,8 +651,8 @@
         {"msg": "heat", "partition": 99, "kind": "0", "n": 1, "bad": 0, "window": 5},
     )
     platform.report(peer, 2)
-    assert peer.open and peer.got == b"" and platform.node.listener.counts["spoilt"] == 3
-    assert platform.node.reports["heard"] == 4 * SERVERS
+    assert peer.open and peer.got == b"" and platform.node.listener.counters.invalid_messages == 3
+    assert platform.node.load_reports.counters.server == 4 * SERVERS
     peer.send(b"\x00\x01 what can't be read\n")
     platform.go(0.1)
     assert not peer.open and peer.got == b""
@@ -683,7 +693,7 @@
         platform.go(0.25)
     assert not asking.open and not any(p.open for p in crowd) and collector.open
     many = [Peer(platform) for _ in range(300)]
-    assert len(platform.node.listener.strangers) <= platform.node.listener.strangers_most
+    assert len(platform.node.listener.unidentified) <= platform.node.listener.max_unidentified
     platform.report(collector)
     assert collector.open and not many[0].open
 
@@ -701,25 +711,26 @@
 
 def test_a_refused_one_that_does_not_close_is_cut(platform: Platform) -> None:
     peer = Peer(platform)
-    (held,) = platform.node.listener.strangers
+    (held,) = platform.node.listener.unidentified
     held.transport.loseConnection = lambda: None
     peer.send({"msg": "collector", "az": "zz"})
     platform.go(1.0)
-    assert not peer.open and not platform.node.listener.strangers
+    assert not peer.open and not platform.node.listener.unidentified
 
 
 def test_an_answer_that_waits_unread_is_read_before_the_wait_ends() -> None:
     clock: Any = Clock()
     clock.connectTCP = lambda *_, **__: None
-    got: list[Outcome] = []
-    once = Request(clock, ("127.0.0.1", 1), ("GET", "/x", None), got.append, 0.5, 0.12, 100)
+    got: list[Response] = []
+    limits = RequestLimits(connect_timeout_s=0.5, response_timeout_s=0.12, max_body_bytes=100)
+    once = HttpRequest(clock, ("127.0.0.1", 1), ("GET", "/x", None), got.append, limits)
     transport: Any = StringTransport()  # type: ignore[no-untyped-call]
     transport.setTcpNoDelay = lambda on: None
     once.makeConnection(transport)  # type: ignore[no-untyped-call]
     clock.advance(0.5)  # this process stood still, and its timers come first
     assert not got
     once.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-    assert got == [Outcome("answer", 200, b"{}")]
+    assert got == [Response(RequestResult.ANSWERED, 200, b"{}")]
 
 
 def test_pongs_that_nobody_reads_are_bounded(platform: Platform) -> None:
@@ -754,14 +765,14 @@
     platform.go(2.0)
     assert "s-1" not in relay.named() and relay.calls and not platform.relay.calls
     assert (len(platform.relay.connections), len(platform.discovery.connections)) == connections
-    assert not platform.logged("news_watch_lost")
+    assert not platform.logged("relay_watch_lost")
 
 
 def test_a_reload_during_a_call_loses_no_order(platform: Platform) -> None:
     platform.relay.fates = ["lost"] * 9
     platform.discovery.change(entry(1, "leaving"))
     platform.go(0.03)
-    assert platform.node.outbox.busy
+    assert platform.node.relay.outbox.in_flight
     _, relay = moved(platform, 8501, 6401)
     platform.node.reload()
     platform.go(1.0)
@@ -775,7 +786,7 @@
     platform.path.unlink()
     platform.node.reload()
     platform.go(1.0)
-    assert len(platform.logged("reload_refused")) == 2 and platform.relay.watchers()
+    assert len(platform.logged("reload_rejected")) == 2 and platform.relay.watchers()
 
 
 def test_a_round_that_fails_is_told_and_is_not_the_last(platform: Platform) -> None:
@@ -785,12 +796,12 @@
     decider.judge_health = real
     assert "ZeroDivisionError" in platform.logged("round_failed")[0]["error"]
     platform.go(1.0)
-    caller: Any = platform.node.caller
-    kick, caller.send_next = caller.send_next, lambda: 1 / 0
+    client: Any = platform.node.relay.client
+    send_next, client.send_next = client.send_next, lambda: 1 / 0
     platform.discovery.change(entry(2, "leaving"))
     platform.go(0.5)
-    caller.send_next = kick
-    platform.node.caller.send_next()
+    client.send_next = send_next
+    platform.node.relay.client.send_next()
     platform.go(2.0)
     assert len(platform.node.runtime._timers) == 1  # its rounds go on at their pace, not at twice that
     platform.discovery.change(entry(1, "leaving"))
@@ -810,15 +821,15 @@
     node = platform.node
     # The module remembers a server for ten minutes after it has gone.
     assert len(node.hosts) <= len(node.runtime.director.servers) + SERVERS  # type: ignore[attr-defined]
-    assert len(node.hosts) < 960 and len(node.probers) <= SERVERS
-    assert len(node.runtime.server_addresses) < 200 and len(node._sent) < 50
+    assert len(node.hosts) < 960 and len(node.health_checks.clients) <= SERVERS
+    assert len(node.runtime.server_addresses) < 200 and len(node.relay._sent_weights) < 50
 
 
 def test_sigterm_lets_a_call_in_hand_end(platform: Platform) -> None:
     platform.relay.fates = ["lost"]
     platform.discovery.change(entry(1, "leaving"))
     platform.go(0.02)
-    assert platform.node.outbox.busy
+    assert platform.node.relay.outbox.in_flight
     platform.node.stop()
     platform.go(0.1)
     assert platform.party.running
@@ -871,7 +882,7 @@
     assert node.stderr is not None and any('"started"' in line for line in iter(node.stderr.readline, ""))
     path.write_text(json.dumps(config | {"discovery": "discovery.invalid:8500"}))
     out, err = node.communicate(timeout=20)
-    assert '"reload_refused"' in err and "no IPv4 address" in err
+    assert '"reload_rejected"' in err and "no IPv4 address" in err
     assert out.split() == [f"{int(socket.AF_INET)}/{int(socket.SOCK_STREAM)}", "libc"]
 
 
@@ -934,10 +945,10 @@
 def test_each_that_comes_in_one_turn_of_a_flood_cuts_another(platform: Platform) -> None:
     """What is cut ends a turn later: until then it is open, and the reactor takes ever more in a turn."""
     listener, cut = platform.node.listener, list[int]()
-    listener.strangers.clear()
-    for k in range(listener.strangers_most + 50):
+    listener.unidentified.clear()
+    for k in range(listener.max_unidentified + 50):
         peer: Any = listener.buildProtocol(None)
         peer.transport = type("Pending", (), {"abortConnection": lambda self, k=k: cut.append(k)})()
         listener.port.numberAccepts = 500
-        listener.came(peer)
-    assert cut == list(range(50)) and listener.port.numberAccepts == ACCEPTS
+        listener.on_connected(peer)
+    assert cut == list(range(50)) and listener.port.numberAccepts == MAX_ACCEPTS_PER_TURN
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,7 +10,7 @@
 import threading
 import time
 from collections import Counter
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Mapping
 from contextlib import ExitStack, suppress
 from pathlib import Path
 from typing import Any
@@ -26,21 +26,25 @@
 CALL, NEWS, LIST = "POST /api/txn", "GET /api/watch", "GET /catalog/members"
 SERVERS, SLICES = 4, 6
 # Waits are long, so that on a busy machine no time-out gets between what a test puts in order.
-PATIENT = """
-import puffintide.platform.relay_client as relay_client, puffintide.platform.relay_snapshot as relay_snapshot
-import puffintide.platform.relay_watch as relay_watch
-import puffintide.platform.health_check_client as health_check_client
-import puffintide.platform.service as service, puffintide.decisions.director as policy
-relay_client.ANSWER_S = relay_snapshot.MOST_S = health_check_client.TIMEOUT_S = 20
-service.LIST_SILENT_S = relay_watch.SILENT_S = 60
-"""
+PATIENT: Mapping[str, float] = {
+    "platform.relay_client.RESPONSE_TIMEOUT_S": 20,
+    "platform.relay_snapshot.TIMEOUT_S": 20,
+    "platform.health_check_client.TIMEOUT_S": 20,
+    "platform.endpoint_watch.SILENCE_TIMEOUT_S": 60,
+    "platform.relay_watch.SILENCE_TIMEOUT_S": 60,
+}
 
 
 class Platform:
     """An assigner with its relay and discovery; `store` is what the relay keeps."""
 
     def __init__(
-        self, tmp: Path, hook: str = PATIENT, servers: int = SERVERS, probes: bool = False, **family: Any
+        self,
+        tmp: Path,
+        constants: Mapping[str, float] = PATIENT,
+        servers: int = SERVERS,
+        probes: bool = False,
+        **family: Any,
     ) -> None:
         self.relay, self.discovery = Address(), Address()
         listen = f"127.0.0.1:{PORTS.take()}"
@@ -57,7 +61,7 @@
             "settings": made,
         }
         self.store = Store({s: {f"s-{s % servers}": 1.0} for s in range(made["familyInfo"]["slices"])})
-        self.node = NodeProcess(tmp / "config.json", config, hook)
+        self.node = NodeProcess(tmp / "config.json", config, constants)
         self.news: Any = None
         self.list: Any = None
 
@@ -74,7 +78,7 @@
         self.news = self.opened(NEWS)
         self.news.lines(*map(joined, range(3)), *self.store.held(), *extra, SIGN)
         self.node.until("serving")
-        self.node.until("list", version=self.seq)
+        self.node.until("endpoint_list", version=self.seq)
         return self
 
     def whole(self) -> dict[str, Any]:
@@ -84,7 +88,7 @@
         """Discovery tells changes, and they have been heard."""
         self.seq += 1
         self.list.lines({"seq": self.seq, "whole": False, "hosts": list(rows)})
-        self.node.until("list", version=self.seq)
+        self.node.until("endpoint_list", version=self.seq)
 
     def drain(self, k: int) -> None:
         self.tell(entry(k, "leaving"))
@@ -126,7 +130,7 @@
 
 def test_no_call_begins_after_sigterm(make: Callable[..., Platform]) -> None:
     """One is on its way and another order waits; the answer comes after the signal."""
-    p = make(hook=PATIENT + "service.STOP_S = 20").start()
+    p = make(constants={**PATIENT, "platform.service.STOP_TIMEOUT_S": 20}).start()
     p.drain(1)
     wire, body = p.call()
     p.drain(2)  # waits for the answer
@@ -228,7 +232,7 @@
     p.news = p.opened(NEWS)
     p.store.tables[6] = {"s-0": 1.0}  # new since
     p.news.lines(joined(0), given(6), held(6, "s-0"), {"type": "tide", "object": {"level": 3}})
-    p.node.until("standing", given=1)  # the pause has passed
+    p.node.until("ownership_changed", granted=1)  # the pause has passed
     p.drain(1)
     p.until_off("s-1")  # in all tables, though the watch names one
     p.news.lines(*map(joined, (1, 2)), *p.store.held(*range(6)), SIGN)
@@ -244,7 +248,7 @@
     p.news.reset()
     p.news = p.opened(NEWS)
     p.news.lines(joined(0), *p.store.held(0))
-    p.node.until("news_watch", 2)  # the first piece has been read
+    p.node.until("relay_watch_opened", 2)  # the first piece has been read
     p.node.signal(signal.SIGSTOP)
     p.news.lines(*map(joined, (1, 2)), *p.store.held(1, 2, 3, 4, 5), SIGN)
     time.sleep(0.5)  # all its pauses are over when it wakes
@@ -253,7 +257,7 @@
     wire, body = p.call()  # one, for both slices that stand there
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {1, 5}
     wire.answer(p.store.take(body))
-    assert not p.node.logged("standing", taken=5) and all(p.store.tables.values())
+    assert not p.node.logged("ownership_changed", revoked=5) and all(p.store.tables.values())
 
 
 def test_news_and_lists_told_twice_change_nothing(make: Callable[..., Platform]) -> None:
@@ -273,7 +277,7 @@
     p.news.reset()
     p.news = p.opened(NEWS)
     p.news.lines(*map(joined, range(3)), *p.store.held(0, 2, 3, 4, 5), SIGN)
-    p.node.until("standing", taken=1)
+    p.node.until("ownership_changed", revoked=1)
     p.drain(1)  # slices 1 and 5 were there
     wire, body = p.call()
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {5}
@@ -284,10 +288,10 @@
     p = make().start()
     p.store.tables[6] = {"s-0": 1.0, "s-1": 1.0}
     p.news.lines(given(6), held(6, "s-0"))
-    p.node.until("standing", given=1)
+    p.node.until("ownership_changed", granted=1)
     p.store.tables[7] = {"s-0": 1.0}
     p.news.lines(held(6, "s-1"), given(7), held(7, "s-0"))
-    p.node.until("standing", 2, given=1)
+    p.node.until("ownership_changed", 2, granted=1)
     p.drain(1)
     p.until_off("s-1")
     assert all(p.store.tables.values())
@@ -307,7 +311,7 @@
     other = next(f"s-{k}" for k in (0, 2, 3) if f"s-{k}" != lost[0]["host"])
     p.store.tables[1] = {other: 1.0}
     p.news.lines(given(1, False), given(1), *p.store.held(1)[1:], SIGN)
-    p.node.until("standing", given=1, taken=0)
+    p.node.until("ownership_changed", granted=1, revoked=0)
     look.lines(*p.store.held(), SIGN)
     p.until_off("s-1")
     assert lost[0] not in p.store.received and p.store.tables[1] == {other: 1.0}
@@ -316,7 +320,7 @@
 def test_a_slice_taken_given_and_taken_in_one_piece(make: Callable[..., Platform]) -> None:
     p = make().start()
     p.news.lines(given(1, False), given(1), held(1, "s-1"), given(1, False), held(1, "s-1"), SIGN)
-    p.node.until("standing", taken=1)
+    p.node.until("ownership_changed", revoked=1)
     p.drain(1)
     wire, body = p.call()
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {5}
@@ -364,7 +368,7 @@
         (wire.reset if cut % 2 else wire.close)()
         look = p.opened(NEWS)
         look.lines(*p.store.held(), SIGN)
-        p.node.until("call_settled", cut + 1)
+        p.node.until("call_resolved", cut + 1)
         if not carried:
             p.until_off(f"s-{cut}")
         assert f"s-{cut}" not in p.store.named()
@@ -382,7 +386,7 @@
     wire.reset()
     look = p.opened(NEWS)
     look.lines(*p.store.held(0, 1))
-    p.node.until("call_settled", carried=True)
+    p.node.until("call_resolved", applied=True)
     p.drain(2)
     p.until_off("s-1", "s-2")
     made = [json.dumps(r) for r in p.store.received if r["do"] == "SET"]
@@ -404,7 +408,7 @@
 
 
 def test_half_a_line_and_then_silence_loses_nothing(make: Callable[..., Platform]) -> None:
-    p = make(hook=PATIENT + "service.LIST_SILENT_S = 1").start()
+    p = make(constants={**PATIENT, "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1}).start()
     p.list.lines(b'{"seq":8,"whole":false,"hosts":[')
     p.list, target, _ = p.discovery.next(LIST)
     assert target.endswith("since=7")
@@ -438,16 +442,16 @@
 
 
 def test_names_of_tables_outlast_a_list_that_is_long_in_coming(make: Callable[..., Platform]) -> None:
-    p = make(hook=PATIENT + "service.FORGET_S = 0.1; service.STATS_S = 0.2")
+    p = make(constants={**PATIENT, "platform.service.FORGET_PERIOD_S": 0.1, "platform.stats.PERIOD_S": 0.2})
     p.store.tables[0]["s-9"] = 1.0  # which the list will not have
     p.news = p.opened(NEWS)
     p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
-    p.node.until("standing", slices=SLICES)
+    p.node.until("ownership_changed", slices=SLICES)
     p.node.until("stats", len(p.node.logged("stats")) + 2)  # and has forgotten what it forgets meanwhile
     p.list = p.opened(LIST)
     p.list.lines(p.whole())
     p.until_off("s-9")
-    assert all(p.store.tables.values()) and not p.node.logged("order_unsaid")
+    assert all(p.store.tables.values()) and not p.node.logged("order_invalid")
 
 
 # Reload -----------------------------------------------------------------------------------------------
@@ -507,7 +511,7 @@
     look = p.opened(NEWS, to)
     for watch in (look, p.news):
         watch.lines(*map(joined, range(3)), *p.store.held(), SIGN)
-    p.node.until("call_settled", carried=True)
+    p.node.until("call_resolved", applied=True)
     p.drain(2)
     p.until_off("s-1", "s-2", address=to)
     made = [json.dumps(r) for r in p.store.received if r["do"] == "SET"]
@@ -531,7 +535,7 @@
     p.until_off("s-1", address=to)
     p.node.path.write_text('{"store": ')
     p.node.signal(signal.SIGHUP)
-    p.node.until("reload_refused")
+    p.node.until("reload_rejected")
     p.drain(2)
     p.until_off("s-2", address=to)
     to.close()
@@ -564,7 +568,7 @@
 
 
 def test_a_kept_connection_that_ends_under_the_next_probe_asks_anew(make: Callable[..., Platform]) -> None:
-    p = make(hook=PATIENT + "policy.PROBE_S = 3", probes=True, servers=1)
+    p = make(constants={**PATIENT, "decisions.director.PROBE_S": 3}, probes=True, servers=1)
     task = Address()
     p.rows = [entry(0, dial=task.name)]
     p.start()
@@ -583,7 +587,7 @@
 
 
 def test_no_sign_of_life_before_what_stands_was_told(make: Callable[..., Platform]) -> None:
-    p = make(hook=PATIENT + "service.READY_S = 60")
+    p = make(constants={**PATIENT, "platform.service.READY_TIMEOUT_S": 60})
     news, listed = p.opened(NEWS), p.opened(LIST)
     asker = p.node.dial()
     asker.sendall(b'{"msg":"ping"}\n')
@@ -597,12 +601,19 @@
     listed.lines(p.whole())
     news.lines(*map(joined, range(3)), *p.store.held())
     assert asker.makefile("rb").readline() == b'{"msg":"pong"}\n'
-    p.node.until("standing", slices=SLICES)
+    p.node.until("ownership_changed", slices=SLICES)
 
 
 @pytest.mark.parametrize("away", ["relay", "discovery", "both"])
 def test_it_serves_though_others_are_away_at_the_start(make: Callable[..., Platform], away: str) -> None:
-    p = make(hook=PATIENT + "service.READY_S = 0.5; service.LIST_SILENT_S = relay_watch.SILENT_S = 1")
+    p = make(
+        constants={
+            **PATIENT,
+            "platform.service.READY_TIMEOUT_S": 0.5,
+            "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1,
+            "platform.relay_watch.SILENCE_TIMEOUT_S": 1,
+        }
+    )
     if away == "discovery":
         p.news = p.opened(NEWS)
         p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
@@ -610,7 +621,7 @@
         p.list = p.opened(LIST)
         p.list.lines(p.whole())
     row = p.node.until("serving")
-    assert (row["news"], row["listed"]) == (away == "discovery", away == "relay")
+    assert (row["relay"], row["listed"]) == (away == "discovery", away == "relay")
     p.rows[1] = entry(1, "leaving")
     while "s-1" in p.store.named():  # all that is asked is answered now; what was given up is dialled again
         for address in (p.relay, p.discovery):
@@ -631,7 +642,7 @@
     collectors = [p.node.dial() for _ in range(4)]
     for c in collectors:
         c.sendall(b'{"msg":"collector","az":"a"}\n')
-    p.node.until("collector_joined", 4)
+    p.node.until("collector_connected", 4)
     crowd: list[socket.socket] = []
     stop = threading.Event()
 
@@ -669,7 +680,7 @@
         got(one)  # each has its end
     late = p.node.dial()
     late.sendall(b'{"msg":"collector","az":"a"}\n')
-    p.node.until("collector_joined", 5)
+    p.node.until("collector_connected", 5)
     assert p.node.descriptors() <= before + 6 and p.node.process.poll() is None
 
 
@@ -689,4 +700,4 @@
             p.until_off("s-1")
         for p in made:
             first, ready = p.node.rows[0], p.node.logged("serving")[0]
-            assert ready["t"] - first["t"] < 10 and ready["news"]
+            assert ready["t"] - first["t"] < 10 and ready["relay"]
