--- a/puffintide/proxy/admission.py
+++ b/puffintide/proxy/admission.py
@@ -37,28 +37,29 @@
         """Remove all levels that this assigner set."""
         self.by_slice = {key: levels for key, levels in self.by_slice.items() if key[0] != assigner_id}
 
-    def of_slice(self, assigner_id: int, slice_id: int, class_index: int) -> AdmissionLevel | None:
-        """The level that was set for this slice itself."""
-        return self.by_slice.get((assigner_id, slice_id), {}).get(class_index)
+    def find(self, assigner_id: int, slice_id: int, class_index: int) -> AdmissionLevel | None:
+        """The level that was set for exactly this slice, or for ALL_SLICES."""
+        levels = self.by_slice.get((assigner_id, slice_id))
+        return levels.get(class_index) if levels is not None else None
 
-    def of_all_slices(self, assigner_id: int, class_index: int) -> AdmissionLevel | None:
-        """The level that was set for all of the assigner's slices."""
-        return self.by_slice.get((assigner_id, ALL_SLICES), {}).get(class_index)
-
-    def fraction(self, assigner_id: int, slice_id: int, class_index: int) -> float:
-        """The lower of the slice's fraction and that for all slices; 1 where none is set."""
+    def fraction(self, assigner_id: int, slice_id: int, class_index: int) -> float | None:
+        """The lower of the slice's fraction and that for all slices; None where none is set."""
         if not self.by_slice:
-            return 1.0
-        own = self.of_slice(assigner_id, slice_id, class_index)
-        common = self.of_all_slices(assigner_id, class_index)
-        return min((level.fraction for level in (own, common) if level is not None), default=1.0)
-
-    def most_specific(self, assigner_id: int, slice_id: int, class_index: int) -> AdmissionLevel | None:
-        """The slice's own level, else that for all slices, else None."""
+            return None
+        own = self.find(assigner_id, slice_id, class_index)
+        common = self.find(assigner_id, ALL_SLICES, class_index)
+        if own is None:
+            return None if common is None else common.fraction
+        return own.fraction if common is None else min(own.fraction, common.fraction)
+
+    def retry_mode(self, assigner_id: int, slice_id: int, class_index: int) -> int | None:
+        """The slice's retry mode, else that for all slices; None where none is set."""
         if not self.by_slice:
             return None
-        own = self.of_slice(assigner_id, slice_id, class_index)
-        return own or self.of_all_slices(assigner_id, class_index)
+        level = self.find(assigner_id, slice_id, class_index)
+        if level is None:
+            level = self.find(assigner_id, ALL_SLICES, class_index)
+        return None if level is None else level.retry_mode
 
 
 class AdmissionControl:
@@ -68,16 +69,15 @@
         self.mode = mode
         self._credit: dict[tuple[int, int], float] = {}  # (assigner, class): admissions saved up
 
-    def admits(self, assigner_id: int, class_index: int, fraction: float, limited: bool) -> bool:
+    def admits(self, assigner_id: int, class_index: int, fraction: float | None) -> bool:
         """Whether the next request is admitted.
 
         Args:
             assigner_id: Owner of the request's slice.
             class_index: The request's class.
-            fraction: The fraction in force, 0 to 1.
-            limited: Whether a level is in force at all.
+            fraction: The fraction in force, 0 to 1; None: no limit.
         """
-        if not limited or self.mode == AdmissionMode.NONE:
+        if fraction is None or self.mode == AdmissionMode.NONE:
             return True
         if fraction <= 0:
             return False
@@ -89,6 +89,6 @@
         self._credit[key] = credit - admitted
         return admitted
 
-    def rejects_all(self, fraction: float, limited: bool) -> bool:
-        """Whether the level in force admits no request at all."""
-        return self.mode != AdmissionMode.NONE and limited and fraction <= 0
+    def rejects_all(self, fraction: float | None) -> bool:
+        """Whether a fraction in force admits no request at all."""
+        return self.mode != AdmissionMode.NONE and fraction is not None and fraction <= 0
--- a/puffintide/proxy/dispatcher.py
+++ b/puffintide/proxy/dispatcher.py
@@ -90,9 +90,7 @@
         return effects
 
     def _rejects_all(self, slice_id: int, class_index: int) -> bool:
-        fraction = self.tables.admission_fraction(slice_id, class_index)
-        limited = self.tables.is_admission_limited(slice_id, class_index)
-        return self.routing.admission.rejects_all(fraction, limited)
+        return self.routing.admission.rejects_all(self.tables.admission_limit(slice_id, class_index))
 
     def is_idempotent(self, request: RequestState) -> bool:
         """Whether the request's class may be executed any number of times."""
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -112,9 +112,8 @@
         return any(r.slice_id in wanted and not self.dispatcher.is_idempotent(r) for r in in_flight)
 
     def _admits(self, assigner_id: int, slice_id: int, class_index: int) -> bool:
-        fraction = self.tables.admission_fraction(slice_id, class_index)
-        limited = self.tables.is_admission_limited(slice_id, class_index)
-        return self.routing.admission.admits(assigner_id, class_index, fraction, limited)
+        limit = self.tables.admission_limit(slice_id, class_index)
+        return self.routing.admission.admits(assigner_id, class_index, limit)
 
     # Servers -------------------------------------------------------------------------------------
 
--- a/puffintide/proxy/weight_tables.py
+++ b/puffintide/proxy/weight_tables.py
@@ -269,15 +269,16 @@
             balancer.set_weights(weights)
         return balancer
 
-    def admission_fraction(self, slice_id: int, class_index: int) -> float:
-        """The fraction of a class's requests that is admitted to a slice; 1 where none is set."""
+    def admission_limit(self, slice_id: int, class_index: int) -> float | None:
+        """The fraction of a class's requests that is admitted to a slice; None where none is set."""
         return self.levels.fraction(self.slices[slice_id].owner_id, slice_id, class_index)
 
-    def is_admission_limited(self, slice_id: int, class_index: int) -> bool:
-        """Whether a level is in force for a class at a slice."""
-        return self.levels.most_specific(self.slices[slice_id].owner_id, slice_id, class_index) is not None
+    def admission_fraction(self, slice_id: int, class_index: int) -> float:
+        """The fraction of a class's requests that is admitted to a slice; 1 where none is set."""
+        limit = self.admission_limit(slice_id, class_index)
+        return 1.0 if limit is None else limit
 
     def retry_mode(self, slice_id: int, class_index: int) -> int:
         """The slice's retry mode, else that for all slices, else the deployment's."""
-        level = self.levels.most_specific(self.slices[slice_id].owner_id, slice_id, class_index)
-        return self.default_retry_mode if level is None else level.retry_mode
+        mode = self.levels.retry_mode(self.slices[slice_id].owner_id, slice_id, class_index)
+        return self.default_retry_mode if mode is None else mode
--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -71,6 +71,11 @@
     return found
 
 
+def connect_until_refused(port: int) -> None:
+    while True:
+        socket.create_connection(("127.0.0.1", port), 5).close()
+
+
 def test_a_request_goes_to_the_server_of_its_table_and_back(setting: Setting) -> None:
     with setting.running():
         assigner, store = setting.steer()
@@ -84,7 +89,8 @@
         server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK, [4.0]))
         assert reply(client, 1) == m.ClientResponse(1, m.AttemptStatus.OK)
         sums = assigner.until(lambda x: isinstance(x, m.UsageReport))
-        assert sums.servers[0].attempts == 1 and sums.servers[0].load_values == [4.0]
+        assert sums.servers[0].attempts == 1
+        assert sums.servers[0].load_values == [4.0]
         assert sums.slices == [m.SliceUsage(0, 0, 1, 0)]
         assigner.send(m.ProxyUpdate(1, 0.0, 5.0, checkpoint_id=9))
         assert assigner.until(lambda x: isinstance(x, m.CheckpointReply)) == m.CheckpointReply(9)
@@ -157,7 +163,8 @@
             case "rubbish":
                 server.raw(b'{"t":"answer","id":"no"}\n')
         found = reply(client, 1)
-        assert found.status in (m.AttemptStatus.RESET, m.AttemptStatus.TIMEOUT) and found.may_have_executed
+        assert found.status in (m.AttemptStatus.RESET, m.AttemptStatus.TIMEOUT)
+        assert found.may_have_executed
         assert time.monotonic() - began < 5
         if how in ("byte by byte", "nothing"):
             assert server.until(lambda x: isinstance(x, m.CancelAttempt)) == m.CancelAttempt(tried.attempt_id)
@@ -327,13 +334,13 @@
         server = setting.servers[0].accept("server")
         tried = server.until(lambda x: isinstance(x, m.AttemptRequest))
         running.send_signal(signal.SIGTERM)
-        with pytest.raises(ConnectionError):  # once it has heard the signal
-            while True:
-                socket.create_connection(("127.0.0.1", setting.port), 5).close()
+        with pytest.raises(ConnectionError):  # once the signal is handled
+            connect_until_refused(setting.port)
         client.send(m.ClientRequest(2, 0, 77, 3.0))
         assert reply(client, 2) == m.ClientResponse(
             2, m.AttemptStatus.SATURATED, 0.0, False
         )  # proved: another proxy can take it
         server.send(m.AttemptResponse(tried.attempt_id, m.AttemptStatus.OK))
         assert reply(client, 1) == m.ClientResponse(1, m.AttemptStatus.OK)
-        assert client.read() is None and running.wait(15) == 0
+        assert client.read() is None
+        assert running.wait(15) == 0
