--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -1,228 +1,283 @@
-"""Moves of slices that have one writer: stop, let writes end, keep, and only then let the next server begin.
-
-Pure: time is passed in. One batch of orders at a time, in order:
-  stop   every proxy lets go of the slices' tables; it answers (a mark) once no write of its own is in hand there;
-  keep   the store is told, so that whoever takes the slices over knows the new server;
-  go     the proxies get the new lines.
-A proxy whose stream is gone stops writes by itself after its write lease, and what it had in hand ends with the
-longest deadline: it is waited for as long. One that joins takes writes only once it has an order of its own, which
-it gets when no move is under way. Writes that outlast patience_s are not waited for, as rule 1 forbids to leave
-slices without a server for longer; a server may then still be at work for a client that has given up. What the
-module orders beside lines (withdrawals, levels) is never held back.
+"""Migration of slices that have a single writer: no two servers execute writes of a slice at the same time.
+
+No I/O; time is passed in. Migrations happen one at a time, in three stages:
+
+1. Draining: every proxy clears the tables of the slices, and answers a checkpoint once none of its writes is in
+   flight there.
+2. Storing: the weights are written to the store, so that whoever takes over the slices knows the new servers.
+3. The proxies receive the new weights.
+
+A proxy that disconnects stops writing by itself after its write lease, and its writes in flight end with the
+longest deadline: it is waited for that long. A proxy that connects takes writes only after its first update, which
+it gets when no migration is in progress. Writes that outlast max_drain_s are not waited for, as a slice may not be
+without a server for longer; a server may then still execute a write for a client that has given up. Withdrawals and
+admission levels are never delayed.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field, replace
+from enum import Enum, auto
 
 import msgspec
 
-from puffintide.decisions.settings import Settings
+from puffintide.decisions.settings import RepeatSafety, Settings
 from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
-FIRST_CHECKPOINT_ID = 1 << 20  # the module's own are below 2^16
-PATIENCE = 0.8  # of the time that a slice may be without a server, for writes in hand to end
-MESSAGES = 2  # to a proxy for each batch, where the module counts one
-STOP, KEEP = "stop", "keep"
+FIRST_CHECKPOINT_ID = 1 << 20  # the decision module's own are below 2^16
+MAX_DRAIN_FRACTION = 0.8  # of the time for which a slice may be without a server
+MESSAGES_PER_BATCH = 2  # to each proxy, where the decision module counts one
 
-AddressedUpdates = list[tuple[int, ProxyUpdate]]
+AddressedUpdates = list[tuple[int, ProxyUpdate]]  # with the proxy's id
 
 
 @dataclass(slots=True)
 class HandoverSteps:
-    """What the service does now: messages for the channel, and lines for the store."""
+    """What the service does now: updates for the channel, and weights for the store by batch."""
 
     proxy_updates: AddressedUpdates = field(default_factory=list)
-    writes: list[tuple[int, list[WeightEntry]]] = field(default_factory=list)  # batch and lines
+    writes: list[tuple[int, list[WeightEntry]]] = field(default_factory=list)
+
+
+class _Stage(Enum):
+    DRAINING = auto()
+    STORING = auto()
 
 
 @dataclass(slots=True)
-class _Move:
+class _Migration:
     batch: int
-    lines: list[WeightEntry]
-    later: AddressedUpdates  # what goes along with the lines: the module's mark
-    mark: int
-    waiting: set[int]  # proxies that have not answered
-    until: float = 0.0  # not longer than this
-    gone_until: float = 0.0  # nor shorter, for proxies that went away
-    stage: str = STOP
+    weights: list[WeightEntry]
+    deferred_updates: AddressedUpdates  # sent once the weights are stored
+    checkpoint_id: int = 0
+    unacknowledged: set[int] = field(default_factory=set)  # proxies that have not answered the checkpoint
+    drain_deadline: float = 0.0
+    disconnected_drained_at: float = 0.0  # when proxies that disconnected have no more writes in flight
+    stage: _Stage = _Stage.DRAINING
+
+    @property
+    def slice_ids(self) -> list[int]:
+        """The slices that migrate, in order."""
+        return sorted({entry.slice_id for entry in self.weights})
+
+    def merged_with(self, later: _Migration) -> _Migration:
+        """Both as one: of a slice that both migrate the later weights count."""
+        replaced = set(later.slice_ids)
+        remaining = [entry for entry in self.weights if entry.slice_id not in replaced]
+        updates = sorted((dict(self.deferred_updates) | dict(later.deferred_updates)).items())
+        return _Migration(later.batch, remaining + later.weights, updates)
 
 
 class Handover:
-    """lease_s: after which a proxy without its assigner takes no writes. longest_s: deadline of any write."""
-
-    def __init__(self, lease_s: float, longest_s: float, patience_s: float, head_lines: float) -> None:
-        self.lease_s, self.longest_s, self.patience_s = lease_s, longest_s, patience_s
-        self.head_lines = head_lines
-        self.moves: deque[_Move] = deque()
-        self.mark = FIRST_CHECKPOINT_ID
+    """The migrations of one assigner.
+
+    Attributes:
+        write_lease_s: Time after which a proxy without its assigner takes no writes.
+        max_write_deadline_s: Deadline of the longest write.
+        max_drain_s: Time for which writes in flight are waited for.
+        header_entries: Entries that a message costs on the channel beside its content.
+        proxies: Connected proxies.
+        migrations: Batches in order; only the first is in progress.
+    """
+
+    def __init__(
+        self, write_lease_s: float, max_write_deadline_s: float, max_drain_s: float, header_entries: float
+    ) -> None:
+        self.write_lease_s = write_lease_s
+        self.max_write_deadline_s = max_write_deadline_s
+        self.max_drain_s = max_drain_s
+        self.header_entries = header_entries
         self.proxies: set[int] = set()
-        self.left_at: dict[int, float] = {}
+        self.migrations: deque[_Migration] = deque()
+        self._last_checkpoint_id = FIRST_CHECKPOINT_ID
+        self._disconnected_at: dict[int, float] = {}
 
-    # What comes in --------------------------------------------------------------------------------
+    # Input ----------------------------------------------------------------------------------------
 
-    def on_proxy_connected(self, now: float, proxy: int) -> HandoverSteps:
-        """From its first order on it takes writes: at once, or with the lines of the move that is under way."""
-        self.proxies.add(proxy)
-        self.left_at.pop(proxy, None)
-        if self.moves:
+    def on_proxy_connected(self, now: float, proxy_id: int) -> HandoverSteps:
+        """Let a proxy take writes: at once, or with the weights of the migration in progress."""
+        self.proxies.add(proxy_id)
+        self._disconnected_at.pop(proxy_id, None)
+        if self.migrations:
             return HandoverSteps()
-        return HandoverSteps(proxy_updates=[(proxy, ProxyUpdate(0, now, self.head_lines))])
-
-    def on_proxy_disconnected(self, now: float, proxy: int) -> HandoverSteps:
-        """It is no longer heard; what it has in hand is waited out."""
-        self.proxies.discard(proxy)
-        self.left_at[proxy] = now
-        for move in list(self.moves)[:1]:
-            if proxy in move.waiting:
-                move.waiting.discard(proxy)
-                move.gone_until = max(move.gone_until, now + self.lease_s + self.longest_s)
+        return HandoverSteps(proxy_updates=[(proxy_id, ProxyUpdate(0, now, self.header_entries))])
+
+    def on_proxy_disconnected(self, now: float, proxy_id: int) -> HandoverSteps:
+        """Wait out the writes that a disconnected proxy may have in flight."""
+        self.proxies.discard(proxy_id)
+        self._disconnected_at[proxy_id] = now
+        if self.migrations and proxy_id in self.migrations[0].unacknowledged:
+            migration = self.migrations[0]
+            migration.unacknowledged.discard(proxy_id)
+            migration.disconnected_drained_at = max(
+                migration.disconnected_drained_at, now + self._disconnected_drain_s
+            )
         return self.advance(now)
 
     def add_batch(
-        self, now: float, batch: int, lines: list[WeightEntry], orders: AddressedUpdates
+        self, now: float, batch: int, weights: list[WeightEntry], updates: AddressedUpdates
     ) -> HandoverSteps:
-        """A batch of the module. Whatever has no lines goes on at once."""
-        steps = HandoverSteps()
-        slices = sorted({line.slice_id for line in lines})
-        if not slices:
-            steps.proxy_updates = orders
-            return steps
-        beside: dict[int, ProxyUpdate] = {}
-        later: AddressedUpdates = []
-        for proxy, order in orders:
-            rest = msgspec.structs.replace(
-                order,
-                weights=[],
-                cleared_slices=[],
-                checkpoint_id=None,
-                channel_cost=self.head_lines
-                + len(order.withdrawn_servers)
-                + len(order.readmitted_servers)
-                + len(order.admission_levels),
-            )
-            if rest.withdrawn_servers or rest.readmitted_servers or rest.admission_levels:
-                beside[proxy] = rest
-            later.append(
-                (
-                    proxy,
-                    msgspec.structs.replace(
-                        order, withdrawn_servers=[], readmitted_servers=[], admission_levels=[]
-                    ),
-                )
-            )
-        self.moves.append(_Move(batch, lines, later, 0, set()))
-        if len(self.moves) == 1:
-            steps.proxy_updates = self._stop(now, beside)
-        else:
-            steps.proxy_updates = sorted(beside.items())
-        return steps
-
-    def on_checkpoint_reply(self, now: float, proxy: int, mark: int) -> HandoverSteps:
-        for move in list(self.moves)[:1]:
-            if move.mark == mark:
-                move.waiting.discard(proxy)
+        """Add a batch of the decision module; updates without weights are sent at once."""
+        if not weights:
+            return HandoverSteps(proxy_updates=updates)
+        immediate: dict[int, ProxyUpdate] = {}
+        deferred: AddressedUpdates = []
+        for proxy_id, update in updates:
+            if update.withdrawn_servers or update.readmitted_servers or update.admission_levels:
+                immediate[proxy_id] = self._immediate_part(update)
+            deferred.append((proxy_id, _deferred_part(update)))
+        self.migrations.append(_Migration(batch, weights, deferred))
+        if len(self.migrations) == 1:
+            return HandoverSteps(proxy_updates=self._begin_draining(now, immediate))
+        return HandoverSteps(proxy_updates=sorted(immediate.items()))
+
+    def on_checkpoint_reply(self, now: float, proxy_id: int, checkpoint_id: int) -> HandoverSteps:
+        """Note that a proxy has none of the migration's writes in flight."""
+        if self.migrations and self.migrations[0].checkpoint_id == checkpoint_id:
+            self.migrations[0].unacknowledged.discard(proxy_id)
         return self.advance(now)
 
     def on_write_acknowledged(self, now: float, batch: int) -> HandoverSteps:
-        """The store has kept all up to this batch; lines that it refused were taken out before (refused)."""
+        """Complete the migrations that the store has committed, up to a batch.
+
+        Weights that the store rejected have to be removed before (drop_slice).
+        """
         steps = HandoverSteps()
-        while self.moves and self.moves[0].stage == KEEP and self.moves[0].batch <= batch:
-            move = self.moves.popleft()
-            later = dict(move.later)
-            cost = self.head_lines + len(move.lines)
-            for proxy in sorted(self.proxies):  # those that came in between have the same lines
-                order = later.get(proxy, ProxyUpdate(move.batch, now, cost))
-                made = msgspec.structs.replace(
-                    order, batch=move.batch, weights=list(move.lines), channel_cost=cost
-                )
-                steps.proxy_updates.append((proxy, made))
-            if self.moves:
-                steps.proxy_updates += self._stop(now)
+        while self.migrations and self._is_stored(self.migrations[0], batch):
+            migration = self.migrations.popleft()
+            steps.proxy_updates += self._final_updates(now, migration)
+            if self.migrations:
+                steps.proxy_updates += self._begin_draining(now, {})
         return steps
 
-    def drop_slice(self, number: int) -> None:
-        """The slice is another's by now: its lines go to nobody."""
-        for move in self.moves:
-            move.lines = [line for line in move.lines if line.slice_id != number]
+    def drop_slice(self, slice_id: int) -> None:
+        """Discard the weights of a slice that another assigner owns by now."""
+        for migration in self.migrations:
+            migration.weights = [entry for entry in migration.weights if entry.slice_id != slice_id]
 
     def unacknowledged_writes(self) -> list[tuple[int, list[WeightEntry]]]:
-        """What the store has not told to be kept, for when it is back."""
-        return [(move.batch, move.lines) for move in list(self.moves)[:1] if move.stage == KEEP]
+        """Weights by batch that the store has not committed yet, to be written again after it was unreachable."""
+        if self.migrations and self.migrations[0].stage is _Stage.STORING:
+            return [(self.migrations[0].batch, self.migrations[0].weights)]
+        return []
 
-    def on_token_renewed(self, number: int, token: int) -> None:
-        """The slice is ours under a new token, in an unbroken tenure."""
-        for move in self.moves:
-            move.lines = [_under(line, number, token) for line in move.lines]
+    def on_token_renewed(self, slice_id: int, fencing_token: int) -> None:
+        """Use a new token for a slice, in an unbroken tenure."""
+        for migration in self.migrations:
+            migration.weights = [_with_token(entry, slice_id, fencing_token) for entry in migration.weights]
 
     # Time -----------------------------------------------------------------------------------------
 
-    def _stop(self, now: float, beside: dict[int, ProxyUpdate] | None = None) -> AddressedUpdates:
-        """Begins with all batches that wait, as one."""
-        move = self.moves.popleft()
-        while self.moves:
-            move = _joined(move, self.moves.popleft())
-        self.moves.append(move)
-        self.mark += 1
-        move.mark, move.waiting = self.mark, set(self.proxies)
-        move.until = now + self.patience_s
-        recent = [at for at in self.left_at.values() if now - at < self.lease_s + self.longest_s]
-        move.gone_until = max((at + self.lease_s + self.longest_s for at in recent), default=0.0)
-        slices = sorted({line.slice_id for line in move.lines})
-        orders: AddressedUpdates = []
-        for proxy in sorted(self.proxies):
-            rest = (beside or {}).get(proxy, ProxyUpdate(move.batch, now, self.head_lines))
-            cost = rest.channel_cost + len(slices) + 1
-            orders.append(
-                (
-                    proxy,
-                    msgspec.structs.replace(
-                        rest, cleared_slices=slices, checkpoint_id=move.mark, channel_cost=cost
-                    ),
-                )
-            )
-        return orders
-
     def advance(self, now: float) -> HandoverSteps:
-        """To be called now and then while a move is under way."""
+        """End the draining that is complete or out of time; to be called regularly during a migration."""
         steps = HandoverSteps()
-        if self.moves and self.moves[0].stage == STOP:
-            move = self.moves[0]
-            ended = not move.waiting and now >= move.gone_until
-            if ended or now >= move.until:
-                move.stage = KEEP
-                steps.writes.append((move.batch, move.lines))
+        if self.migrations and self.migrations[0].stage is _Stage.DRAINING:
+            migration = self.migrations[0]
+            drained = not migration.unacknowledged and now >= migration.disconnected_drained_at
+            if drained or now >= migration.drain_deadline:
+                migration.stage = _Stage.STORING
+                steps.writes.append((migration.batch, migration.weights))
         return steps
 
+    # Stages ---------------------------------------------------------------------------------------
+
+    @property
+    def _disconnected_drain_s(self) -> float:
+        return self.write_lease_s + self.max_write_deadline_s
+
+    def _begin_draining(self, now: float, immediate: dict[int, ProxyUpdate]) -> AddressedUpdates:
+        """Begin with all pending batches as one; the immediate parts go along with the request to drain."""
+        migration = self._merge_pending()
+        self._last_checkpoint_id += 1
+        migration.checkpoint_id = self._last_checkpoint_id
+        migration.unacknowledged = set(self.proxies)
+        migration.drain_deadline = now + self.max_drain_s
+        recent = [at for at in self._disconnected_at.values() if now - at < self._disconnected_drain_s]
+        migration.disconnected_drained_at = max(
+            (at + self._disconnected_drain_s for at in recent), default=0.0
+        )
+        slice_ids = migration.slice_ids
+        updates: AddressedUpdates = []
+        for proxy_id in sorted(self.proxies):
+            update = immediate.get(proxy_id, ProxyUpdate(migration.batch, now, self.header_entries))
+            drain_request = msgspec.structs.replace(
+                update,
+                cleared_slices=slice_ids,
+                checkpoint_id=migration.checkpoint_id,
+                channel_cost=update.channel_cost + len(slice_ids) + 1,
+            )
+            updates.append((proxy_id, drain_request))
+        return updates
+
+    def _merge_pending(self) -> _Migration:
+        migration = self.migrations.popleft()
+        while self.migrations:
+            migration = migration.merged_with(self.migrations.popleft())
+        self.migrations.append(migration)
+        return migration
+
+    @staticmethod
+    def _is_stored(migration: _Migration, acknowledged_batch: int) -> bool:
+        return migration.stage is _Stage.STORING and migration.batch <= acknowledged_batch
+
+    def _final_updates(self, now: float, migration: _Migration) -> AddressedUpdates:
+        """The new weights, also for proxies that connected during the migration."""
+        deferred = dict(migration.deferred_updates)
+        cost = self.header_entries + len(migration.weights)
+        updates: AddressedUpdates = []
+        for proxy_id in sorted(self.proxies):
+            update = deferred.get(proxy_id, ProxyUpdate(migration.batch, now, cost))
+            final = msgspec.structs.replace(
+                update, batch=migration.batch, weights=list(migration.weights), channel_cost=cost
+            )
+            updates.append((proxy_id, final))
+        return updates
+
+    def _immediate_part(self, update: ProxyUpdate) -> ProxyUpdate:
+        """What of an update is not delayed: withdrawals and admission levels."""
+        entry_count = (
+            len(update.withdrawn_servers) + len(update.readmitted_servers) + len(update.admission_levels)
+        )
+        return msgspec.structs.replace(
+            update,
+            weights=[],
+            cleared_slices=[],
+            checkpoint_id=None,
+            channel_cost=self.header_entries + entry_count,
+        )
+
+
+def _with_token(entry: WeightEntry, slice_id: int, fencing_token: int) -> WeightEntry:
+    if entry.slice_id != slice_id:
+        return entry
+    return msgspec.structs.replace(entry, fencing_token=fencing_token)
+
+
+def _deferred_part(update: ProxyUpdate) -> ProxyUpdate:
+    """What of an update waits for the migration: weights and the checkpoint."""
+    return msgspec.structs.replace(update, withdrawn_servers=[], readmitted_servers=[], admission_levels=[])
 
-def handover_for(settings: Settings, lease_s: float) -> Handover | None:
-    """None where slices may have several writers."""
+
+def handover_for(settings: Settings, write_lease_s: float) -> Handover | None:
+    """Return the handover of an assigner; None where slices may have several writers."""
     if not settings.single_writer:
         return None
-    longest = max(
-        (c.deadline_s for c in settings.request_classes if c.repeat_safety != "repeatable"), default=0.0
-    )
-    return Handover(
-        lease_s, longest, min(longest, PATIENCE * settings.max_unserved_s), settings.channel_header_entries
+    max_write_deadline_s = max(
+        (
+            request_class.deadline_s
+            for request_class in settings.request_classes
+            if request_class.repeat_safety != RepeatSafety.IDEMPOTENT
+        ),
+        default=0.0,
     )
+    max_drain_s = min(max_write_deadline_s, MAX_DRAIN_FRACTION * settings.max_unserved_s)
+    return Handover(write_lease_s, max_write_deadline_s, max_drain_s, settings.channel_header_entries)
 
 
 def with_handover_budget(settings: Settings) -> Settings:
-    """What the module is told, so that all of a batch's messages stay within messages_most."""
+    """Return settings for the decision module so that all of a batch's messages stay within the limit."""
     if not settings.max_messages_per_window:
         return settings
-    return replace(
-        settings, max_messages_per_window=max(1, (settings.max_messages_per_window - 1) // MESSAGES)
-    )
-
-
-def _joined(first: _Move, second: _Move) -> _Move:
-    """Two batches as one: of a slice that both move, the later line counts."""
-    again = {line.slice_id for line in second.lines}
-    lines = [line for line in first.lines if line.slice_id not in again] + second.lines
-    return _Move(second.batch, lines, sorted((dict(first.later) | dict(second.later)).items()), 0, set())
-
-
-def _under(line: WeightEntry, number: int, token: int) -> WeightEntry:
-    return msgspec.structs.replace(line, fencing_token=token) if line.slice_id == number else line
+    budget = (settings.max_messages_per_window - 1) // MESSAGES_PER_BATCH
+    return replace(settings, max_messages_per_window=max(1, budget))
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -177,8 +177,8 @@
         return Heard(
             {sid: entry.incarnation for sid, entry in entries.items()},
             {
-                sid: at
-                for sid, (_, at) in self.endpoint_list.entries.items()
+                sid: received.received_at_s
+                for sid, received in self.endpoint_list.entries.items()
                 if self.endpoint_list.received_from_source
             },
             {sid for sid, entry in entries.items() if entry.status == EndpointStatus.DRAINING},
@@ -404,7 +404,7 @@
             self.store_client.write(batch, lines)
         if steps.proxy_updates:
             self.proxy_updates.send(steps.proxy_updates)
-        if self.handover.moves and (self.handover_at is None or not self.handover_at.active()):
+        if self.handover.migrations and (self.handover_at is None or not self.handover_at.active()):
             self.handover_at = self.reactor.callLater(HANDOVER_S, self._handover_due)
 
     def _handover_due(self) -> None:
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -123,7 +123,7 @@
 
 
 def test_a_list_cache_survives_a_half_written_one_beside_it(tmp_path: Path) -> None:
-    from puffintide.assigner.cache import load_list, save_list
+    from puffintide.assigner.endpoint_list import load_cache, save_cache
 
     path = tmp_path / "list.json"
     news = m.WatchEvent(
@@ -131,12 +131,12 @@
         3,
         [m.EndpointEntry(1, 0, 0, 0, 1, 2.0, 4, 5.0, ADDRESS), m.EndpointEntry(2, 0, 0, 0, 1, 2.0, 1, -1.0)],
     )
-    save_list(str(path), 100.0, news)
+    save_cache(str(path), 100.0, news)
     (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # its writer was killed
-    loaded = load_list(str(path), 107.5)
+    loaded = load_cache(str(path), 107.5)
     assert loaded.update_type == "cached" and loaded.version == 3
     assert [e.age_s for e in loaded.servers] == [12.5, -1.0]
-    assert [e.age_s for e in load_list(str(path), 50.0).servers] == [5.0, -1.0]  # the clock was set back
+    assert [e.age_s for e in load_cache(str(path), 50.0).servers] == [5.0, -1.0]  # the clock was set back
 
 
 def test_a_round_that_fails_is_told_and_is_not_the_last() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -56,7 +56,7 @@
     kept = h.on_checkpoint_reply(1.4, 1, mark)
     assert kept.writes == [(5, [line(3, 8)])] and kept.proxy_updates == []
     assert h.on_write_acknowledged(1.5, 4) == HandoverSteps()
-    assert lines_of(h.on_write_acknowledged(1.6, 5)) == {0: [8], 1: [8]} and not h.moves
+    assert lines_of(h.on_write_acknowledged(1.6, 5)) == {0: [8], 1: [8]} and not h.migrations
 
 
 def test_batches_follow_each_other_and_those_that_wait_go_as_one() -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -97,7 +97,7 @@
     with around.assigner():
         around.list.accept("list").send(m.WatchEvent("full", 1, servers(1)))
         around.proxy(0)
-    assert any(row["event"] == "list_cache_unread" for row in around.log())
+    assert any(row["event"] == "endpoint_cache_unreadable" for row in around.log())
 
 
 DAMAGE = [
