--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -40,9 +40,9 @@
     from puffintide.owned_tables import OwnedTables
     from puffintide.protocol.clock import monotonic_reactor
     from puffintide.protocol.stream import Acceptor, Dialler, Stream
-    from puffintide.replication.peer_observations import Findings, Heard
-    from puffintide.replication.peer_sessions import Peers
-    from puffintide.replication.table_replicas import newest
+    from puffintide.replication.peer_observations import LocalFindings, EndpointListState
+    from puffintide.replication.peer_sessions import PeerSessions
+    from puffintide.replication.table_replicas import latest_tables
 
     reactor: Any = monotonic_reactor()
     size, late = 0, 0.0
@@ -76,7 +76,7 @@
         warning = info
 
     section = PeersSection(addresses=addresses, catch_up_s=60.0)
-    peers = Peers(reactor, section, me, life, slices, Log(), lambda: None)
+    peers = PeerSessions(reactor, section, me, life, slices, Log(), lambda: None)
     ordered, tokens = OwnedTables(), dict[int, int]()
     lines = [m.TableEntry(7, 1.0, "127.0.0.1:9007", 0), m.TableEntry(8, 0.004, "127.0.0.1:9008", 1)]
     for number in range(me, slices, len(addresses)) if first >= 0 else ():
@@ -84,8 +84,8 @@
         ordered.on_ownership_granted(
             m.SliceOwnership(number, number + 1, me, lines, 1), tenure_continues=False
         )
-    found = Findings(1.0, {})
-    peers.flush(tokens, ordered, found, Heard())
+    found = LocalFindings(1.0, {})
+    peers.exchange(tokens, ordered, found, EndpointListState())
     hello = m.Hello(m.PROTOCOL_VERSION, "assigner", me, 0, "t", incarnation=life)
 
     def dial(address: str, heard: Any, lost: Any, *, again: bool = True) -> Dialler:
@@ -94,7 +94,7 @@
     def told(stream: Stream, message: Any) -> None:
         if isinstance(message, m.ReplicaRequest):
             began = time.process_time()
-            for piece in newest(peers.replica, reactor.seconds):
+            for piece in latest_tables(peers.replica, reactor.seconds):
                 stream.send(piece)
             say("asked", took=time.process_time() - began)
         elif isinstance(message, m.SliceOwnerships):
@@ -112,12 +112,12 @@
     def beat() -> None:
         nonlocal late
         say("beat", late=late, sent=peers.sent)
-        peers.flush(tokens, ordered, found, Heard())
+        peers.exchange(tokens, ordered, found, EndpointListState())
         late = 0.0
         reactor.callLater(section.every_s, beat)
 
     welcome = m.Welcome(m.PROTOCOL_VERSION, "assigner", me, life)
-    factory = Acceptor(reactor, lambda: welcome, peers.heard)
+    factory = Acceptor(reactor, lambda: welcome, peers.on_message)
     host, _, port = addresses[me].partition(":")
     reactor.listenTCP(int(port), factory, 50, host)
     say("began")
@@ -131,7 +131,7 @@
     def change() -> None:
         for number in list(tokens)[:20]:
             ordered.apply_writes(2, [m.WeightEntry(number, 9, 1.0, tokens[number], "127.0.0.1:9009", 0)])
-        peers.flush(tokens, ordered, found, Heard())
+        peers.exchange(tokens, ordered, found, EndpointListState())
 
     reactor.run()
 
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -37,9 +37,9 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
 from puffintide.protocol.stream import Acceptor, Dialler, Handler, Stream
-from puffintide.replication.peer_observations import Findings, Heard
-from puffintide.replication.peer_sessions import Peers
-from puffintide.replication.table_replicas import newest
+from puffintide.replication.peer_observations import LocalFindings, EndpointListState
+from puffintide.replication.peer_sessions import PeerSessions
+from puffintide.replication.table_replicas import latest_tables
 from puffintide.tls.context import Contexts
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.plan import ZoneLimits
@@ -93,7 +93,7 @@
         self.rounds = 0
         self.decisions = 0
         self.peer_sessions = (
-            Peers(
+            PeerSessions(
                 reactor, config.peers, self.process.id, life, self.settings.slice_count, log, self._to_store
             )
             if config.peers is not None
@@ -147,7 +147,7 @@
         if hello.role == "proxy" and not 0 <= hello.id < 65535:
             return f"proxy number {hello.id} is not below 65535"
         return (
-            self.peer_sessions.judge(hello)
+            self.peer_sessions.rejection_reason(hello)
             if self.peer_sessions is not None and hello.role == "assigner"
             else None
         )
@@ -169,12 +169,12 @@
             self.process.store, self.store_client.on_message, self.store_client.on_lost, self.store_hello
         )
 
-    def _findings(self) -> Findings:
-        return Findings(*self.runtime.director.findings())
+    def _findings(self) -> LocalFindings:
+        return LocalFindings(*self.runtime.director.findings())
 
-    def _heard(self) -> Heard:
+    def _heard(self) -> EndpointListState:
         entries = self.runtime.endpoints
-        return Heard(
+        return EndpointListState(
             {sid: entry.incarnation for sid, entry in entries.items()},
             {
                 sid: received.received_at_s
@@ -186,7 +186,7 @@
 
     def _flush(self) -> None:
         assert self.peer_sessions is not None
-        news = self.peer_sessions.flush(
+        news = self.peer_sessions.exchange(
             self.runtime.fencing_tokens, self.owned_tables, self._findings(), self._heard()
         )
         if news:
@@ -196,7 +196,7 @@
     def _copies(self, changed: set[int] | None) -> Iterator[m.ReplicationDelta]:
         assert self.peer_sessions is not None
         self._flush()
-        return newest(self.peer_sessions.replica, self.now, changed)
+        return latest_tables(self.peer_sessions.replica, self.now, changed)
 
     def _share(self) -> None:
         assert self.peer_sessions is not None
@@ -222,15 +222,15 @@
     def _from_dialled(self, stream: Stream, message: AnyMessage) -> None:
         now = self.now()
         if self.peer_sessions is not None and (isinstance(message, m.Hello) and message.role == "assigner"):
-            self.peer_sessions.heard(stream, message)
+            self.peer_sessions.on_message(stream, message)
             return
         match message:
             case m.VersionDigest() | m.ReplicationDelta() if (
                 self.peer_sessions and stream.tag and stream.tag[0] == "assigner"
             ):
-                self.peer_sessions.heard(stream, message)
+                self.peer_sessions.on_message(stream, message)
             case m.ReplicaRequest() if self.peer_sessions and stream.tag and stream.tag[0] == "operator":
-                for piece in self.peer_sessions.replica.differences(now, [], SHOWN_MOST):
+                for piece in self.peer_sessions.replica.deltas_for(now, [], SHOWN_MOST):
                     stream.send(piece)
                 stream.send(m.VersionDigest(self.peer_sessions.replica.digest()))
             case m.Hello(role="proxy"):
--- a/puffintide/audit/copies.py
+++ b/puffintide/audit/copies.py
@@ -38,13 +38,13 @@
             (taker, r.went),
         ):  # what it tells it holds, also what is lost on the way
             if at is not None and at > ended.get(who, -1.0):
-                held[who].take(at, r.message)
+                held[who].apply(at, r.message)
         for row in r.message.rows:
             first.setdefault((row.row_id, row.value), (r.came, r.number))
     best: dict[int, dict[int, m.Value]] = {}
     for k, replica in held.items():
         for number, rows in replica.readings(last, KIND).items():
-            found = conflict_resolution.table(rows)
+            found = conflict_resolution.latest_table(rows)
             if found is not None:
                 best.setdefault(number, {})[k] = found.value
     missing = []
--- a/puffintide/cli/hand.py
+++ b/puffintide/cli/hand.py
@@ -118,7 +118,7 @@
     for k, (address, answer) in enumerate(zip(addresses, answers, strict=True)):
         replica = Replica(-1, 0, config.deployment.assigners)
         for piece in pieces.get(k, []):
-            replica.take(0.0, piece)
+            replica.apply(0.0, piece)
         found[address] = replica if isinstance(answer, m.VersionDigest) else str(answer)
     return found
 
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -183,9 +183,11 @@
 
 
 def _disputes(found: dict[str, Any]) -> list[str]:
-    from puffintide.replication.table_replicas import disputes
+    from puffintide.replication.table_replicas import table_conflicts
 
-    return disputes({address: replica for address, replica in found.items() if not isinstance(replica, str)})
+    return table_conflicts(
+        {address: replica for address, replica in found.items() if not isinstance(replica, str)}
+    )
 
 
 @cli.group()
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -122,7 +122,7 @@
     from twisted.internet.threads import deferToThreadPool
     from twisted.python.threadpool import ThreadPool
 
-    from puffintide.replication.table_replicas import Refill
+    from puffintide.replication.table_replicas import TableRestore
     from puffintide.store.book import Book
     from puffintide.store.engine import Engine, Memory, StoreError
     from puffintide.store.service import StoreService
@@ -170,7 +170,7 @@
         else maybeDeferred,
         streams_most=me.streams_most,
         backups=(lambda name: _name(me.backups, name)) if me.file and me.backups else None,
-        refill=Refill(d.slices, d.assigners, me.refill_wait_s) if me.refill else None,
+        refill=TableRestore(d.slices, d.assigners, me.refill_wait_s) if me.refill else None,
     )
     _listen(reactor, me.listen, service.factory(), _tls(config, log))
     log.info(
--- a/puffintide/replication/catch_up.py
+++ b/puffintide/replication/catch_up.py
@@ -5,56 +5,56 @@
 from collections.abc import Iterable
 
 from puffintide.protocol.messages import ReplicationDelta, ReplicaVersion
-from puffintide.replication.replica import PIECE_ROWS, Replica
+from puffintide.replication.replica import MAX_ROWS_PER_DELTA, Replica
 
-BURST_ROWS = (
-    2 * PIECE_ROWS
+MAX_BURST_ROWS = (
+    2 * MAX_ROWS_PER_DELTA
 )  # at once, so that no turn of the loop is long and an order beside it waits little
-PATIENCE_S = 1.5  # more than a way that is late by as much as days make it
-UNDER_WAY_S = 2.0  # what was sent counts as there for so long; what the peer tells later counts then
+SOURCE_TIMEOUT_S = 1.5  # more than a way that is late by as much as days make it
+IN_FLIGHT_S = 2.0  # what was sent counts as there for so long; what the peer tells later counts then
 
 
-class Outgoing:
+class DeltaSender:
     """To one peer, on one stream: what it lacks by its digest, no more than rows_per_s, nothing twice."""
 
     def __init__(self, rows_per_s: float) -> None:
         self.rows_per_s = rows_per_s
-        self.burst = max(1, min(BURST_ROWS, int(rows_per_s)))
-        self.left, self.at = float(self.burst), 0.0
-        self.known: dict[int, ReplicaVersion] = {}
-        self.under_way: dict[int, tuple[float, ReplicaVersion]] = {}
+        self.burst_rows = max(1, min(MAX_BURST_ROWS, int(rows_per_s)))
+        self.left, self.at = float(self.burst_rows), 0.0
+        self.known_versions: dict[int, ReplicaVersion] = {}
+        self.in_flight: dict[int, tuple[float, ReplicaVersion]] = {}
 
-    def asked(self, now: float, versions: Iterable[ReplicaVersion]) -> None:
+    def on_digest(self, now: float, versions: Iterable[ReplicaVersion]) -> None:
         """A digest of the peer's. What is on its way to it, it cannot know of."""
-        self.known = {v.origin_id: v for v in versions}
-        for origin, (sent, version) in list(self.under_way.items()):
-            their = self.known.get(origin)
-            if now - sent > UNDER_WAY_S or (
+        self.known_versions = {v.origin_id: v for v in versions}
+        for origin, (sent, version) in list(self.in_flight.items()):
+            their = self.known_versions.get(origin)
+            if now - sent > IN_FLIGHT_S or (
                 their and (their.incarnation, their.sequence) >= (version.incarnation, version.sequence)
             ):
-                del self.under_way[origin]
+                del self.in_flight[origin]
             else:
-                self.known[origin] = version
+                self.known_versions[origin] = version
 
-    def next(self, now: float, replica: Replica) -> tuple[list[ReplicationDelta], float | None]:
+    def next_deltas(self, now: float, replica: Replica) -> tuple[list[ReplicationDelta], float | None]:
         """(pieces that go now, seconds until there may be more). None: nothing more until the peer asks."""
-        self.left = min(float(self.burst), self.left + (now - self.at) * self.rows_per_s)
+        self.left = min(float(self.burst_rows), self.left + (now - self.at) * self.rows_per_s)
         self.at = now
-        least = min(self.burst, PIECE_ROWS)
+        least = min(self.burst_rows, MAX_ROWS_PER_DELTA)
         if self.left < least:
             return [], (least - self.left) / self.rows_per_s
-        pieces = replica.differences(now, self.known.values(), int(self.left))
+        pieces = replica.deltas_for(now, self.known_versions.values(), int(self.left))
         for piece in pieces:
             self.left -= max(1, len(piece.rows) + len(piece.deletions))
             version = ReplicaVersion(
                 piece.origin_id, piece.incarnation, piece.through_sequence, piece.compacted_sequence
             )
-            self.known[piece.origin_id] = version
-            self.under_way[piece.origin_id] = now, version
+            self.known_versions[piece.origin_id] = version
+            self.in_flight[piece.origin_id] = now, version
         return pieces, (max(0.0, least - self.left) / self.rows_per_s if pieces else None)
 
 
-class Asking:
+class SourceSelector:
     """What to tell each peer of where we stand, so that each row comes from one of them and not from all: of an
     origin the origin itself is asked where it is in reach, else one that has told of most. To the others we say
     that we have what is on its way here. Who was asked and sends nothing for PATIENCE_S (not whole itself, or cut
@@ -66,10 +66,10 @@
         self.told: dict[int, dict[int, ReplicaVersion]] = {}  # by peer, by origin
         self.moved: dict[int, tuple[tuple[int, int], float]] = {}  # by origin: where we stood, since when
 
-    def heard(self, peer: int, versions: Iterable[ReplicaVersion]) -> None:
+    def on_digest(self, peer: int, versions: Iterable[ReplicaVersion]) -> None:
         self.told[peer] = {v.origin_id: v for v in versions if 0 <= v.origin_id < self.origins}
 
-    def forget(self, peer: int) -> None:
+    def remove_peer(self, peer: int) -> None:
         self.told.pop(peer, None)
 
     def _best(self, origin: int) -> tuple[int, ReplicaVersion] | None:
@@ -85,16 +85,16 @@
         *_, number, _ = max(whole, key=lambda o: o[:4])
         return -number, most
 
-    def digest(self, now: float, peer: int, replica: Replica) -> list[ReplicaVersion]:
+    def digest_for(self, now: float, peer: int, replica: Replica) -> list[ReplicaVersion]:
         mine = {v.origin_id: v for v in replica.digest()}
-        for origin in sorted({o for told in self.told.values() for o in told} - {replica.me}):
+        for origin in sorted({o for told in self.told.values() for o in told} - {replica.local_id}):
             best, stands = self._best(origin), mine.get(origin, ReplicaVersion(origin, 0, 0))
             at = stands.incarnation, stands.sequence
             if self.moved.get(origin, ((-1, -1), 0.0))[0] != at:
                 self.moved[origin] = at, now
             if best is None or best[0] == peer or at >= (best[1].incarnation, best[1].sequence):
                 continue
-            if now - self.moved[origin][1] <= PATIENCE_S:
+            if now - self.moved[origin][1] <= SOURCE_TIMEOUT_S:
                 mine[origin] = best[1]
         return [v for _, v in sorted(mine.items())]
 
@@ -109,27 +109,27 @@
         self.open = set(others)
         self.level: set[int] = set()
 
-    def joined(self, peer: int) -> None:
+    def on_peer_connected(self, peer: int) -> None:
         self.open.add(peer)
         self.level.discard(peer)
 
-    def away(self, peer: int) -> None:
+    def on_peer_disconnected(self, peer: int) -> None:
         self.open.discard(peer)
         self.level.discard(peer)
 
-    def told(self, peer: int, lacking: bool) -> None:
+    def on_digest(self, peer: int, lacking: bool) -> None:
         """By its digest we lack something, or nothing."""
         if lacking:
-            self.joined(peer)
+            self.on_peer_connected(peer)
         else:
             self.open.discard(peer)
             self.level.add(peer)
 
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         return bool(self.level) and not self.open
 
 
-def stays(stands_life: int, new_life: int, dialled_by_lower: bool) -> bool:
+def keeps_stream(stands_life: int, new_life: int, dialled_by_lower: bool) -> bool:
     """Of two streams between a pair, whether the one that stands stays. Both ends say the same, so that one is
     left: that of a later life, else the one that the lower number keeps dialling.
     """
--- a/puffintide/replication/conflict_resolution.py
+++ b/puffintide/replication/conflict_resolution.py
@@ -14,36 +14,38 @@
 from puffintide.protocol.messages import Value
 from puffintide.replication.replica import Reading
 
-FRESH_S = 10.0  # an observation of our own counts before others' for so long
-OUT_MOST = 0.3  # an origin that finds more of the fleet unfit than this is confused itself, and not believed
+OWN_OBSERVATION_FRESH_S = 10.0  # an observation of our own counts before others' for so long
+MAX_UNFIT_FRACTION = (
+    0.3  # an origin that finds more of the fleet unfit than this is confused itself, and not believed
+)
 
 
-def figure(readings: Iterable[Reading], me: int) -> Reading | None:
+def best_figure(readings: Iterable[Reading], me: int) -> Reading | None:
     """Of the kinds that touch no rule: what was learned."""
-    found = sorted(readings, key=lambda r: (r.age_s, r.origin, r.version, r.value))
-    own = [r for r in found if r.origin == me and r.age_s <= FRESH_S]
+    found = sorted(readings, key=lambda r: (r.age_s, r.origin_id, r.version, r.value))
+    own = [r for r in found if r.origin_id == me and r.age_s <= OWN_OBSERVATION_FRESH_S]
     return next(iter(own or found), None)
 
 
-def believed(readings: Mapping[int, Collection[Reading]], servers: int) -> set[int]:
+def trusted_origins(readings: Mapping[int, Collection[Reading]], servers: int) -> set[int]:
     """The origins whose low levels count: those that find no more unfit than OUT_MOST of the listed servers."""
     low: dict[int, int] = {}
     origins: set[int] = set()
     for rows in readings.values():
-        for origin, level in {(r.origin, r.value[1]) for r in rows}:
+        for origin, level in {(r.origin_id, r.value[1]) for r in rows}:
             origins.add(origin)
             low[origin] = low.get(origin, 0) + (level == 0)
-    return {o for o in origins if low.get(o, 0) <= OUT_MOST * servers}
+    return {o for o in origins if low.get(o, 0) <= MAX_UNFIT_FRACTION * servers}
 
 
-def server(readings: Iterable[Reading], trusted: Collection[int]) -> tuple[int, int] | None:
+def server_level(readings: Iterable[Reading], trusted: Collection[int]) -> tuple[int, int] | None:
     """(life, level) of one server: the lowest level that a trusted origin gives it in its latest life."""
-    rows = [(int(r.value[0]), int(r.value[1])) for r in readings if r.origin in trusted]
+    rows = [(int(r.value[0]), int(r.value[1])) for r in readings if r.origin_id in trusted]
     latest = max((life for life, _ in rows), default=0)
     return min((row for row in rows if row[0] == latest), default=None)
 
 
-def leaving(
+def leaving_servers(
     readings: Mapping[int, Collection[Reading]],
     me: int,
     lives: Mapping[int, int],
@@ -55,16 +57,20 @@
     said: dict[int, set[int]] = {}
     for sid, rows in readings.items():
         for r in rows:
-            if r.origin != me and r.value[0] == lives.get(sid) and r.age_s < told_s.get(sid, math.inf):
-                said.setdefault(r.origin, set()).add(sid)
-    return sorted({sid for sids in said.values() if len(sids) <= OUT_MOST * len(lives) for sid in sids})
+            if r.origin_id != me and r.value[0] == lives.get(sid) and r.age_s < told_s.get(sid, math.inf):
+                said.setdefault(r.origin_id, set()).add(sid)
+    return sorted(
+        {sid for sids in said.values() if len(sids) <= MAX_UNFIT_FRACTION * len(lives) for sid in sids}
+    )
 
 
-def table(readings: Iterable[Reading]) -> Reading | None:
+def latest_table(readings: Iterable[Reading]) -> Reading | None:
     """Tokens never come again, so the one with the highest is the latest charge's; batches rise within it."""
-    return max(readings, key=lambda r: (*r.value[:2], r.version, r.origin, r.value, -r.age_s), default=None)
+    return max(
+        readings, key=lambda r: (*r.value[:2], r.version, r.origin_id, r.value, -r.age_s), default=None
+    )
 
 
-def differing(readings: Iterable[Reading]) -> list[Value]:
+def distinct_values(readings: Iterable[Reading]) -> list[Value]:
     """The values that stand, each once."""
     return sorted({r.value for r in readings})
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -17,7 +17,7 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
 from puffintide.protocol.stream import Acceptor, Stream
-from puffintide.replication.table_replicas import Refill
+from puffintide.replication.table_replicas import TableRestore
 from puffintide.store.book import Book, Change, charge_of
 from puffintide.store.engine import Change as Kept
 from puffintide.store.engine import Engine, Image, Overtaken, StoreError
@@ -48,7 +48,7 @@
         run: Run = maybeDeferred,
         streams_most: int = 5000,
         backups: Callable[[str], str] | None = None,
-        refill: Refill | None = None,
+        refill: TableRestore | None = None,
     ) -> None:
         self.reactor, self.book, self.deployment, self.log = reactor, book, deployment, log
         self.engine, self.run, self.zones = engine, run, zones
@@ -110,7 +110,7 @@
         done, self.refill = self.refill, None
         tables = done.tables()
         self.book.load(tables)
-        self.book.token = done.first_token(self.book.token)
+        self.book.token = done.first_fencing_token(self.book.token)
         told = sorted(done.answered)
         self.log.warning("refilled", tables=len(tables), assigners=told, token=self.book.token, by=by)
         for assigner in sorted(self.assigners):
@@ -118,7 +118,7 @@
 
     def _due(self) -> None:
         now = self.reactor.seconds()
-        if self.refill is not None and self.refill.ready(now):
+        if self.refill is not None and self.refill.is_ready(now):
             self._refilled(now, "itself")
         self._changed(self.book.due(now))  # nobody is there before the refill
         members = self.book.members(now)
@@ -184,7 +184,7 @@
                 self._backup(stream, message.name)
             case m.ReplicationDelta() if role == "assigner":
                 if self.refill is not None:
-                    for reason in self.refill.told(self.reactor.seconds(), stream.tag[1], message)[
+                    for reason in self.refill.on_delta(self.reactor.seconds(), stream.tag[1], message)[
                         :REASONS_MOST
                     ]:
                         self.log.warning("copy_refused", assigner=stream.tag[1], reason=reason)
@@ -241,7 +241,7 @@
             del self.assigners[stream.tag[1]]
             self.book.left(self.reactor.seconds(), stream.tag[1])
             if self.refill is not None:
-                self.refill.left(stream.tag[1])
+                self.refill.on_assigner_disconnected(stream.tag[1])
             self.log.warning("assigner_left", assigner=stream.tag[1], reason=stream.reason)
 
     def _read(self, stream: Stream, read: m.ReadRequest) -> None:
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -25,7 +25,7 @@
 from puffintide.emulators.fleet import FleetService
 from puffintide.protocol.messages import TableEntry
 from puffintide.proxy.service import ProxyService
-from puffintide.replication.table_replicas import GAP, Refill
+from puffintide.replication.table_replicas import FENCING_TOKEN_GAP, TableRestore
 from puffintide.scenarios.faults import Step, plan
 from puffintide.scenarios.place import Place, at
 from puffintide.scenarios.tap import Bend, Link, Tap
@@ -420,7 +420,7 @@
             charge, now = self.config.charge, party.seconds()
             book = Book(d.slices, d.assigners, charge.takeover_s, d.single_writer, opened=now)
             book.restore(image)
-            refill = Refill(d.slices, d.assigners, 5.0) if self.config.peers is not None else None
+            refill = TableRestore(d.slices, d.assigners, 5.0) if self.config.peers is not None else None
             self.store = StoreService(party, book, d.name, log, self.engine, image, zones, refill=refill)
             party.listenTCP(self.place.store, self.store.factory())
             self.store.start()
@@ -457,7 +457,9 @@
             case "restore":  # as the command does it
                 self.party[name].kill()
                 self.engine = Kept()
-                self.engine.image = replace(copied(self.saved), identity="r", token=self.saved.token + GAP)
+                self.engine.image = replace(
+                    copied(self.saved), identity="r", token=self.saved.token + FENCING_TOKEN_GAP
+                )
             case "start":
                 self.start(name)
             case "stop":
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -24,7 +24,9 @@
             assert service.peer_sessions is not None
             rows = service.peer_sessions.replica.readings(now, "table")
             views[k] = {
-                n: best.value for n, r in rows.items() if (best := conflict_resolution.table(r)) is not None
+                n: best.value
+                for n, r in rows.items()
+                if (best := conflict_resolution.latest_table(r)) is not None
             }
     for number, record in sorted(d.store.book.slices.items()):
         wanted = [(h.server_id, h.weight) for _, h in sorted(record.lines.items())]
@@ -154,13 +156,15 @@
     def lie(d: Deployment) -> None:
         peers = d.assigners[1].peer_sessions
         assert peers is not None
-        mine = peers.replica.held[1]
+        mine = peers.replica.origin_states[1]
         rows = [
-            m.ReplicatedRow("server", 3, mine.seq + 1, 0.0, (1.0, float("1e300"))),
-            m.ReplicatedRow("server", 4, mine.seq + 2, 0.0, (1.0, 0.0)),
+            m.ReplicatedRow("server", 3, mine.sequence + 1, 0.0, (1.0, float("1e300"))),
+            m.ReplicatedRow("server", 4, mine.sequence + 2, 0.0, (1.0, 0.0)),
         ]
-        top = mine.seq + 2
-        peers.peers[0].stream.send(m.ReplicationDelta(1, mine.life, mine.seq, top, top, 0, rows))
+        top = mine.sequence + 2
+        peers.sessions[0].stream.send(
+            m.ReplicationDelta(1, mine.incarnation, mine.sequence, top, top, 0, rows)
+        )
 
     d = Deployment(tmp_path, steps=[(5.0, lie)], **PEERS)
     verdict = d.play()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -21,10 +21,10 @@
 )
 from puffintide.replication import conflict_resolution
 from puffintide.replication import replica as core
-from puffintide.replication.catch_up import BURST_ROWS, Asking, CatchUp, Outgoing, stays
-from puffintide.replication.peer_sessions import Peers
+from puffintide.replication.catch_up import MAX_BURST_ROWS, SourceSelector, CatchUp, DeltaSender, keeps_stream
+from puffintide.replication.peer_sessions import PeerSessions
 from puffintide.replication.replica import Reading, Replica
-from puffintide.replication.table_replicas import KIND, Refill, packed, wrong_copies
+from puffintide.replication.table_replicas import KIND, TableRestore, pack_table, validate_delta
 from tests.deployment import Log
 
 COUNT = 4
@@ -53,14 +53,14 @@
                     node.put(self.now, self.draw.choice("ab"), number, (float(self.draw.randrange(100)),))
             case "drop":
                 for kind, number in self.draw.sample(
-                    sorted(node.held[k].rows), min(2, len(node.held[k].rows))
+                    sorted(node.origin_states[k].rows), min(2, len(node.origin_states[k].rows))
                 ):
-                    node.drop(kind, number)
+                    node.delete(kind, number)
             case "ask":
                 self.ask(k, other)
             case "deliver" if self.bag:
                 to, piece = self.bag.pop(self.draw.randrange(len(self.bag)))
-                self.nodes[to].take(self.now, piece)
+                self.nodes[to].apply(self.now, piece)
             case "double" if self.bag:
                 self.bag.append(self.draw.choice(self.bag))
             case "lose" if self.bag:
@@ -70,9 +70,9 @@
 
     def ask(self, k: int, other: int) -> None:
         digest = self.nodes[k].digest()
-        self.nodes[other].behind(digest)
+        self.nodes[other].is_behind(digest)
         self.bag += [
-            (k, p) for p in self.nodes[other].differences(self.now, digest, self.draw.choice([1, 5, 50]))
+            (k, p) for p in self.nodes[other].deltas_for(self.now, digest, self.draw.choice([1, 5, 50]))
         ]
 
     def heal(self) -> None:
@@ -83,14 +83,14 @@
                         self.ask(k, other)
                         while self.bag:
                             to, piece = self.bag.pop(0)
-                            self.nodes[to].take(self.now, piece)
+                            self.nodes[to].apply(self.now, piece)
 
     def picture(self, k: int) -> dict[Any, Any]:
         found = {}
         for kind in "ab":
             for number, rows in self.nodes[k].readings(self.now, kind).items():
                 for r in rows:
-                    found[kind, number, r.origin] = (r.version, r.value)
+                    found[kind, number, r.origin_id] = (r.version, r.value)
         return found
 
 
@@ -108,8 +108,8 @@
 
 def one_history(seed: int, gone_most: int) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(core, "GONE_MOST", gone_most)
-        patch.setattr(core, "PIECE_ROWS", 2)
+        patch.setattr(core, "MAX_DELETIONS", gone_most)
+        patch.setattr(core, "MAX_ROWS_PER_DELTA", 2)
         group = Group(seed)
         for word in group.draw.choices(WORDS, k=150):
             group.step(word)
@@ -117,9 +117,9 @@
         pictures = [group.picture(k) for k in range(COUNT)]
         assert all(picture == pictures[0] for picture in pictures)
         for k, node in enumerate(group.nodes):  # what stands of each is what it says itself, and nothing else
-            own = {key: row.value for key, row in node.held[k].rows.items()}
+            own = {key: row.value for key, row in node.origin_states[k].rows.items()}
             assert {key[:2]: value for key, (_, value) in pictures[0].items() if key[2] == k} == own
-            assert len(node.held[k].gone) <= gone_most
+            assert len(node.origin_states[k].deletions) <= gone_most
 
 
 def read(origin: int, age: float, *value: float, version: tuple[int, int] = (1, 1)) -> Reading:
@@ -145,28 +145,48 @@
     mixed = [*rows, *draw.sample(rows, len(rows) // 2)]
     draw.shuffle(mixed)
     rules = [
-        lambda r: conflict_resolution.figure(r, 0),
-        lambda r: conflict_resolution.server(r, {0, 1, 2}),
-        conflict_resolution.table,
-        conflict_resolution.differing,
+        lambda r: conflict_resolution.best_figure(r, 0),
+        lambda r: conflict_resolution.server_level(r, {0, 1, 2}),
+        conflict_resolution.latest_table,
+        conflict_resolution.distinct_values,
     ]
     for rule in rules:
         assert rule(mixed) == rule(rows)
 
 
 CASES = [
-    ("own while fresh", conflict_resolution.figure([read(0, 9, 5), read(1, 0, 7)], 0), read(0, 9, 5)),
+    ("own while fresh", conflict_resolution.best_figure([read(0, 9, 5), read(1, 0, 7)], 0), read(0, 9, 5)),
     (
         "else the freshest",
-        conflict_resolution.figure([read(0, 11, 5), read(2, 3, 6), read(1, 3, 7)], 0),
+        conflict_resolution.best_figure([read(0, 11, 5), read(2, 3, 6), read(1, 3, 7)], 0),
         read(1, 3, 7),
     ),
-    ("nobody", conflict_resolution.figure([], 0), None),
-    ("later life first", conflict_resolution.server([read(0, 0, 1, 0), read(1, 9, 2, 3)], {0, 1}), (2, 3)),
-    ("then the safer", conflict_resolution.server([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0, 1}), (2, 0)),
-    ("not of who is confused", conflict_resolution.server([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0}), (2, 3)),
-    ("highest token", conflict_resolution.table([read(0, 0, 9, 1), read(1, 0, 8, 7)]), read(0, 0, 9, 1)),
-    ("then latest write", conflict_resolution.table([read(0, 0, 9, 1), read(1, 0, 9, 2)]), read(1, 0, 9, 2)),
+    ("nobody", conflict_resolution.best_figure([], 0), None),
+    (
+        "later life first",
+        conflict_resolution.server_level([read(0, 0, 1, 0), read(1, 9, 2, 3)], {0, 1}),
+        (2, 3),
+    ),
+    (
+        "then the safer",
+        conflict_resolution.server_level([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0, 1}),
+        (2, 0),
+    ),
+    (
+        "not of who is confused",
+        conflict_resolution.server_level([read(0, 0, 2, 3), read(1, 9, 2, 0)], {0}),
+        (2, 3),
+    ),
+    (
+        "highest token",
+        conflict_resolution.latest_table([read(0, 0, 9, 1), read(1, 0, 8, 7)]),
+        read(0, 0, 9, 1),
+    ),
+    (
+        "then latest write",
+        conflict_resolution.latest_table([read(0, 0, 9, 1), read(1, 0, 9, 2)]),
+        read(1, 0, 9, 2),
+    ),
 ]
 
 
@@ -185,7 +205,7 @@
 def test_which_servers_leave_by_another_list(
     name: str, rows: dict[int, list[Reading]], told: dict[int, float], wanted: list[int]
 ) -> None:
-    assert conflict_resolution.leaving(rows, 0, dict.fromkeys(range(10), 1), told) == wanted
+    assert conflict_resolution.leaving_servers(rows, 0, dict.fromkeys(range(10), 1), told) == wanted
 
 
 @pytest.mark.parametrize(("what", "found", "wanted"), CASES, ids=[c[0] for c in CASES])
@@ -196,31 +216,31 @@
 def test_one_confused_assigner_empties_no_pool() -> None:
     unfit = {0: 0, 1: 4, 2: 3}  # so many servers are by each one's word
     said = {s: [read(o, 0, 1, 0 if s < n else 3) for o, n in unfit.items()] for s in range(10)}
-    trusted = conflict_resolution.believed(said, 10)
+    trusted = conflict_resolution.trusted_origins(said, 10)
     assert trusted == {0, 2}  # 1 finds four of ten unfit
-    assert [s for s in said if conflict_resolution.server(said[s], trusted) == (1, 0)] == [0, 1, 2]
+    assert [s for s in said if conflict_resolution.server_level(said[s], trusted) == (1, 0)] == [0, 1, 2]
 
 
 def answer(assigner: int, tables: dict[int, tuple[int, int]], whole: bool = True) -> ReplicationDelta:
     held = [TableEntry(assigner, 1.0, "127.0.0.1:1", 0)]
-    rows = [ReplicatedRow(KIND, n, k + 1, 0.0, packed(*tables[n], held)) for k, n in enumerate(tables)]
+    rows = [ReplicatedRow(KIND, n, k + 1, 0.0, pack_table(*tables[n], held)) for k, n in enumerate(tables)]
     return ReplicationDelta(assigner, 0, 0, len(rows), len(rows) + (not whole), 0, rows)
 
 
 def test_a_store_is_refilled_from_the_newest_of_enough_answers() -> None:
-    refill = Refill(4, 3, 5.0)
-    assert not refill.ready(1e9)
-    assert refill.told(10.0, 0, answer(0, {0: (5, 1), 1: (6, 2)})) == []
-    assert not refill.ready(1e9)  # one of three: others may hold newer
-    refill.told(11.0, 1, answer(1, {0: (4, 9), 1: (6, 3)}, whole=False))
-    assert not refill.ready(1e9)  # half an answer is none
-    refill.left(1)
-    refill.told(12.0, 1, answer(1, {0: (4, 9), 1: (6, 3), 2: (9, 1)}))
-    assert not refill.ready(14.9) and refill.ready(15.0)
+    refill = TableRestore(4, 3, 5.0)
+    assert not refill.is_ready(1e9)
+    assert refill.on_delta(10.0, 0, answer(0, {0: (5, 1), 1: (6, 2)})) == []
+    assert not refill.is_ready(1e9)  # one of three: others may hold newer
+    refill.on_delta(11.0, 1, answer(1, {0: (4, 9), 1: (6, 3)}, whole=False))
+    assert not refill.is_ready(1e9)  # half an answer is none
+    refill.on_assigner_disconnected(1)
+    refill.on_delta(12.0, 1, answer(1, {0: (4, 9), 1: (6, 3), 2: (9, 1)}))
+    assert not refill.is_ready(14.9) and refill.is_ready(15.0)
     assert {n: held[0].server_id for n, held in refill.tables().items()} == {0: 0, 1: 1, 2: 1}
-    assert refill.first_token(0) == 9 + 2**32 and refill.first_token(2**40) == 2**40
-    refill.told(12.5, 2, answer(2, {}))
-    assert refill.ready(12.5)  # all there are have answered
+    assert refill.first_fencing_token(0) == 9 + 2**32 and refill.first_fencing_token(2**40) == 2**40
+    refill.on_delta(12.5, 2, answer(2, {}))
+    assert refill.is_ready(12.5)  # all there are have answered
 
 
 GOOD = ReplicatedRow("server", 3, 2, 1.0, (1.0, 0.0))
@@ -231,17 +251,17 @@
     (ReplicatedRow("server", 3, 2, 1.0, (1.0,)), "1 figures of 2"),
     (ReplicatedRow("fleet", -1, 2, 1.0, (float("inf"),)), "can't be"),
     (ReplicatedRow("fleet", -1, 2, 1.0, ("5",)), "can't be"),
-    (ReplicatedRow(KIND, 4, 2, 1.0, packed(1, 1, [])), "table 4 is not among the 4"),
+    (ReplicatedRow(KIND, 4, 2, 1.0, pack_table(1, 1, [])), "table 4 is not among the 4"),
     (ReplicatedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0)), "no token, batch and lines of four"),
     (ReplicatedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)), "value 4 is of the wrong kind"),
-    (ReplicatedRow(KIND, 1, 2, 1.0, packed(1, 1, [TableEntry(7, -1.0)])), "weight -1"),
-    (ReplicatedRow(KIND, 1, 2, 1.0, packed(-1, 1, [])), "below 0"),
+    (ReplicatedRow(KIND, 1, 2, 1.0, pack_table(1, 1, [TableEntry(7, -1.0)])), "weight -1"),
+    (ReplicatedRow(KIND, 1, 2, 1.0, pack_table(-1, 1, [])), "below 0"),
 ]
 
 
 @pytest.mark.parametrize(("row", "words"), ROWS, ids=[words for _, words in ROWS])
 def test_a_row_that_cannot_be_is_refused_for_itself(row: ReplicatedRow, words: str) -> None:
-    reasons, sound = wrong_copies(
+    reasons, sound = validate_delta(
         ReplicationDelta(1, 1, 0, 5, 5, 0, [GOOD, row], [("server", 2, 1), ("x", 2, 1)]), 4
     )
     assert len(reasons) == 2 and words in reasons[0] and "taken back" in reasons[1]
@@ -249,7 +269,7 @@
 
 
 def test_a_piece_whose_bounds_do_not_rise_is_refused_whole() -> None:
-    assert wrong_copies(ReplicationDelta(1, 1, 6, 5, 5, 0, [GOOD]), 4)[1] is None
+    assert validate_delta(ReplicationDelta(1, 1, 6, 5, 5, 0, [GOOD]), 4)[1] is None
 
 
 def test_a_late_piece_of_a_former_life_changes_nothing() -> None:
@@ -257,9 +277,9 @@
     for node, value in ((former, 1.0), (present, 2.0)):
         for number in range(3):
             node.put(0.0, "a", number, (value,))
-    late = former.differences(0.0, [], 10)
-    assert [other.take(1.0, piece) for piece in present.differences(0.0, [], 10)] == [True]
-    assert [other.take(1.0, piece) for piece in late] == [False]
+    late = former.deltas_for(0.0, [], 10)
+    assert [other.apply(1.0, piece) for piece in present.deltas_for(0.0, [], 10)] == [True]
+    assert [other.apply(1.0, piece) for piece in late] == [False]
     assert {r.value for rows in other.readings(1.0, "a").values() for r in rows} == {(2.0,)}
 
 
@@ -276,11 +296,11 @@
                 node.put(0.0, "a", number, (float(k),))
         for node in self.nodes[1:]:
             for other in self.nodes[1:]:
-                for piece in other.differences(0.0, node.digest(), 10**6):
-                    node.take(0.0, piece)
+                for piece in other.deltas_for(0.0, node.digest(), 10**6):
+                    node.apply(0.0, piece)
         self.now, self.rate, self.wire = 0.0, rate, list[tuple[float, int, int, Any]]()
-        self.asking = [Asking(count) for _ in self.nodes]
-        self.out = {(a, b): Outgoing(rate) for a in range(count) for b in range(count) if a != b}
+        self.asking = [SourceSelector(count) for _ in self.nodes]
+        self.out = {(a, b): DeltaSender(rate) for a in range(count) for b in range(count) if a != b}
         self.due: dict[tuple[int, int], float] = {}
         self.mute: set[tuple[int, int]] = set()
         self.sent: dict[int, int] = dict.fromkeys(range(count), 0)  # rows, by who sent
@@ -298,24 +318,24 @@
             beat = round(self.now * 100) % 50 == 0
             for a, b in self.out:
                 if beat:
-                    self.send(a, b, self.asking[a].digest(self.now, b, self.nodes[a]))
+                    self.send(a, b, self.asking[a].digest_for(self.now, b, self.nodes[a]))
                 if self.due.get((a, b), 9e9) <= self.now:
                     self.serve(a, b)
             for row in [r for r in self.wire if r[0] <= self.now]:
                 self.wire.remove(row)
                 _, a, b, message = row
                 if isinstance(message, ReplicationDelta):
-                    self.nodes[b].take(self.now, message)
+                    self.nodes[b].apply(self.now, message)
                 else:
-                    self.asking[b].heard(a, message)
-                    self.out[b, a].asked(self.now, message)
+                    self.asking[b].on_digest(a, message)
+                    self.out[b, a].on_digest(self.now, message)
                     if (b, a) not in self.due:
                         self.serve(b, a)
             self.now = round(self.now + 0.01, 2)
 
     def serve(self, a: int, b: int) -> None:
         self.due.pop((a, b), None)
-        pieces, wait = self.out[a, b].next(self.now, self.nodes[a])
+        pieces, wait = self.out[a, b].next_deltas(self.now, self.nodes[a])
         for piece in pieces:
             self.send(a, b, piece)
         if wait is not None:
@@ -327,46 +347,48 @@
 )
 def test_a_joiner_is_sent_each_row_about_once_and_at_the_pace(mute: set[tuple[int, int]]) -> None:
     net = Net(4, 3000, 4000.0)
-    net.asking[0].heard(1, net.nodes[1].digest())  # it has met one of them; the rest comes with their beats
+    net.asking[0].on_digest(
+        1, net.nodes[1].digest()
+    )  # it has met one of them; the rest comes with their beats
     net.mute = mute
     net.run(0.5)
-    assert 0 < sum(net.sent.values()) <= 3 * (4000 * 0.5 + BURST_ROWS)
+    assert 0 < sum(net.sent.values()) <= 3 * (4000 * 0.5 + MAX_BURST_ROWS)
     net.run(9.0)
-    assert net.nodes[0].count() == 9000
+    assert net.nodes[0].row_count() == 9000
     twice = (
         2 if mute else 1.35
     )  # what comes until the others have told, and where somebody was relied on in vain
-    assert sum(net.sent.values()) <= twice * 9000 + len(mute) * 9000 and net.most <= core.PIECE_ROWS
+    assert sum(net.sent.values()) <= twice * 9000 + len(mute) * 9000 and net.most <= core.MAX_ROWS_PER_DELTA
 
 
 def test_a_sender_keeps_its_pace_and_sends_again_what_did_not_come() -> None:
-    full, new, out = Replica(0, 1, 2), Replica(1, 1, 2), Outgoing(1000.0)
+    full, new, out = Replica(0, 1, 2), Replica(1, 1, 2), DeltaSender(1000.0)
     for number in range(5000):
         full.put(0.0, "a", number, (1.0,))
-    out.asked(0.0, new.digest())
+    out.on_digest(0.0, new.digest())
     rows, now, lost = 0, 0.0, []
     while now < 2.0:
-        pieces, wait = out.next(now, full)
+        pieces, wait = out.next_deltas(now, full)
         rows += sum(len(p.rows) for p in pieces)
-        assert rows <= 1000 * now + BURST_ROWS and sum(len(p.rows) for p in pieces) <= BURST_ROWS
+        assert rows <= 1000 * now + MAX_BURST_ROWS and sum(len(p.rows) for p in pieces) <= MAX_BURST_ROWS
         lost += pieces  # none arrives
-        out.asked(now, new.digest())
+        out.on_digest(now, new.digest())
         now += wait if wait is not None else 0.1
     seqs = [row.sequence for piece in lost for row in piece.rows]
-    assert len(seqs) == len(set(seqs)) > 2000 and new.count() == 0
+    assert len(seqs) == len(set(seqs)) > 2000 and new.row_count() == 0
     now += 2.5
-    out.asked(now, new.digest())  # it still has nothing
-    assert out.next(now, full)[0][0].after_sequence == 0
+    out.on_digest(now, new.digest())  # it still has nothing
+    assert out.next_deltas(now, full)[0][0].after_sequence == 0
 
 
 def test_what_a_peer_claims_of_nobody_is_told_to_nobody() -> None:
-    asking, node = Asking(3), Replica(0, 1, 3)
-    asking.heard(1, [ReplicaVersion(99, 1, 7), ReplicaVersion(2, 1, 7)])
-    assert {v.origin_id: v.sequence for v in asking.digest(0.0, 2, node)} == {
+    asking, node = SourceSelector(3), Replica(0, 1, 3)
+    asking.on_digest(1, [ReplicaVersion(99, 1, 7), ReplicaVersion(2, 1, 7)])
+    assert {v.origin_id: v.sequence for v in asking.digest_for(0.0, 2, node)} == {
         0: 0,
         2: 7,
     }  # asked of 1, so not of 2
-    assert {v.origin_id for v in asking.digest(0.0, 1, node)} == {0}
+    assert {v.origin_id for v in asking.digest_for(0.0, 1, node)} == {0}
 
 
 class Ear:
@@ -383,19 +405,21 @@
 def test_who_does_not_read_is_told_nothing_until_it_does() -> None:
     """Guards against a heap of what one peer never takes."""
     clock, ear = Clock(), Ear()
-    peers = Peers(clock, PeersSection(addresses=["127.0.0.1:1", "127.0.0.1:2"]), 0, 1, 4, Log(), lambda: None)
+    peers = PeerSessions(
+        clock, PeersSection(addresses=["127.0.0.1:1", "127.0.0.1:2"]), 0, 1, 4, Log(), lambda: None
+    )
     for number in range(3):
         peers.replica.put(0.0, "server", number, (1.0, 0.0))
     dial: Any = lambda *_, **__: None  # noqa: E731
     peers.start(dial)
     stream: Any = ear
-    peers.heard(stream, Hello(1, "assigner", 1, 0, "t", incarnation=1))
+    peers.on_message(stream, Hello(1, "assigner", 1, 0, "t", incarnation=1))
     ear.writable, ear.sent = False, []
-    peers.heard(stream, VersionDigest([]))
+    peers.on_message(stream, VersionDigest([]))
     clock.pump([0.5] * 10)
     assert ear.sent == []
     ear.writable = True
-    peers.heard(stream, VersionDigest([]))
+    peers.on_message(stream, VersionDigest([]))
     clock.pump([0.5])
     assert [len(x.rows) for x in ear.sent if isinstance(x, ReplicationDelta)] == [3]
     assert any(isinstance(x, VersionDigest) for x in ear.sent)
@@ -403,12 +427,33 @@
 
 CATCHING: list[tuple[str, list[tuple[Any, ...]], bool]] = [
     ("nobody told", [], False),
-    ("all level", [("told", 0, False), ("told", 1, False), ("told", 2, False)], True),
-    ("one lacks us something", [("told", 0, False), ("told", 1, True), ("told", 2, False)], False),
-    ("one silent", [("told", 0, False), ("told", 1, False), ("joined", 2)], False),
-    ("one out of reach", [("told", 0, False), ("told", 1, False), ("away", 2)], True),
-    ("all out of reach", [("away", 0), ("away", 1), ("away", 2)], False),
-    ("back, and knows more", [("told", 0, False), ("away", 1), ("away", 2), ("joined", 2)], False),
+    ("all level", [("on_digest", 0, False), ("on_digest", 1, False), ("on_digest", 2, False)], True),
+    (
+        "one lacks us something",
+        [("on_digest", 0, False), ("on_digest", 1, True), ("on_digest", 2, False)],
+        False,
+    ),
+    ("one silent", [("on_digest", 0, False), ("on_digest", 1, False), ("on_peer_connected", 2)], False),
+    (
+        "one out of reach",
+        [("on_digest", 0, False), ("on_digest", 1, False), ("on_peer_disconnected", 2)],
+        True,
+    ),
+    (
+        "all out of reach",
+        [("on_peer_disconnected", 0), ("on_peer_disconnected", 1), ("on_peer_disconnected", 2)],
+        False,
+    ),
+    (
+        "back, and knows more",
+        [
+            ("on_digest", 0, False),
+            ("on_peer_disconnected", 1),
+            ("on_peer_disconnected", 2),
+            ("on_peer_connected", 2),
+        ],
+        False,
+    ),
 ]
 
 
@@ -417,7 +462,7 @@
     found = CatchUp([0, 1, 2])
     for what, *words in steps:
         getattr(found, what)(*words)
-    assert found.done() is done
+    assert found.is_complete() is done
 
 
 def test_of_two_streams_between_a_pair_both_ends_keep_the_same() -> None:
@@ -425,7 +470,7 @@
     for first, second in ((1, 1), (1, 2), (2, 1)):  # the life of the one that dials anew, on each stream
         for by_lower in ((True, False), (False, True)):
             lives = {True: first, False: second}
-            a_then_b = stays(lives[by_lower[0]], lives[by_lower[1]], by_lower[1])
-            b_then_a = stays(lives[by_lower[1]], lives[by_lower[0]], by_lower[0])
+            a_then_b = keeps_stream(lives[by_lower[0]], lives[by_lower[1]], by_lower[1])
+            b_then_a = keeps_stream(lives[by_lower[1]], lives[by_lower[0]], by_lower[0])
             if first == second:
                 assert a_then_b != b_then_a  # the first stays here, and goes there: the same one
