--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -210,15 +210,15 @@
             silent = True
             table.add_row(address, replica, "", "", "", "", "", "")
             continue
-        for origin, held in sorted(replica.held.items()):
+        for origin, held in sorted(replica.origin_states.items()):
             if origin >= 0:
-                ages = [-row.seen for row in held.rows.values()] or [0.0]
+                ages = [-row.observed_at_s for row in held.rows.values()] or [0.0]
                 tables = sum(kind == "table" for kind, _ in held.rows)
                 table.add_row(
                     address,
                     str(origin),
-                    str(held.life >> NONCE_BITS),
-                    str(held.seq),
+                    str(held.incarnation >> NONCE_BITS),
+                    str(held.sequence),
                     str(tables),
                     str(len(held.rows) - tables),
                     f"{min(ages):.1f}",
