--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -16,7 +16,7 @@
 import msgspec
 import pytest
 
-from puffintide.assigner.cache import load_list, save_list
+from puffintide.assigner.endpoint_list import load_cache, save_cache
 from puffintide.emulators.etcd import Etcd
 from puffintide.platform.client_messages import decode_client_message
 from puffintide.platform.discovery_messages import decode_endpoint_list
@@ -332,11 +332,11 @@
 def test_recorded_endpoint_list_loads_and_is_saved_as_the_same_bytes(tmp_path: Path) -> None:
     recorded = DATA / "endpoint-list.json"
     saved_at = 1764500000.5
-    assert load_list(str(recorded), saved_at) == m.WatchEvent("cached", 33, ENDPOINTS)
-    aged = load_list(str(recorded), saved_at + 10.0).servers
+    assert load_cache(str(recorded), saved_at) == m.WatchEvent("cached", 33, ENDPOINTS)
+    aged = load_cache(str(recorded), saved_at + 10.0).servers
     assert [endpoint.age_s for endpoint in aged] == [22.25, -1.0, 13.0]
     written = tmp_path / "list"
-    save_list(str(written), saved_at, m.WatchEvent("full", 33, ENDPOINTS))
+    save_cache(str(written), saved_at, m.WatchEvent("full", 33, ENDPOINTS))
     assert written.read_bytes() == recorded.read_bytes()
 
 
