--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -73,7 +73,7 @@
         if kind == "table" or kind in kinds:
             put(self, now, kind, number, value)
 
-    Replica.put = some  # type: ignore[method-assign]
+    Replica.put = some  # type: ignore[assignment,method-assign]
     ejected: set[int] = set()
 
     def look(d: Deployment) -> None:
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -40,7 +40,7 @@
     from puffintide.owned_tables import OwnedTables
     from puffintide.protocol.clock import monotonic_reactor
     from puffintide.protocol.stream import Acceptor, Dialler, Stream
-    from puffintide.replication.peer_observations import LocalFindings, EndpointListState
+    from puffintide.replication.peer_observations import EndpointListState, LocalFindings
     from puffintide.replication.peer_sessions import PeerSessions
     from puffintide.replication.table_replicas import latest_tables
 
--- a/puffintide/audit/copies.py
+++ b/puffintide/audit/copies.py
@@ -8,7 +8,7 @@
 from puffintide.protocol import messages as m
 from puffintide.replication import conflict_resolution
 from puffintide.replication.replica import Replica
-from puffintide.replication.table_replicas import KIND
+from puffintide.replication.row_types import RowType
 
 AGREE_S = 5.0  # what was first told later than this before the end may still be on its way
 
@@ -43,7 +43,7 @@
             first.setdefault((row.row_id, row.value), (r.came, r.number))
     best: dict[int, dict[int, m.Value]] = {}
     for k, replica in held.items():
-        for number, rows in replica.readings(last, KIND).items():
+        for number, rows in replica.readings(last, RowType.TABLE).items():
             found = conflict_resolution.latest_table(rows)
             if found is not None:
                 best.setdefault(number, {})[k] = found.value
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -122,7 +122,7 @@
     from twisted.internet.threads import deferToThreadPool
     from twisted.python.threadpool import ThreadPool
 
-    from puffintide.replication.table_replicas import TableRestore
+    from puffintide.replication.table_restore import TableRestore
     from puffintide.store.book import Book
     from puffintide.store.engine import Engine, Memory, StoreError
     from puffintide.store.service import StoreService
--- a/puffintide/replication/conflict_resolution.py
+++ b/puffintide/replication/conflict_resolution.py
@@ -1,76 +1,112 @@
-"""The rule for copies that differ. Pure functions of the readings alone: their order, and how often one is there,
-change nothing.
+"""Which of several differing replicas of a row counts.
 
-Of one server: its later life outranks an earlier one whoever told it; in the same life the safer reading wins, the
-lowest level. Of a figure: our own while it is fresh, else the freshest of the others, of two as fresh that of the
-lower number. Of a table: the highest token, under one token the latest write.
+Pure functions of the set of readings: their order, and how often one occurs, change nothing. Of a server, the later
+incarnation outranks an earlier one whoever observed it; within an incarnation the safer reading wins, the lowest
+recovery level. Of a figure, our own counts while it is fresh, else the freshest of the others, of two as fresh that
+of the lower id. Of a table, the highest fencing token, and under one token the latest write.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Collection, Iterable, Mapping
+from typing import NamedTuple
 
 from puffintide.protocol.messages import Value
 from puffintide.replication.replica import Reading
 
-OWN_OBSERVATION_FRESH_S = 10.0  # an observation of our own counts before others' for so long
-MAX_UNFIT_FRACTION = (
-    0.3  # an origin that finds more of the fleet unfit than this is confused itself, and not believed
-)
+OWN_OBSERVATION_FRESH_S = 10.0  # for so long it counts before those of others
+MAX_UNFIT_FRACTION = 0.3  # an origin that finds more of the fleet unfit is itself at fault, and not trusted
 
 
-def best_figure(readings: Iterable[Reading], me: int) -> Reading | None:
-    """Of the kinds that touch no rule: what was learned."""
-    found = sorted(readings, key=lambda r: (r.age_s, r.origin_id, r.version, r.value))
-    own = [r for r in found if r.origin_id == me and r.age_s <= OWN_OBSERVATION_FRESH_S]
-    return next(iter(own or found), None)
+class ServerLevel(NamedTuple):
+    """The recovery level of a server in one of its incarnations."""
 
+    incarnation: int
+    recovery_level: int
 
-def trusted_origins(readings: Mapping[int, Collection[Reading]], servers: int) -> set[int]:
-    """The origins whose low levels count: those that find no more unfit than OUT_MOST of the listed servers."""
-    low: dict[int, int] = {}
+
+def best_figure(readings: Iterable[Reading], local_id: int) -> Reading | None:
+    """Choose among readings of a learned figure."""
+    by_age = sorted(
+        readings, key=lambda reading: (reading.age_s, reading.origin_id, reading.version, reading.value)
+    )
+    own = [
+        reading
+        for reading in by_age
+        if reading.origin_id == local_id and reading.age_s <= OWN_OBSERVATION_FRESH_S
+    ]
+    return next(iter(own or by_age), None)
+
+
+def trusted_origins(readings: Mapping[int, Collection[Reading]], server_count: int) -> set[int]:
+    """Return the origins that eject no more than MAX_UNFIT_FRACTION of the listed servers.
+
+    Args:
+        readings: Of type SERVER, by server.
+        server_count: Number of listed servers.
+    """
+    ejected: dict[int, int] = {}
     origins: set[int] = set()
-    for rows in readings.values():
-        for origin, level in {(r.origin_id, r.value[1]) for r in rows}:
-            origins.add(origin)
-            low[origin] = low.get(origin, 0) + (level == 0)
-    return {o for o in origins if low.get(o, 0) <= MAX_UNFIT_FRACTION * servers}
+    for of_server in readings.values():
+        for origin_id, level in {(reading.origin_id, reading.value[1]) for reading in of_server}:
+            origins.add(origin_id)
+            ejected[origin_id] = ejected.get(origin_id, 0) + (level == 0)
+    return {origin_id for origin_id in origins if ejected[origin_id] <= MAX_UNFIT_FRACTION * server_count}
 
 
-def server_level(readings: Iterable[Reading], trusted: Collection[int]) -> tuple[int, int] | None:
-    """(life, level) of one server: the lowest level that a trusted origin gives it in its latest life."""
-    rows = [(int(r.value[0]), int(r.value[1])) for r in readings if r.origin_id in trusted]
-    latest = max((life for life, _ in rows), default=0)
-    return min((row for row in rows if row[0] == latest), default=None)
+def server_level(readings: Iterable[Reading], trusted: Collection[int]) -> ServerLevel | None:
+    """Return the lowest level that a trusted origin gives one server in its latest incarnation."""
+    levels = [
+        ServerLevel(int(reading.value[0]), int(reading.value[1]))
+        for reading in readings
+        if reading.origin_id in trusted
+    ]
+    latest = max((level.incarnation for level in levels), default=0)
+    return min((level for level in levels if level.incarnation == latest), default=None)
 
 
 def leaving_servers(
     readings: Mapping[int, Collection[Reading]],
-    me: int,
-    lives: Mapping[int, int],
-    told_s: Mapping[int, float],
+    local_id: int,
+    incarnations: Mapping[int, int],
+    list_ages_s: Mapping[int, float],
 ) -> list[int]:
-    """Servers that leave by another's list, in the life that we know, where that list is younger than what our own
-    told of it (told_s: seconds ago). Who tells so of more than OUT_MOST of the servers we know is not believed.
+    """Return the servers that leave by the endpoint list of another assigner.
+
+    A reading counts in the incarnation that we know, where it is younger than what our own list told of the server.
+    An origin that tells so of more than MAX_UNFIT_FRACTION of the servers is not believed.
+
+    Args:
+        readings: Of type LEAVING, by server.
+        local_id: Our own id; own readings don't count.
+        incarnations: By server, as listed here.
+        list_ages_s: Seconds since our own list told of each server; absent if never.
     """
-    said: dict[int, set[int]] = {}
-    for sid, rows in readings.items():
-        for r in rows:
-            if r.origin_id != me and r.value[0] == lives.get(sid) and r.age_s < told_s.get(sid, math.inf):
-                said.setdefault(r.origin_id, set()).add(sid)
-    return sorted(
-        {sid for sids in said.values() if len(sids) <= MAX_UNFIT_FRACTION * len(lives) for sid in sids}
-    )
+    by_origin: dict[int, set[int]] = {}
+    for server_id, of_server in readings.items():
+        for reading in of_server:
+            if (
+                reading.origin_id != local_id
+                and reading.value[0] == incarnations.get(server_id)
+                and reading.age_s < list_ages_s.get(server_id, math.inf)
+            ):
+                by_origin.setdefault(reading.origin_id, set()).add(server_id)
+    max_leaving = MAX_UNFIT_FRACTION * len(incarnations)
+    believed = [server_ids for server_ids in by_origin.values() if len(server_ids) <= max_leaving]
+    return sorted({server_id for server_ids in believed for server_id in server_ids})
 
 
 def latest_table(readings: Iterable[Reading]) -> Reading | None:
-    """Tokens never come again, so the one with the highest is the latest charge's; batches rise within it."""
-    return max(
-        readings, key=lambda r: (*r.value[:2], r.version, r.origin_id, r.value, -r.age_s), default=None
-    )
+    """Choose among replicas of a table: tokens are never reused, and batches rise under one token."""
+    return max(readings, key=_table_rank, default=None)
+
+
+def _table_rank(reading: Reading) -> tuple[object, ...]:
+    token_and_batch = reading.value[:2]
+    return (*token_and_batch, reading.version, reading.origin_id, reading.value, -reading.age_s)
 
 
 def distinct_values(readings: Iterable[Reading]) -> list[Value]:
-    """The values that stand, each once."""
-    return sorted({r.value for r in readings})
+    """Return each value once, in order."""
+    return sorted({reading.value for reading in readings})
--- a/puffintide/replication/peer_observations.py
+++ b/puffintide/replication/peer_observations.py
@@ -1,8 +1,4 @@
-"""What the module has found out, as rows of copies, and what of the others' it is told. Pure.
-
-Kinds: "fleet" (number -1; the capacity learned for a listed size of 1), "server" (by server; its life, the level
-that it has; none at its full level) and "leaving" (by server; its life, of one that drains or has left the list).
-"""
+"""What the decision module has observed, as replicated rows, and which of the others' it is notified of. No I/O."""
 
 from __future__ import annotations
 
@@ -12,105 +8,166 @@
 from puffintide.decisions.events import PeerObservation
 from puffintide.replication import conflict_resolution
 from puffintide.replication.replica import Replica
+from puffintide.replication.row_types import FLEET_ROW_ID, RowType
 
-AGAIN_S = (
+RENEWAL_S = (
     conflict_resolution.OWN_OBSERVATION_FRESH_S / 2
-)  # what stands is told anew so often, so that it does not grow old
-KEPT_S = 60.0  # what others found out counts no longer than this
-CHANGED = 0.1  # a figure off by this share is told
+)  # current rows are put again so that they stay fresh
+MAX_OBSERVATION_AGE_S = 60.0  # older ones of other assigners don't count
+MIN_CAPACITY_CHANGE = 0.1  # fraction by which a capacity has to change to be published
 
 
 @dataclass(frozen=True, slots=True)
 class LocalFindings:
-    """Of one module: None where it has learned nothing yet."""
+    """What the decision module has learned.
+
+    Attributes:
+        capacity_per_s: Of a server of listed weight 1; None if not learned yet.
+        recovery_levels: Of servers that are not at their top level.
+    """
 
     capacity_per_s: float | None = None
-    recovery_levels: Mapping[int, int] = field(
-        default_factory=dict
-    )  # of servers that are not at their full level
+    recovery_levels: Mapping[int, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListState:
-    """From our own list: the life of each server, when it was last told (not at all: from a file), which drain."""
+    """Our own endpoint list.
+
+    Attributes:
+        incarnations: By listed server.
+        received_at_s: When the list last told of each server; absent if it was loaded from a file.
+        draining: Servers that drain.
+    """
 
     incarnations: Mapping[int, int] = field(default_factory=dict)
     received_at_s: Mapping[int, float] = field(default_factory=dict)
     draining: Collection[int] = ()
 
 
+@dataclass(frozen=True, slots=True)
+class _Departure:
+    incarnation: int
+    received_at_s: float
+
+
 class ObservationExchange:
+    """Publishes local observations to the replica, and finds those of other assigners that are new."""
+
     def __init__(self) -> None:
-        self.last: set[PeerObservation] = set()  # told to the module, and standing
-        self.lives: Mapping[int, int] = {}  # as last heard
-        self.leaving: dict[int, tuple[int, float]] = {}  # life, and when that was heard
-
-    def publish(self, now: float, replica: Replica, found: LocalFindings, heard: EndpointListState) -> None:
-        fleet = replica.local_rows("fleet").get(-1)
-        if found.capacity_per_s is not None:
-            old = float(fleet.value[0]) if fleet is not None else 0.0
-            far = abs(found.capacity_per_s - old) > CHANGED * old
-            if far or fleet is None or now - fleet.observed_at_s > AGAIN_S:
-                replica.put(now, "fleet", -1, (found.capacity_per_s,))
-        mine = replica.local_rows("server")
-        for sid, level in sorted(found.recovery_levels.items()):
-            value = (float(heard.incarnations.get(sid, 0)), float(level))
-            row = mine.get(sid)
-            if row is None or row.value != value or now - row.observed_at_s > AGAIN_S:
-                replica.put(now, "server", sid, value)
-        for sid in sorted(mine.keys() - found.recovery_levels.keys()):
-            replica.delete("server", sid)
-        self._publish_leaving(now, replica, heard)
-
-    def _publish_leaving(self, now: float, replica: Replica, heard: EndpointListState) -> None:
-        """What leaves is told with the time at which the list said so, which does not grow younger. What has left
-        the list is told on for a while: to one whose list does not reach it, it would else seem to be back.
-        """
-        lives = {**self.lives, **heard.incarnations}
-        for sid in sorted(
-            {*heard.draining, *(self.lives.keys() - heard.incarnations.keys())} - self.leaving.keys()
-        ):
-            self.leaving[sid] = lives.get(sid, 0), heard.received_at_s.get(sid, now)
-        for sid, (_, at) in list(self.leaving.items()):
-            if (sid in heard.incarnations and sid not in heard.draining) or now - at > KEPT_S:
-                del self.leaving[sid]
-        self.lives = dict(heard.incarnations)
-        mine = replica.local_rows("leaving")
-        for sid, (life, at) in sorted(self.leaving.items()):
-            if sid not in mine:
-                replica.put(at, "leaving", sid, (float(life),))
-        for sid in sorted(mine.keys() - self.leaving.keys()):
-            replica.delete("leaving", sid)
+        self._current: set[PeerObservation] = set()  # the module was notified of these
+        self._last_incarnations: Mapping[int, int] = {}
+        self._departures: dict[int, _Departure] = {}
+
+    def publish(
+        self, now: float, replica: Replica, findings: LocalFindings, endpoint_list: EndpointListState
+    ) -> None:
+        """Put what changed, or has grown old, into the replica."""
+        _publish_capacity(now, replica, findings.capacity_per_s)
+        _publish_levels(now, replica, findings.recovery_levels, endpoint_list.incarnations)
+        self._update_departures(now, endpoint_list)
+        self._publish_departures(replica)
 
     def new_observations(
-        self, now: float, replica: Replica, found: LocalFindings, heard: EndpointListState
+        self, now: float, replica: Replica, endpoint_list: EndpointListState
     ) -> list[PeerObservation]:
-        """News alone. A reading of an earlier life of a server says nothing of it."""
-        told: set[PeerObservation] = set()
-        best = conflict_resolution.best_figure(
-            replica.readings(now, "fleet", KEPT_S).get(-1, []), replica.local_id
-        )
-        if best is not None and best.origin_id != replica.local_id:
-            told.add(PeerObservation(-1, capacity_per_s=float(best.value[0])))
-        readings = replica.readings(now, "server", KEPT_S)
-        trusted = conflict_resolution.trusted_origins(readings, len(heard.incarnations))
-        for sid, rows in sorted(readings.items()):
-            state = conflict_resolution.server_level(
-                [r for r in rows if r.origin_id != replica.local_id], trusted
-            )
-            if state is not None and sid in heard.incarnations and state[0] == heard.incarnations[sid]:
-                told.add(PeerObservation(sid, recovery_level=state[1]))
-        leaving = replica.readings(now, "leaving", KEPT_S)
-        for sid in conflict_resolution.leaving_servers(
-            leaving,
-            replica.local_id,
-            heard.incarnations,
-            {s: now - t for s, t in heard.received_at_s.items()},
-        ):
-            told.add(PeerObservation(sid, is_leaving=True))
-        back = [t for t in self.last - told if t.is_leaving and t.server_id in heard.incarnations]
-        new, self.last = told - self.last, told
-        return sorted(
-            [*new, *(PeerObservation(t.server_id, is_leaving=False) for t in back)],
-            key=lambda t: t.server_id,
-        )
+        """Return the observations of other assigners that the decision module was not notified of yet."""
+        observations = {
+            *_fleet_observations(now, replica),
+            *_level_observations(now, replica, endpoint_list.incarnations),
+            *_leaving_observations(now, replica, endpoint_list),
+        }
+        no_longer_leaving = [
+            PeerObservation(previous.server_id, is_leaving=False)
+            for previous in self._current - observations
+            if previous.is_leaving and previous.server_id in endpoint_list.incarnations
+        ]
+        new = observations - self._current
+        self._current = observations
+        return sorted([*new, *no_longer_leaving], key=lambda observation: observation.server_id)
+
+    def _update_departures(self, now: float, endpoint_list: EndpointListState) -> None:
+        """Note which servers drain or were removed from the list.
+
+        A removed server is told of for a while, as it would else seem to have returned to an assigner that the list
+        does not reach.
+        """
+        known = {**self._last_incarnations, **endpoint_list.incarnations}
+        removed = self._last_incarnations.keys() - endpoint_list.incarnations.keys()
+        for server_id in sorted({*endpoint_list.draining, *removed} - self._departures.keys()):
+            received_at_s = endpoint_list.received_at_s.get(server_id, now)
+            self._departures[server_id] = _Departure(known.get(server_id, 0), received_at_s)
+        for server_id, departure in list(self._departures.items()):
+            has_returned = server_id in endpoint_list.incarnations and server_id not in endpoint_list.draining
+            if has_returned or now - departure.received_at_s > MAX_OBSERVATION_AGE_S:
+                del self._departures[server_id]
+        self._last_incarnations = dict(endpoint_list.incarnations)
+
+    def _publish_departures(self, replica: Replica) -> None:
+        """Publish departures with the time at which the list told of them, which is not renewed."""
+        published = replica.local_rows(RowType.LEAVING)
+        for server_id, departure in sorted(self._departures.items()):
+            if server_id not in published:
+                replica.put(
+                    departure.received_at_s, RowType.LEAVING, server_id, (float(departure.incarnation),)
+                )
+        for server_id in sorted(published.keys() - self._departures.keys()):
+            replica.delete(RowType.LEAVING, server_id)
+
+
+def _publish_capacity(now: float, replica: Replica, capacity_per_s: float | None) -> None:
+    if capacity_per_s is None:
+        return
+    row = replica.local_rows(RowType.FLEET).get(FLEET_ROW_ID)
+    published = float(row.value[0]) if row is not None else 0.0
+    has_changed = abs(capacity_per_s - published) > MIN_CAPACITY_CHANGE * published
+    if has_changed or row is None or now - row.observed_at_s > RENEWAL_S:
+        replica.put(now, RowType.FLEET, FLEET_ROW_ID, (capacity_per_s,))
+
+
+def _publish_levels(
+    now: float, replica: Replica, levels: Mapping[int, int], incarnations: Mapping[int, int]
+) -> None:
+    published = replica.local_rows(RowType.SERVER)
+    for server_id, level in sorted(levels.items()):
+        value = (float(incarnations.get(server_id, 0)), float(level))
+        row = published.get(server_id)
+        if row is None or row.value != value or now - row.observed_at_s > RENEWAL_S:
+            replica.put(now, RowType.SERVER, server_id, value)
+    for server_id in sorted(published.keys() - levels.keys()):
+        replica.delete(RowType.SERVER, server_id)
+
+
+def _fleet_observations(now: float, replica: Replica) -> list[PeerObservation]:
+    readings = replica.readings(now, RowType.FLEET, MAX_OBSERVATION_AGE_S).get(FLEET_ROW_ID, [])
+    best = conflict_resolution.best_figure(readings, replica.local_id)
+    if best is None or best.origin_id == replica.local_id:
+        return []
+    return [PeerObservation(FLEET_ROW_ID, capacity_per_s=float(best.value[0]))]
+
+
+def _level_observations(
+    now: float, replica: Replica, incarnations: Mapping[int, int]
+) -> list[PeerObservation]:
+    """Levels of servers in the incarnation that is listed here; an earlier one says nothing of it."""
+    observations: list[PeerObservation] = []
+    readings = replica.readings(now, RowType.SERVER, MAX_OBSERVATION_AGE_S)
+    trusted = conflict_resolution.trusted_origins(readings, len(incarnations))
+    for server_id, of_server in sorted(readings.items()):
+        of_others = [reading for reading in of_server if reading.origin_id != replica.local_id]
+        best = conflict_resolution.server_level(of_others, trusted)
+        if best is not None and incarnations.get(server_id) == best.incarnation:
+            observations.append(PeerObservation(server_id, recovery_level=best.recovery_level))
+    return observations
+
+
+def _leaving_observations(
+    now: float, replica: Replica, endpoint_list: EndpointListState
+) -> list[PeerObservation]:
+    leaving = conflict_resolution.leaving_servers(
+        replica.readings(now, RowType.LEAVING, MAX_OBSERVATION_AGE_S),
+        replica.local_id,
+        endpoint_list.incarnations,
+        {server_id: now - at for server_id, at in endpoint_list.received_at_s.items()},
+    )
+    return [PeerObservation(server_id, is_leaving=True) for server_id in leaving]
--- a/puffintide/replication/peer_sessions.py
+++ b/puffintide/replication/peer_sessions.py
@@ -15,14 +15,14 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.messages import AnyMessage, ReplicaVersion
 from puffintide.protocol.stream import Dialler, Handler, Stream
-from puffintide.replication.catch_up import SourceSelector, CatchUp, DeltaSender, keeps_stream
-from puffintide.replication.peer_observations import LocalFindings, EndpointListState, ObservationExchange
+from puffintide.replication.catch_up import CatchUp, DeltaSender, SourceSelector, keeps_stream
+from puffintide.replication.peer_observations import EndpointListState, LocalFindings, ObservationExchange
 from puffintide.replication.replica import NONCE_BITS, Replica
+from puffintide.replication.row_validation import validate_delta
 from puffintide.replication.table_replicas import (
     adopt_orphans,
-    publish_tables,
     delete_superseded,
-    validate_delta,
+    publish_tables,
 )
 
 TIDY_S = 10.0
@@ -227,4 +227,4 @@
             self.tidy_at = now + TIDY_S
             delete_superseded(now, self.replica, tokens)
         self.shared.publish(now, self.replica, findings, heard)
-        return self.shared.new_observations(now, self.replica, findings, heard)
+        return self.shared.new_observations(now, self.replica, heard)
--- a/puffintide/replication/replica.py
+++ b/puffintide/replication/replica.py
@@ -1,40 +1,28 @@
-"""What every assigner knows, as each holds it. Pure: time is passed in, nothing is read or sent.
+"""What every assigner knows, as one of them holds it. No I/O; time is passed in.
 
-A row has one origin, which alone writes it, under a version of that origin: its life and a sequence that rises
-with each change. What is held of an origin is a function of the version up to which it is complete, so that of two
-copies the one with the higher version is the newer one whole, in whatever order, how often and by whatever way it
-came.
-Wall clocks have no part in it; a row's age travels along and goes on on the holder's own monotonic clock.
+A row has a single origin, which alone writes it, under a version of that origin: its incarnation and a sequence
+that rises with each change. What is held of an origin is a function of the version up to which it is complete. So
+of two replicas the one with the higher version is newer as a whole, whatever the order, number and path of the
+messages. Wall clocks have no part in it: a row's age travels along, and continues on the holder's monotonic clock.
 """
 
 from __future__ import annotations
 
-from bisect import bisect_right
 from collections.abc import Collection, Iterable, Mapping
-from dataclasses import dataclass, field
-from operator import itemgetter
+from dataclasses import dataclass
+from math import inf
 
 from puffintide.protocol.messages import ReplicatedRow, ReplicationDelta, ReplicaVersion, Value
+from puffintide.replication.origin_state import Change, OriginState, Row, RowKey
+from puffintide.replication.row_types import DURABLE_ROW_TYPES
 
-MAX_DELETIONS = 2000  # rows taken back that are remembered of one origin; who knows less is sent all
-MAX_ROWS_PER_DELTA = 400  # in one message
-LOG_COMPACTION_SLACK = 64
-NONCE_BITS = 20  # the lowest of a life
-DURABLE_ROW_TYPES = ("table",)  # kinds that outlive the life in which they were written
-
-Key = tuple[str, int]  # kind and number
-
-
-@dataclass(frozen=True, slots=True)
-class Row:
-    sequence: int
-    observed_at_s: float  # when its origin observed it, on our clock
-    value: Value
+MAX_ROWS_PER_DELTA = 400
+NONCE_BITS = 20  # the lowest bits of an incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A row as others see it."""
+    """A row of some origin with its version and age in seconds."""
 
     origin_id: int
     version: tuple[int, int]
@@ -44,261 +32,234 @@
 
 @dataclass(frozen=True, slots=True)
 class Orphan:
+    """A durable row whose origin began anew without it."""
+
     origin_id: int
     orphaned_at_s: float
     row: Row
 
 
-@dataclass(slots=True)
-class OriginState:
-    """All that is held of one origin: complete up to (life, seq)."""
-
-    incarnation: int = 0
-    sequence: int = 0
-    compacted_sequence: int = 0  # what was taken back up to here is forgotten, and nothing of it is held
-    latest_sequence: int = 0  # the highest sequence of this life that was heard of
-    rows: dict[Key, Row] = field(default_factory=dict)
-    rows_by_type: dict[str, dict[int, Row]] = field(
-        default_factory=dict
-    )  # the same, so that one kind is found at once
-    deletions: dict[Key, int] = field(default_factory=dict)  # like rows and log by sequence, the latest last
-    change_log: list[tuple[int, Key]] = field(
-        default_factory=list
-    )  # all of them; some have changed again since
-    previous_rows: dict[Key, Row] = field(default_factory=dict)  # read until what takes its place is whole
-
-    def version(self) -> tuple[int, int]:
-        return self.incarnation, self.sequence
-
-    def accepts_changes(self, life: int, after: int, floor: int, top: int) -> bool:
-        """Whether changes after that sequence, told by one who holds all up to top and has forgotten what was taken
-        back up to floor, go on from what is held here. Who is less far than our floor may hold what died since."""
-        return (
-            life == self.incarnation
-            and after <= self.sequence
-            and max(self.sequence, self.compacted_sequence) >= floor
-            and top >= self.compacted_sequence
-        )
-
-    def clear(self) -> None:
-        self.sequence = 0
-        self.rows, self.rows_by_type, self.deletions, self.change_log = {}, {}, {}, []
-
-    def record_change(self, key: Key, seq: int, row: Row | None) -> None:
-        """A change, the latest so far: the row as it is now, or None where it was taken back."""
-        self.rows.pop(key, None)
-        self.deletions.pop(key, None)
-        if row is not None:
-            self.rows[key] = row
-            self.rows_by_type.setdefault(key[0], {})[key[1]] = row
-        else:
-            self.deletions[key] = seq
-            self.rows_by_type.get(key[0], {}).pop(key[1], None)
-        while len(self.deletions) > MAX_DELETIONS:
-            oldest = next(iter(self.deletions))
-            self.compacted_sequence = max(self.compacted_sequence, self.deletions.pop(oldest))
-        self.change_log.append((seq, key))
-        if len(self.change_log) > 2 * (len(self.rows) + len(self.deletions)) + LOG_COMPACTION_SLACK:
-            self.change_log = [entry for entry in self.change_log if self.is_current(entry)]
-
-    def is_current(self, entry: tuple[int, Key]) -> bool:
-        seq, key = entry
-        row = self.rows.get(key)
-        return row.sequence == seq if row is not None else self.deletions.get(key) == seq
-
-    def changes_after(self, after: int, most: int) -> list[tuple[int, Key]]:
-        """The next ones, in order."""
-        found: list[tuple[int, Key]] = []
-        for at in range(bisect_right(self.change_log, after, key=itemgetter(0)), len(self.change_log)):
-            if len(found) >= most:
-                break
-            if self.is_current(self.change_log[at]):
-                found.append(self.change_log[at])
-        return found
-
-
 class Replica:
-    """me: our own number. life: which start of this assigner it is; goes above any that others remember of us.
-    nonce: drawn at the start, below 2^NONCE_BITS; tells two starts under one life's number apart."""
-
-    def __init__(self, me: int, life: int, origins: int, nonce: int = 0) -> None:
-        self.local_id, self.origin_count, self.nonce = me, origins, nonce
-        self.origin_states = {me: OriginState(life << NONCE_BITS | nonce)}
-        self.orphans: dict[Key, Orphan] = {}  # lasting rows of an origin that began anew without them
-        self.incarnation_conflicts = 0  # times that others knew a later life of us than our own
-        self.contested_deltas = 0  # two origins under one number: pieces of our own life that we never wrote
-
-    # What we know ourselves ----------------------------------------------------------------------
-
-    def put(self, now: float, kind: str, number: int, value: Value) -> None:
-        """An observation of now. Each makes a new version: call it when the value changed, or has grown old."""
-        mine = self.origin_states[self.local_id]
-        mine.sequence += 1
-        mine.record_change((kind, number), mine.sequence, Row(mine.sequence, now, value))
+    """Rows of all origins.
+
+    Attributes:
+        local_id: The assigner that holds this replica, itself an origin.
+        origin_count: Number of assigners; origins are numbered from 0.
+        nonce: Random number below 2^NONCE_BITS that tells two starts with the same incarnation apart.
+        origin_states: What is held, by origin.
+        orphans: Durable rows whose origin began anew without them.
+        incarnation_conflicts: Times that others knew a later incarnation of this assigner than its own.
+        contested_deltas: Deltas of this assigner's own incarnation that it never wrote: two processes share an id.
+    """
+
+    def __init__(self, local_id: int, incarnation: int, origin_count: int, nonce: int = 0) -> None:
+        self.local_id = local_id
+        self.origin_count = origin_count
+        self.nonce = nonce
+        self.origin_states = {local_id: OriginState(incarnation << NONCE_BITS | nonce)}
+        self.orphans: dict[RowKey, Orphan] = {}
+        self.incarnation_conflicts = 0
+        self.contested_deltas = 0
+
+    # Local rows -----------------------------------------------------------------------------------
+
+    @property
+    def _local_state(self) -> OriginState:
+        return self.origin_states[self.local_id]
+
+    def put(self, observed_at_s: float, row_type: str, row_id: int, value: Value) -> None:
+        """Set a local row. Each call makes a new version: to be called on a change, or to renew the age."""
+        local = self._local_state
+        local.sequence += 1
+        local.record_change(
+            RowKey(row_type, row_id), local.sequence, Row(local.sequence, observed_at_s, value)
+        )
 
-    def delete(self, kind: str, number: int) -> None:
-        """No longer ours to tell. What is dead stays dead: the others hear of it as of a row."""
-        mine = self.origin_states[self.local_id]
-        if (kind, number) in mine.rows:
-            mine.sequence += 1
-            mine.record_change((kind, number), mine.sequence, None)
+    def delete(self, row_type: str, row_id: int) -> None:
+        """Delete a local row, if there is one; the deletion is replicated as a row is."""
+        local = self._local_state
+        key = RowKey(row_type, row_id)
+        if key in local.rows:
+            local.sequence += 1
+            local.record_change(key, local.sequence, None)
 
-    def local_rows(self, kind: str) -> Mapping[int, Row]:
-        return self.origin_states[self.local_id].rows_by_type.get(kind, {})
+    def local_rows(self, row_type: str) -> Mapping[int, Row]:
+        """Return the local rows of a type by id."""
+        return self._local_state.rows_by_type.get(row_type, {})
 
-    # Between assigners ---------------------------------------------------------------------------
+    # Between assigners ----------------------------------------------------------------------------
 
     def digest(self) -> list[ReplicaVersion]:
+        """Return up to where each origin's rows are held."""
         return [
-            ReplicaVersion(o, h.incarnation, h.sequence, h.compacted_sequence)
-            for o, h in sorted(self.origin_states.items())
+            ReplicaVersion(origin_id, state.incarnation, state.sequence, state.compacted_sequence)
+            for origin_id, state in sorted(self.origin_states.items())
         ]
 
-    def is_behind(self, theirs: Iterable[ReplicaVersion]) -> bool:
-        """Whether somebody knows more of any origin than we do; our own later life counts as heard of."""
-        found = False
-        for version in theirs:
-            if 0 <= version.origin_id < self.origin_count:
-                self._outbid(version)
-                held = self.origin_states.get(version.origin_id, OriginState())
-                found |= (
-                    version.origin_id != self.local_id
-                    and (version.incarnation, version.sequence) > held.version()
-                )
-        return found
-
-    def _outbid(self, version: ReplicaVersion) -> None:
-        """Others remember of us what we did not write: our life's number was used before, and a file was lost. A
-        former life never outranks the present one, so ours goes above."""
-        mine = self.origin_states[self.local_id]
-        if version.origin_id != self.local_id or (version.incarnation, version.sequence) <= mine.version():
-            return
-        mine.incarnation = ((version.incarnation >> NONCE_BITS) + 1) << NONCE_BITS | self.nonce
-        rows, mine.compacted_sequence = mine.rows, 0
-        mine.clear()
-        for key, row in rows.items():
-            mine.sequence += 1
-            mine.record_change(key, mine.sequence, Row(mine.sequence, row.observed_at_s, row.value))
-        self.incarnation_conflicts += 1
+    def is_behind(self, versions: Iterable[ReplicaVersion]) -> bool:
+        """Whether a peer knows more of any other origin; a later incarnation of our own is noted."""
+        behind = False
+        for version in versions:
+            if not 0 <= version.origin_id < self.origin_count:
+                continue
+            self._exceed_remembered_incarnation(version)
+            state = self.origin_states.get(version.origin_id, OriginState())
+            if version.origin_id != self.local_id and _version_of(version) > state.version():
+                behind = True
+        return behind
 
     def deltas_for(
-        self, now: float, theirs: Iterable[ReplicaVersion], rows_most: int
+        self, now: float, versions: Iterable[ReplicaVersion], max_rows: int
     ) -> list[ReplicationDelta]:
-        """What another lacks, by its digest; no more than rows_most rows at once: it asks again."""
-        known = {v.origin_id: v for v in theirs}
-        found: list[ReplicationDelta] = []
-        for origin, held in sorted(self.origin_states.items()):
-            their = known.get(origin, ReplicaVersion(origin, 0, 0))
-            if (their.incarnation, their.sequence) >= held.version() or held.sequence < held.latest_sequence:
-                continue  # who is not whole yet leaves it to another
-            goes_on = (
-                their.incarnation == held.incarnation
-                and max(their.sequence, their.compacted_sequence) >= held.compacted_sequence
-            )
-            if goes_on and held.sequence < their.compacted_sequence:
-                continue
-            after = their.sequence if goes_on else 0
-            while True:
-                if rows_most <= 0:
-                    return found
-                part = held.changes_after(after, min(MAX_ROWS_PER_DELTA, rows_most) + 1)
-                last = len(part) <= min(MAX_ROWS_PER_DELTA, rows_most)
-                part = part[: min(MAX_ROWS_PER_DELTA, rows_most)]
-                rows_most -= max(1, len(part))
-                upto = held.sequence if last else part[-1][0]
-                found.append(self._piece(now, origin, held, part, after, upto))
-                after = upto
-                if last:
-                    break
-        return found
-
-    @staticmethod
-    def _piece(
-        now: float, origin: int, held: OriginState, part: list[tuple[int, Key]], after: int, upto: int
-    ) -> ReplicationDelta:
-        rows = [
-            ReplicatedRow(k, n, seq, round(now - held.rows[k, n].observed_at_s, 3), held.rows[k, n].value)
-            for seq, (k, n) in part
-            if (k, n) in held.rows
-        ]
-        gone = [(k, n, seq) for seq, (k, n) in part if (k, n) in held.deletions]
-        return ReplicationDelta(
-            origin, held.incarnation, after, upto, held.sequence, held.compacted_sequence, rows, gone
-        )
-
-    def apply(self, now: float, piece: ReplicationDelta) -> bool:
-        """Whether anything of it was new. A piece that does not follow on what is held changes nothing, and is
-        sent again once our digest has told."""
-        if not 0 <= piece.origin_id < self.origin_count:
+        """Return what a peer lacks by its versions, at most max_rows rows; it asks again for more."""
+        known = {version.origin_id: version for version in versions}
+        deltas: list[ReplicationDelta] = []
+        for origin_id, state in sorted(self.origin_states.items()):
+            after = _first_missing_after(state, known.get(origin_id, ReplicaVersion(origin_id, 0, 0)))
+            while after is not None:
+                if max_rows <= 0:
+                    return deltas
+                delta = _next_delta(now, origin_id, state, after, min(MAX_ROWS_PER_DELTA, max_rows))
+                max_rows -= max(1, len(delta.rows) + len(delta.deletions))
+                deltas.append(delta)
+                after = delta.through_sequence if delta.through_sequence < state.sequence else None
+        return deltas
+
+    def apply(self, now: float, delta: ReplicationDelta) -> bool:
+        """Apply a delta; returns whether anything of it was new.
+
+        A delta that does not continue what is held changes nothing; it is sent again after our next digest.
+        """
+        if not 0 <= delta.origin_id < self.origin_count:
             return False
-        if piece.origin_id == self.local_id:
-            self.contested_deltas += piece.incarnation >= self.origin_states[self.local_id].incarnation
-            self._outbid(ReplicaVersion(self.local_id, piece.incarnation, piece.latest_sequence))
+        if delta.origin_id == self.local_id:
+            self.contested_deltas += delta.incarnation >= self._local_state.incarnation
+            self._exceed_remembered_incarnation(
+                ReplicaVersion(self.local_id, delta.incarnation, delta.latest_sequence)
+            )
             return False
-        held = self.origin_states.setdefault(piece.origin_id, OriginState())
-        follows = held.accepts_changes(
-            piece.incarnation, piece.after_sequence, piece.compacted_sequence, piece.latest_sequence
-        )
-        if (
-            piece.incarnation,
-            piece.through_sequence if follows else piece.latest_sequence,
-        ) <= held.version():
+        state = self.origin_states.setdefault(delta.origin_id, OriginState())
+        continues = state.accepts_changes(delta)
+        newest_sequence = delta.through_sequence if continues else delta.latest_sequence
+        if (delta.incarnation, newest_sequence) <= state.version():
             return False
-        if not follows:  # from the beginning, or not at all
-            if piece.after_sequence > 0:
+        if not continues:
+            if delta.after_sequence > 0:
                 return False
-            if piece.incarnation > held.incarnation:
-                lasting = {
-                    k: r for k, r in (held.previous_rows | held.rows).items() if k[0] in DURABLE_ROW_TYPES
-                }
-                self.orphans |= {k: Orphan(piece.origin_id, now, r) for k, r in lasting.items()}
-            held.previous_rows = held.previous_rows or held.rows
-            held.incarnation, held.compacted_sequence, held.latest_sequence = (
-                piece.incarnation,
-                piece.compacted_sequence,
-                0,
-            )
-            held.clear()
-        held.latest_sequence = max(held.latest_sequence, piece.latest_sequence)
-        changes = [
-            ((r.row_type, r.row_id), r.sequence, Row(r.sequence, now - r.age_s, r.value)) for r in piece.rows
-        ]
-        told: list[tuple[Key, int, Row | None]] = [
-            *changes,
-            *(((k, n), seq, None) for k, n, seq in piece.deletions),
-        ]
-        for key, seq, row in sorted(told, key=itemgetter(1)):
-            if seq > held.sequence:  # the rest is held already: all up to there is
-                held.record_change(key, seq, row)
-        held.sequence = piece.through_sequence
-        if held.sequence >= held.latest_sequence:
-            held.previous_rows = {}
+            self._restart_origin(now, state, delta)
+        _apply_changes(now, state, delta)
         return True
 
     def row_count(self) -> int:
-        return sum(len(held.rows) for held in self.origin_states.values())
+        """Return the number of rows of all origins."""
+        return sum(len(state.rows) for state in self.origin_states.values())
 
-    # Reading -------------------------------------------------------------------------------------
+    # Reading --------------------------------------------------------------------------------------
 
     def readings(
-        self, now: float, kind: str, age_most: float = float("inf"), numbers: Collection[int] | None = None
+        self, now: float, row_type: str, max_age_s: float = inf, row_ids: Collection[int] | None = None
     ) -> dict[int, list[Reading]]:
-        """What all origins say of each number, or of these alone; ours among them, none older than age_most."""
+        """Return what all origins, the local one among them, tell of each row id, or of the given ones alone."""
         found: dict[int, list[Reading]] = {}
-        for origin, held in sorted(self.origin_states.items()):
-            rows = held.rows_by_type.get(kind, {})
-            if held.previous_rows:
-                former = {
-                    n: row
-                    for (k, n), row in held.previous_rows.items()
-                    if k == kind and (k, n) not in held.deletions
-                }
-                rows = former | rows
-            for number in rows if numbers is None else numbers:
-                row = rows.get(number)
-                if row is not None and now - row.observed_at_s <= age_most:
-                    reading = Reading(
-                        origin, (held.incarnation, row.sequence), now - row.observed_at_s, row.value
-                    )
-                    found.setdefault(number, []).append(reading)
+        for origin_id, state in sorted(self.origin_states.items()):
+            rows = state.readable_rows(row_type)
+            for row_id in rows if row_ids is None else row_ids:
+                row = rows.get(row_id)
+                if row is None or now - row.observed_at_s > max_age_s:
+                    continue
+                version = (state.incarnation, row.sequence)
+                reading = Reading(origin_id, version, now - row.observed_at_s, row.value)
+                found.setdefault(row_id, []).append(reading)
         return found
+
+    # Incarnations ---------------------------------------------------------------------------------
+
+    def _exceed_remembered_incarnation(self, version: ReplicaVersion) -> None:
+        """Take an incarnation above one that others remember of us and that we did not write.
+
+        Our incarnation was then used before, as its file was lost; an earlier one must never outrank ours.
+        """
+        local = self._local_state
+        if version.origin_id != self.local_id or _version_of(version) <= local.version():
+            return
+        local.incarnation = ((version.incarnation >> NONCE_BITS) + 1) << NONCE_BITS | self.nonce
+        local.compacted_sequence = 0
+        rows = local.rows
+        local.clear()
+        for key, row in rows.items():
+            local.sequence += 1
+            local.record_change(key, local.sequence, Row(local.sequence, row.observed_at_s, row.value))
+        self.incarnation_conflicts += 1
+
+    def _restart_origin(self, now: float, state: OriginState, delta: ReplicationDelta) -> None:
+        if delta.incarnation > state.incarnation:
+            for key, row in (state.previous_rows | state.rows).items():
+                if key.row_type in DURABLE_ROW_TYPES:
+                    self.orphans[key] = Orphan(delta.origin_id, now, row)
+        state.restart(delta.incarnation, delta.compacted_sequence)
+
+
+def _version_of(version: ReplicaVersion) -> tuple[int, int]:
+    return version.incarnation, version.sequence
+
+
+def _first_missing_after(state: OriginState, peer: ReplicaVersion) -> int | None:
+    """The sequence after which to send an origin's changes, 0 for all; None if there is nothing to send.
+
+    Rows that are not complete here are left to another sender.
+    """
+    if _version_of(peer) >= state.version() or state.sequence < state.latest_sequence:
+        return None
+    continues = (
+        peer.incarnation == state.incarnation
+        and max(peer.sequence, peer.compacted_sequence) >= state.compacted_sequence
+    )
+    if not continues:
+        return 0
+    return None if state.sequence < peer.compacted_sequence else peer.sequence
+
+
+def _next_delta(
+    now: float, origin_id: int, state: OriginState, after: int, max_rows: int
+) -> ReplicationDelta:
+    changes = state.changes_after(after, max_rows + 1)
+    is_last = len(changes) <= max_rows
+    changes = changes[:max_rows]
+    rows = [_replicated_row(now, state, change) for change in changes if change.key in state.rows]
+    deletions = [
+        (change.key.row_type, change.key.row_id, change.sequence)
+        for change in changes
+        if change.key in state.deletions
+    ]
+    return ReplicationDelta(
+        origin_id,
+        state.incarnation,
+        after,
+        state.sequence if is_last else changes[-1].sequence,
+        state.sequence,
+        state.compacted_sequence,
+        rows,
+        deletions,
+    )
+
+
+def _replicated_row(now: float, state: OriginState, change: Change) -> ReplicatedRow:
+    row = state.rows[change.key]
+    age_s = round(now - row.observed_at_s, 3)
+    return ReplicatedRow(change.key.row_type, change.key.row_id, change.sequence, age_s, row.value)
+
+
+def _apply_changes(now: float, state: OriginState, delta: ReplicationDelta) -> None:
+    state.latest_sequence = max(state.latest_sequence, delta.latest_sequence)
+    changes: list[tuple[int, RowKey, Row | None]] = []
+    for row in delta.rows:
+        copy = Row(row.sequence, now - row.age_s, row.value)
+        changes.append((row.sequence, RowKey(row.row_type, row.row_id), copy))
+    for row_type, row_id, sequence in delta.deletions:
+        changes.append((sequence, RowKey(row_type, row_id), None))
+    for sequence, key, changed_row in sorted(changes, key=lambda change: change[0]):
+        if sequence > state.sequence:  # all up to there is held already
+            state.record_change(key, sequence, changed_row)
+    state.sequence = delta.through_sequence
+    if state.sequence >= state.latest_sequence:
+        state.previous_rows = {}
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -17,7 +17,7 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
 from puffintide.protocol.stream import Acceptor, Stream
-from puffintide.replication.table_replicas import TableRestore
+from puffintide.replication.table_restore import TableRestore
 from puffintide.store.book import Book, Change, charge_of
 from puffintide.store.engine import Change as Kept
 from puffintide.store.engine import Engine, Image, Overtaken, StoreError
@@ -111,7 +111,7 @@
         tables = done.tables()
         self.book.load(tables)
         self.book.token = done.first_fencing_token(self.book.token)
-        told = sorted(done.answered)
+        told = sorted(done.complete_assigners)
         self.log.warning("refilled", tables=len(tables), assigners=told, token=self.book.token, by=by)
         for assigner in sorted(self.assigners):
             self._changed(self.book.joined(now, assigner, self.lives.get(assigner, 0)))
@@ -189,7 +189,7 @@
                     ]:
                         self.log.warning("copy_refused", assigner=stream.tag[1], reason=reason)
             case m.RestoreFromReplicas() if role == "operator":
-                if self.refill is None or not self.refill.answered:
+                if self.refill is None or not self.refill.complete_assigners:
                     waits = self.refill is not None
                     why = (
                         "no assigner has answered yet" if waits else "it is not empty, or may not be refilled"
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -25,7 +25,7 @@
 from puffintide.emulators.fleet import FleetService
 from puffintide.protocol.messages import TableEntry
 from puffintide.proxy.service import ProxyService
-from puffintide.replication.table_replicas import FENCING_TOKEN_GAP, TableRestore
+from puffintide.replication.table_restore import FENCING_TOKEN_GAP, TableRestore
 from puffintide.scenarios.faults import Step, plan
 from puffintide.scenarios.place import Place, at
 from puffintide.scenarios.tap import Bend, Link, Tap
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -19,12 +19,15 @@
     TableEntry,
     VersionDigest,
 )
-from puffintide.replication import conflict_resolution
+from puffintide.replication import conflict_resolution, origin_state
 from puffintide.replication import replica as core
-from puffintide.replication.catch_up import MAX_BURST_ROWS, SourceSelector, CatchUp, DeltaSender, keeps_stream
+from puffintide.replication.catch_up import MAX_BURST_ROWS, CatchUp, DeltaSender, SourceSelector, keeps_stream
 from puffintide.replication.peer_sessions import PeerSessions
 from puffintide.replication.replica import Reading, Replica
-from puffintide.replication.table_replicas import KIND, TableRestore, pack_table, validate_delta
+from puffintide.replication.row_types import RowType
+from puffintide.replication.row_validation import validate_delta
+from puffintide.replication.table_replicas import pack_table
+from puffintide.replication.table_restore import TableRestore
 from tests.deployment import Log
 
 COUNT = 4
@@ -108,7 +111,7 @@
 
 def one_history(seed: int, gone_most: int) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(core, "MAX_DELETIONS", gone_most)
+        patch.setattr(origin_state, "MAX_DELETIONS", gone_most)
         patch.setattr(core, "MAX_ROWS_PER_DELTA", 2)
         group = Group(seed)
         for word in group.draw.choices(WORDS, k=150):
@@ -223,7 +226,10 @@
 
 def answer(assigner: int, tables: dict[int, tuple[int, int]], whole: bool = True) -> ReplicationDelta:
     held = [TableEntry(assigner, 1.0, "127.0.0.1:1", 0)]
-    rows = [ReplicatedRow(KIND, n, k + 1, 0.0, pack_table(*tables[n], held)) for k, n in enumerate(tables)]
+    rows = [
+        ReplicatedRow(RowType.TABLE, n, k + 1, 0.0, pack_table(*tables[n], held))
+        for k, n in enumerate(tables)
+    ]
     return ReplicationDelta(assigner, 0, 0, len(rows), len(rows) + (not whole), 0, rows)
 
 
@@ -245,17 +251,17 @@
 
 GOOD = ReplicatedRow("server", 3, 2, 1.0, (1.0, 0.0))
 ROWS = [
-    (ReplicatedRow("colour", 3, 2, 1.0, (1.0,)), "no such kind"),
+    (ReplicatedRow("colour", 3, 2, 1.0, (1.0,)), "no such type"),
     (ReplicatedRow("server", 3, 9, 1.0, (1.0, 0.0)), "sequence 9 is not from 0 to 5"),
     (ReplicatedRow("server", 3, 2, -1.0, (1.0, 0.0)), "age -1 s"),
     (ReplicatedRow("server", 3, 2, 1.0, (1.0,)), "1 figures of 2"),
-    (ReplicatedRow("fleet", -1, 2, 1.0, (float("inf"),)), "can't be"),
-    (ReplicatedRow("fleet", -1, 2, 1.0, ("5",)), "can't be"),
-    (ReplicatedRow(KIND, 4, 2, 1.0, pack_table(1, 1, [])), "table 4 is not among the 4"),
-    (ReplicatedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0)), "no token, batch and lines of four"),
-    (ReplicatedRow(KIND, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)), "value 4 is of the wrong kind"),
-    (ReplicatedRow(KIND, 1, 2, 1.0, pack_table(1, 1, [TableEntry(7, -1.0)])), "weight -1"),
-    (ReplicatedRow(KIND, 1, 2, 1.0, pack_table(-1, 1, [])), "below 0"),
+    (ReplicatedRow("fleet", -1, 2, 1.0, (float("inf"),)), "is out of range"),
+    (ReplicatedRow("fleet", -1, 2, 1.0, ("5",)), "is out of range"),
+    (ReplicatedRow(RowType.TABLE, 4, 2, 1.0, pack_table(1, 1, [])), "table 4 is not among the 4"),
+    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, (1.0, 1.0, 7.0)), "no token, batch and entries of four"),
+    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)), "value 4 is of the wrong type"),
+    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, pack_table(1, 1, [TableEntry(7, -1.0)])), "weight -1"),
+    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, pack_table(-1, 1, [])), "below 0"),
 ]
 
 
@@ -264,7 +270,7 @@
     reasons, sound = validate_delta(
         ReplicationDelta(1, 1, 0, 5, 5, 0, [GOOD, row], [("server", 2, 1), ("x", 2, 1)]), 4
     )
-    assert len(reasons) == 2 and words in reasons[0] and "taken back" in reasons[1]
+    assert len(reasons) == 2 and words in reasons[0] and "deletion" in reasons[1]
     assert sound is not None and sound.rows == [GOOD] and sound.deletions == [("server", 2, 1)]
 
 
