--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -38,8 +38,9 @@
     """One assigner's streams. It holds each slice from `first` on whose turn is its own; -1 none."""
     from puffintide.config.schema import PeersSection
     from puffintide.owned_tables import OwnedTables
+    from puffintide.protocol.client import StreamClient
     from puffintide.protocol.clock import monotonic_reactor
-    from puffintide.protocol.stream import Acceptor, Dialler, Stream
+    from puffintide.protocol.stream import Stream, StreamServerFactory
     from puffintide.replication.peer_observations import EndpointListState, LocalFindings
     from puffintide.replication.peer_sessions import PeerSessions
     from puffintide.replication.table_replicas import latest_tables
@@ -88,8 +89,8 @@
     peers.exchange(tokens, ordered, found, EndpointListState())
     hello = m.Hello(m.PROTOCOL_VERSION, "assigner", me, 0, "t", incarnation=life)
 
-    def dial(address: str, heard: Any, lost: Any, *, again: bool = True) -> Dialler:
-        return Dialler(reactor, address, lambda: hello, heard, lost, again=again).start()
+    def dial(address: str, heard: Any, lost: Any, *, again: bool = True) -> StreamClient:
+        return StreamClient(reactor, address, lambda: hello, heard, lost, reconnect=again).start()
 
     def told(stream: Stream, message: Any) -> None:
         if isinstance(message, m.ReplicaRequest):
@@ -117,7 +118,7 @@
         reactor.callLater(section.every_s, beat)
 
     welcome = m.Welcome(m.PROTOCOL_VERSION, "assigner", me, life)
-    factory = Acceptor(reactor, lambda: welcome, peers.on_message)
+    factory = StreamServerFactory(reactor, lambda: welcome, peers.on_message)
     host, _, port = addresses[me].partition(":")
     reactor.listenTCP(int(port), factory, 50, host)
     say("began")
--- a/benchmarks/store_readers.py
+++ b/benchmarks/store_readers.py
@@ -21,7 +21,7 @@
 from benchmarks.store_cost import state
 from benchmarks.takeover import start
 from puffintide.protocol import messages as m
-from puffintide.protocol.codec import LINE_MOST, decode, encode
+from puffintide.protocol.codec import MAX_LINE_BYTES, decode, encode
 from puffintide.scenarios.place import Ports
 from puffintide.store.engine import Change
 from puffintide.store.sqlite import SqliteEngine
@@ -31,7 +31,7 @@
     port: int, number: int, since: int, identity: str, began: float
 ) -> tuple[float, int, m.ReadComplete]:
     """Seconds until all was read, bytes, and the end."""
-    stream, out = await asyncio.open_connection("127.0.0.1", port, limit=LINE_MOST + 1)
+    stream, out = await asyncio.open_connection("127.0.0.1", port, limit=MAX_LINE_BYTES + 1)
     out.write(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", number % 60000, 0, "readers")) + b"\n")
     out.write(encode(m.ReadRequest(since, identity)) + b"\n")
     size = 0
--- a/puffintide/assigner/endpoint_directory.py
+++ b/puffintide/assigner/endpoint_directory.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from puffintide.decisions.events import Endpoint, EndpointStatus, ListUpdateType
-from puffintide.protocol.checks import sound_entries
 from puffintide.protocol.messages import EndpointEntry, TableEntry, WatchEvent
+from puffintide.protocol.validation import split_valid_endpoints
 
 MAX_UNLISTED_SERVERS = 64  # remembered in addition to as many as are listed
 
@@ -45,7 +45,7 @@
         """
         if event.update_type == ListUpdateType.FAILED:
             return [], []
-        valid, problems = sound_entries(event.servers, self._zone_count)
+        valid, problems = split_valid_endpoints(event.servers, self._zone_count)
         if event.update_type == ListUpdateType.DELTA:
             self.listed |= valid
         else:
--- a/puffintide/assigner/health_checks.py
+++ b/puffintide/assigner/health_checks.py
@@ -6,8 +6,9 @@
 from typing import Any
 
 from puffintide.protocol import messages as m
+from puffintide.protocol.client import StreamClient
 from puffintide.protocol.messages import AnyMessage
-from puffintide.protocol.stream import Dialler, Stream
+from puffintide.protocol.stream import Stream
 from puffintide.tls.context import Contexts
 
 
@@ -32,17 +33,17 @@
         self.timer: Any = None
         self.dialler = self._dial()
 
-    def _dial(self) -> Dialler:
-        return Dialler(
+    def _dial(self) -> StreamClient:
+        return StreamClient(
             self.reactor,
             self.address,
             self.hello,
             self._message,
             self._lost,
-            again=False,
-            connect_s=self.timeout_s,
-            dead_s=60.0,
-            ping_s=30.0,
+            reconnect=False,
+            connect_timeout_s=self.timeout_s,
+            heartbeat_timeout_s=60.0,
+            heartbeat_interval_s=30.0,
             tls=self.tls,
         ).start()
 
--- a/puffintide/assigner/proxy_updates.py
+++ b/puffintide/assigner/proxy_updates.py
@@ -6,7 +6,7 @@
 
 from puffintide.assigner.channel import Channel
 from puffintide.protocol import messages as m
-from puffintide.protocol.stream import Stream
+from puffintide.protocol.stream import PeerIdentity, Stream
 
 MARK_S = 120.0  # for so long a mark that has not come back is remembered
 
@@ -20,7 +20,7 @@
         self._drain_at: Any = None
 
     def add_proxy(self, number: int, stream: Stream) -> None:
-        stream.tag = ("proxy", number)
+        stream.peer = PeerIdentity("proxy", number)
         self.streams[number] = stream
         self.channel.add_proxy(number)
 
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -33,10 +33,17 @@
 )
 from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
-from puffintide.protocol.checks import NEWS_KINDS, wrong_sums
+from puffintide.protocol.validation import WATCH_EVENT_TYPES, usage_report_problem
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
-from puffintide.protocol.stream import Acceptor, Dialler, Handler, Stream
+from puffintide.protocol.client import StreamClient
+from puffintide.protocol.stream import (
+    PeerIdentity,
+    UNIDENTIFIED_PEER,
+    StreamServerFactory,
+    MessageHandler,
+    Stream,
+)
 from puffintide.replication.peer_observations import LocalFindings, EndpointListState
 from puffintide.replication.peer_sessions import PeerSessions
 from puffintide.replication.table_replicas import latest_tables
@@ -130,11 +137,11 @@
         token = max(self.runtime.fencing_tokens.values(), default=0)
         return msgspec.structs.replace(self.hello(), highest_token=token)
 
-    def factory(self) -> Acceptor:
+    def factory(self) -> StreamServerFactory:
         def me() -> m.Welcome:
             return m.Welcome(m.PROTOCOL_VERSION, "assigner", self.process.id, self.incarnation)
 
-        return Acceptor(self.reactor, me, self._from_dialled, self._proxy_lost, self._judge)
+        return StreamServerFactory(self.reactor, me, self._from_dialled, self._proxy_lost, self._judge)
 
     def _judge(self, hello: Greeting) -> str | None:
         assert isinstance(hello, m.Hello)
@@ -208,13 +215,15 @@
     def _dial(
         self,
         address: str,
-        heard: Handler,
+        heard: MessageHandler,
         lost: Callable[[str], None] | None,
         hello: Callable[[], m.Hello] | None = None,
         again: bool = True,
-    ) -> Dialler:
+    ) -> StreamClient:
         made = hello or self.hello
-        return Dialler(self.reactor, address, made, heard, lost, self.draw, again=again, tls=self.tls).start()
+        return StreamClient(
+            self.reactor, address, made, heard, lost, self.draw, reconnect=again, tls=self.tls
+        ).start()
 
     def now(self) -> float:
         return float(self.reactor.seconds())
@@ -226,39 +235,39 @@
             return
         match message:
             case m.VersionDigest() | m.ReplicationDelta() if (
-                self.peer_sessions and stream.tag and stream.tag[0] == "assigner"
+                self.peer_sessions and stream.peer.role == "assigner"
             ):
                 self.peer_sessions.on_message(stream, message)
-            case m.ReplicaRequest() if self.peer_sessions and stream.tag and stream.tag[0] == "operator":
+            case m.ReplicaRequest() if self.peer_sessions and stream.peer.role == "operator":
                 for piece in self.peer_sessions.replica.deltas_for(now, [], SHOWN_MOST):
                     stream.send(piece)
                 stream.send(m.VersionDigest(self.peer_sessions.replica.digest()))
             case m.Hello(role="proxy"):
                 self._proxy_joined(now, stream, message)
             case m.Hello():
-                stream.tag = (message.role, message.id)
-            case m.ZoneStatusRequest() if stream.tag and stream.tag[0] == "operator":
+                stream.peer = PeerIdentity(message.role, message.id)
+            case m.ZoneStatusRequest() if stream.peer.role == "operator":
                 stream.send(self._zones(now))
-            case m.UsageReport() if stream.tag and stream.tag[0] == "proxy":
-                zone = self.runtime.proxy_zones.get(stream.tag[1])
-                wrong = wrong_sums(message, self.settings.slice_count, len(self.settings.request_classes))
+            case m.UsageReport() if stream.peer.role == "proxy":
+                zone = self.runtime.proxy_zones.get(stream.peer.id)
+                wrong = usage_report_problem(
+                    message, self.settings.slice_count, len(self.settings.request_classes)
+                )
                 if wrong is not None:
-                    stream.refuse(f"sums: {wrong}")
+                    stream.reject(f"sums: {wrong}")
                 elif zone is not None:
                     self.load_reports.add_usage(now, zone, message)
-            case m.CheckpointReply(mark) if (
-                stream.tag and stream.tag[0] == "proxy" and mark >= FIRST_CHECKPOINT_ID
-            ):
+            case m.CheckpointReply(mark) if stream.peer.role == "proxy" and mark >= FIRST_CHECKPOINT_ID:
                 if self.handover is not None:
-                    self._step(self.handover.on_checkpoint_reply(now, stream.tag[1], mark))
-            case m.CheckpointReply() if stream.tag and stream.tag[0] == "proxy":
+                    self._step(self.handover.on_checkpoint_reply(now, stream.peer.id, mark))
+            case m.CheckpointReply() if stream.peer.role == "proxy":
                 took = self.proxy_updates.on_checkpoint_reply(message.checkpoint_id)
                 self.runtime.add_events(
-                    now, CheckpointAcknowledged(stream.tag[1], message.checkpoint_id, took)
+                    now, CheckpointAcknowledged(stream.peer.id, message.checkpoint_id, took)
                 )
                 self._schedule()
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for an assigner")
+                stream.reject(f"a {type(message).__name__} is not for an assigner")
 
     def _zones(self, now: float) -> m.ZoneStatusReport:
         states = self.zone_director.plan.states() if self.zone_director is not None else []
@@ -282,7 +291,7 @@
     def _proxy_joined(self, now: float, stream: Stream, hello: m.Hello) -> None:
         old = self.proxies.get(hello.id)
         if old is not None:
-            old.tag = None
+            old.peer = UNIDENTIFIED_PEER
             old.abort("its proxy dialled anew")
             self._forget_proxy(now, hello.id)
         self.proxy_updates.add_proxy(hello.id, stream)
@@ -299,9 +308,9 @@
         self.runtime.on_proxy_disconnected(now, proxy)
 
     def _proxy_lost(self, stream: Stream, why: AnyMessage) -> None:
-        if stream.tag and stream.tag[0] == "proxy" and self.proxies.get(stream.tag[1]) is stream:
-            self._forget_proxy(self.now(), stream.tag[1])
-            self.log.warning("proxy_left", proxy=stream.tag[1], reason=stream.reason)
+        if stream.peer.role == "proxy" and self.proxies.get(stream.peer.id) is stream:
+            self._forget_proxy(self.now(), stream.peer.id)
+            self.log.warning("proxy_left", proxy=stream.peer.id, reason=stream.close_reason)
             self._schedule()
 
     def _from_list(self, stream: Stream, message: AnyMessage) -> None:
@@ -315,8 +324,10 @@
                     not self.runtime.has_endpoint_list
                 ):  # a first list, as the module is promised one at its start
                     stream.send(m.SnapshotRequest())
-            case m.WatchEvent() if message.update_type not in NEWS_KINDS:
-                stream.refuse(f"news of kind {message.update_type[:20]!r}; there are {', '.join(NEWS_KINDS)}")
+            case m.WatchEvent() if message.update_type not in WATCH_EVENT_TYPES:
+                stream.reject(
+                    f"news of kind {message.update_type[:20]!r}; there are {', '.join(WATCH_EVENT_TYPES)}"
+                )
             case m.WatchEvent():
                 for reason in self.runtime.on_watch_event(self.now(), message)[:REASONS_MOST]:
                     self.log.warning("entry_refused", reason=reason)
--- a/puffintide/assigner/store_client.py
+++ b/puffintide/assigner/store_client.py
@@ -12,9 +12,9 @@
 from puffintide.decisions.events import AssignerCountChanged, ZoneCommandReceived, ZoneOperation
 from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
-from puffintide.protocol.checks import wrong_lines
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
+from puffintide.protocol.validation import weights_problem
 
 ANSWER_S = 0.01  # between pieces to a store that lost all
 Pieces = Callable[[set[int] | None], Iterator[m.ReplicationDelta]]
@@ -59,10 +59,10 @@
                 self.log.info("store_reached")
             case m.SliceOwnerships():
                 wrong = next(
-                    (w for c in message.ownerships if (w := wrong_lines(c.entries)) is not None), None
+                    (w for c in message.ownerships if (w := weights_problem(c.entries)) is not None), None
                 )
                 if wrong is not None:
-                    stream.refuse(f"charges: {wrong}")
+                    stream.reject(f"charges: {wrong}")
                     return
                 self._charged(now, [c for c in message.ownerships if c.owner_id == self.me])
             case m.AssignerMembership():
--- a/puffintide/audit/records.py
+++ b/puffintide/audit/records.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from puffintide.protocol.codec import WireError, decode
+from puffintide.protocol.codec import decode
+from puffintide.protocol.errors import ProtocolError
 from puffintide.protocol.messages import AnyMessage, Hello
 
 
@@ -62,7 +63,7 @@
             record = Record(
                 number, float(row["t"]), went, str(row["l"]), int(row["c"]), row["d"] == 1, message
             )
-        except (KeyError, TypeError, ValueError, WireError) as error:
+        except (KeyError, TypeError, ValueError, ProtocolError) as error:
             capture.gaps.append(f"{name}:{at}: record does not fit: {error}")
             continue
         capture.records.append(record)
--- a/puffintide/audit/rules.py
+++ b/puffintide/audit/rules.py
@@ -15,7 +15,7 @@
 from puffintide.audit.records import Peer, Record, peers
 from puffintide.config.loader import Config
 from puffintide.protocol import messages as m
-from puffintide.protocol.checks import NEWS_KINDS, sound_entries
+from puffintide.protocol.validation import WATCH_EVENT_TYPES, split_valid_endpoints
 from puffintide.proxy.weight_tables import WeightTables
 
 RULES = (
@@ -248,10 +248,10 @@
         listed: dict[int, set[int]],
         began: dict[tuple[int, int, int], float],
     ) -> None:
-        if news.update_type not in NEWS_KINDS or news.update_type == "failed":
+        if news.update_type not in WATCH_EVENT_TYPES or news.update_type == "failed":
             return
         told = self.told[assigner]
-        good, bad = sound_entries(news.servers, len(self.config.deployment.zones))
+        good, bad = split_valid_endpoints(news.servers, len(self.config.deployment.zones))
         for e in good.values():
             self.zones[e.server_id] = e.zone
             key = (assigner, e.server_id, e.incarnation)
--- a/puffintide/cli/hand.py
+++ b/puffintide/cli/hand.py
@@ -7,9 +7,10 @@
 
 from puffintide.config.loader import Config
 from puffintide.protocol import messages as m
+from puffintide.protocol.client import StreamClient
 from puffintide.protocol.clock import monotonic_reactor
 from puffintide.protocol.messages import AnyMessage
-from puffintide.protocol.stream import Dialler, Stream
+from puffintide.protocol.stream import Stream
 from puffintide.replication.replica import Replica
 from puffintide.tls.context import Contexts
 
@@ -41,7 +42,7 @@
         if len(found) == len(wanted):
             reactor.callLater(0, reactor.stop)
 
-    def one(number: int, address: str, message: m.Message) -> Dialler:
+    def one(number: int, address: str, message: m.Message) -> StreamClient:
         def heard(stream: Stream, answer: AnyMessage) -> None:
             if isinstance(answer, m.Welcome):
                 stream.send(message)
@@ -59,13 +60,13 @@
             elif isinstance(answer, m.ConnectionRejected):
                 took(number, answer.reason)
 
-        return Dialler(
+        return StreamClient(
             reactor,
             address,
             lambda: hello,
             heard,
             lambda why: took(number, why or "unreachable"),
-            again=False,
+            reconnect=False,
             tls=tls,
         )
 
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -11,8 +11,9 @@
 
 from puffintide.config.loader import Config
 from puffintide.protocol import messages as m
+from puffintide.protocol.client import StreamClient
 from puffintide.protocol.messages import AnyMessage
-from puffintide.protocol.stream import Dialler, Stream
+from puffintide.protocol.stream import Stream
 
 
 @dataclass(slots=True)
@@ -82,7 +83,7 @@
         self.begun = 0.0
         self.count = 0
         for number, address in enumerate(fronts):
-            Dialler(reactor, address, self._hello(number), self._on(number), self._lost(number)).start()
+            StreamClient(reactor, address, self._hello(number), self._on(number), self._lost(number)).start()
 
     @staticmethod
     def _hello(number: int) -> Callable[[], m.Hello]:
--- a/puffintide/emulators/fleet.py
+++ b/puffintide/emulators/fleet.py
@@ -12,7 +12,7 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
-from puffintide.protocol.stream import Acceptor, Stream
+from puffintide.protocol.stream import PeerIdentity, Stream, StreamServerFactory
 
 GONE, READY, DRAINING = 0, 1, 2
 T = TypeVar("T")
@@ -108,14 +108,14 @@
         server.model = ServerModel(server.make, None if warm else now, at=now)
         server.hang, server.pause, server.false_report, server.handshake = False, (0.0, 0.0), 1.0, 1.0
         server.connections = self.fleet.connections
-        factory = Acceptor(
+        factory = StreamServerFactory(
             self.reactor,
             lambda: m.Welcome(m.PROTOCOL_VERSION, "server", number, server.life),
             lambda stream, message: self._serve(server, stream, message),
             lambda stream, why: server.streams.discard(stream),
             lambda hello: self._judge(server, hello),
-            ping_s=30.0,
-            dead_s=90.0,
+            heartbeat_interval_s=30.0,
+            heartbeat_timeout_s=90.0,
         )
         server.listener = self.reactor.listenTCP(server.port, factory, 2000, "127.0.0.1")
         self._refresh(server, server.life)
@@ -187,7 +187,7 @@
             case m.CancelAttempt():
                 pass  # it stops nothing
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for a server")
+                stream.reject(f"a {type(message).__name__} is not for a server")
 
     def _fall(self, server: Server) -> None:
         """It was pushed over: it goes and stays down."""
@@ -200,7 +200,7 @@
             return
         for number in model.due(self.now()):
             stream, message_id, probe = server.jobs.pop(number)
-            if server.hang or stream.ended:
+            if server.hang or stream.closed:
                 continue
             if probe:
                 stream.send(m.HealthCheckResponse(message_id, m.AttemptStatus.OK, server.told))
@@ -236,7 +236,7 @@
     # The list -------------------------------------------------------------------------------------
 
     def _open_list(self) -> None:
-        factory = Acceptor(
+        factory = StreamServerFactory(
             self.reactor,
             lambda: m.Welcome(m.PROTOCOL_VERSION, "list", 0),
             self._list_message,
@@ -251,7 +251,7 @@
         self.version += 1
         self.changes.append(number)
         news = m.WatchEvent("delta", self.version, [self._entry(number)])
-        for stream in sorted(self.watchers, key=lambda s: str(s.tag)):
+        for stream in sorted(self.watchers, key=lambda s: str(s.peer)):
             stream.send(news)
 
     def _entry(self, number: int) -> m.EndpointEntry:
@@ -264,7 +264,7 @@
     def _list_message(self, stream: Stream, message: AnyMessage) -> None:
         match message:
             case m.Hello():
-                stream.tag = message.id
+                stream.peer = PeerIdentity(message.role, message.id)
             case m.WatchRequest(enabled=on, since_version=since):
                 (self.watchers.add if on else self.watchers.discard)(stream)
                 if on and 0 <= since <= self.version:
@@ -275,7 +275,7 @@
             case m.SnapshotRequest():
                 self._full(stream)
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for the list")
+                stream.reject(f"a {type(message).__name__} is not for the list")
 
     def _full(self, stream: Stream) -> None:
         entries = [] if self.list_empty else [self._entry(n) for n in sorted(self.listed)]
@@ -321,7 +321,7 @@
         if what == "list_down" and self.list_listener is not None:
             self.list_listener.stopListening()
             self.list_listener = None
-            for stream in sorted(self.watchers, key=lambda s: str(s.tag)):
+            for stream in sorted(self.watchers, key=lambda s: str(s.peer)):
                 stream.abort("list is down")
         elif what == "list_up" and self.list_listener is None:
             self._open_list()
--- a/puffintide/platform/client_messages.py
+++ b/puffintide/platform/client_messages.py
@@ -14,7 +14,7 @@
 from puffintide.platform.errors import InvalidMessageError
 from puffintide.platform.identifiers import HostRegistry, SettingsNames
 from puffintide.platform.message_decoding import MS_PER_S, decode_json, quoted
-from puffintide.protocol.checks import COUNT_MOST, SPAN_MOST
+from puffintide.protocol.validation import MAX_COUNT, MAX_INTERVAL_S
 
 PONG = b'{"msg":"pong"}\n'
 REJECTED = b'{"msg":"refused"}\n'
@@ -92,9 +92,9 @@
 
 
 def _check_counts(total: int, failed: int, interval_ms: float) -> None:
-    if not (0 <= total <= COUNT_MOST and 0 <= failed <= COUNT_MOST):
+    if not (0 <= total <= MAX_COUNT and 0 <= failed <= MAX_COUNT):
         raise InvalidMessageError(f"{failed} failed of {total}")
-    if not 0 < interval_ms <= SPAN_MOST * MS_PER_S:
+    if not 0 < interval_ms <= MAX_INTERVAL_S * MS_PER_S:
         raise InvalidMessageError(f"interval of {interval_ms:g} ms")
 
 
@@ -113,7 +113,7 @@
     server_id = hosts.server_id(report.host)
     if server_id is None:
         raise InvalidMessageError(f"host {quoted(report.host)} was never listed")
-    if not 0 <= report.mean_latency_ms <= SPAN_MOST * MS_PER_S:
+    if not 0 <= report.mean_latency_ms <= MAX_INTERVAL_S * MS_PER_S:
         raise InvalidMessageError(f"mean latency of {report.mean_latency_ms:g} ms")
     any_succeeded = report.attempts > report.failed_attempts
     return ServerLoadReport(
--- a/puffintide/protocol/codec.py
+++ b/puffintide/protocol/codec.py
@@ -4,35 +4,40 @@
 
 import msgspec
 
+from puffintide.protocol.errors import MessageDecodeError, MessageTooLongError
 from puffintide.protocol.messages import AnyMessage, Message
 
-LINE_MOST = (
-    4 << 20
-)  # bytes of a line, the newline left out; holds an order of the most lines a channel may have
+MAX_LINE_BYTES = 4 << 20  # without the newline; fits an update with as many entries as a channel may hold
 
 _encoder = msgspec.json.Encoder()
 _decoder = msgspec.json.Decoder(AnyMessage)
 
 
-class WireError(Exception):
-    """A peer broke the protocol; the text says what and where. The stream is closed."""
-
-
 def encode(message: Message) -> bytes:
-    """The line without its newline. Raises WireError when it would pass the limit."""
-    data = _encoder.encode(message)
-    if len(data) > LINE_MOST:
-        raise WireError(f"a {type(message).__name__} of {len(data)} bytes is over the limit of {LINE_MOST}")
-    return data
+    """Encodes a message as a line, without its newline.
+
+    Raises:
+        MessageTooLongError: The line would pass MAX_LINE_BYTES.
+    """
+    line = _encoder.encode(message)
+    if len(line) > MAX_LINE_BYTES:
+        name = type(message).__name__
+        raise MessageTooLongError(f"a {name} of {len(line)} bytes is over the limit of {MAX_LINE_BYTES}")
+    return line
 
 
 def decode(line: bytes) -> AnyMessage:
-    """The message of a line. Raises WireError with the place that is wrong."""
-    if len(line) > LINE_MOST:
-        raise WireError(f"line of {len(line)} bytes is over the limit of {LINE_MOST}")
+    """Decodes a line, given without its newline.
+
+    Raises:
+        MessageTooLongError: The line is over MAX_LINE_BYTES.
+        MessageDecodeError: The line is not a message; the text names the place that is wrong.
+    """
+    if len(line) > MAX_LINE_BYTES:
+        raise MessageTooLongError(f"line of {len(line)} bytes is over the limit of {MAX_LINE_BYTES}")
     try:
         return _decoder.decode(line)
     except msgspec.ValidationError as error:
-        raise WireError(f"message does not fit: {error}") from None
+        raise MessageDecodeError(f"message does not fit: {error}") from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise WireError(f"line is not a message: {error}") from None
+        raise MessageDecodeError(f"line is not a message: {error}") from error
--- a/puffintide/protocol/stream.py
+++ b/puffintide/protocol/stream.py
@@ -1,251 +1,230 @@
-"""The session on a Twisted transport, and a dialler that comes again. It decides nothing about routing."""
+"""The session on a Twisted transport, and the factory of those that a listening port accepts."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from twisted.internet.interfaces import IAddress
-from twisted.internet.protocol import ClientFactory, Factory, connectionDone
+from twisted.internet.protocol import Factory, connectionDone
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
-from puffintide.protocol.codec import LINE_MOST, WireError, encode
+from puffintide.protocol.clock import Clock, Timer
+from puffintide.protocol.codec import MAX_LINE_BYTES, encode
+from puffintide.protocol.errors import PeerRejectedError, ProtocolError
 from puffintide.protocol.messages import AnyMessage, ConnectionRejected, Hello, Message, Welcome
-from puffintide.protocol.session import Greeting, Judge, Session, any_peer
-from puffintide.tls.context import Contexts, names
+from puffintide.protocol.session import Greeting, PeerCheck, Session, accept_any_peer
+from puffintide.tls.context import names
 from puffintide.tls.keys import party
 
-PING_S, DEAD_S = 0.5, 2.0  # a half-open stream is noticed within the second
-Handler = Callable[["Stream", AnyMessage], None]
+HEARTBEAT_INTERVAL_S = 0.5
+HEARTBEAT_TIMEOUT_S = 2.0
+MAX_REASON_LENGTH = 500  # characters of a rejection's reason that are sent
 
+MessageHandler = Callable[["Stream", AnyMessage], None]
 
-def hang_up(transport: Any) -> None:
-    """Closes once all is written. A TLS transport would first wait for its producer to end, which ours never do."""
+
+class PeerIdentity(NamedTuple):
+    """Who is at the other end of a stream; its number is unique within the role."""
+
+    role: str
+    id: int
+
+
+UNIDENTIFIED_PEER = PeerIdentity("", -1)
+
+
+def close_gracefully(transport: Any) -> None:
+    """Closes a transport once all is written.
+
+    The producer goes first, as a TLS transport would otherwise wait for its end.
+    """
     transport.unregisterProducer()
     transport.loseConnection()
 
 
 class Stream(LineOnlyReceiver):
-    """Lines in, messages out. `writable` is False while the peer reads more slowly than we write."""
+    """A connection to a peer: lines in, messages out.
+
+    Args:
+        clock: For heartbeats.
+        session: The protocol's state of this connection.
+        on_message: Called with the stream and each message, the peer's greeting first.
+        on_lost: Called once with the stream and a ConnectionRejected that has the reason.
+    """
 
     delimiter = b"\n"
-    MAX_LENGTH = LINE_MOST
+    MAX_LENGTH = MAX_LINE_BYTES
     transport: Any
 
-    def __init__(self, clock: Any, session: Session, on_message: Handler, on_lost: Handler | None) -> None:
+    def __init__(
+        self, clock: Clock, session: Session, on_message: MessageHandler, on_lost: MessageHandler | None
+    ) -> None:
         self.clock = clock
         self.session = session
         self.on_message = on_message
         self.on_lost = on_lost
-        self.writable = True
-        self.up = False  # greeted
-        self.ended = False
-        self.reason = ""  # why it was closed from this side
-        self.tag: Any = None  # the owner's mark
-        self.on_writable: Callable[[], None] | None = None  # called when the peer has read on
-        self._check: Any = None
+        self.writable = True  # False while the peer reads more slowly than this end writes
+        self.established = False  # the handshake is complete
+        self.closed = False
+        self.close_reason = ""  # why this end closed it; empty if it did not
+        self.peer = UNIDENTIFIED_PEER  # set by the owner
+        self.on_writable: Callable[[], None] | None = None  # called when the stream is writable again
+        self._heartbeat_timer: Timer | None = None
 
     def connectionMade(self) -> None:
+        """The transport is connected."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._send_all(self.session.opened(self.clock.seconds()))
-        self._schedule()
+        self._send_all(self.session.connected(self.clock.seconds()))
+        self._schedule_heartbeat()
 
     def lineReceived(self, line: bytes) -> None:
-        if self.ended:
+        """Passes the message of a line on, or rejects the peer."""
+        if self.closed:
             return
         try:
             messages, replies = self.session.received(self.clock.seconds(), line)
-        except WireError as error:
-            self.refuse(str(error))
+        except PeerRejectedError as error:
+            self._close(str(error))
+            return
+        except ProtocolError as error:
+            self.reject(str(error))
             return
-        wrong = None if self.up else self._wrong_name(messages)
-        if wrong is not None:
-            self.refuse(wrong)
+        mismatch = None if self.established else self._certificate_mismatch(messages)
+        if mismatch is not None:
+            self.reject(mismatch)
             return
         self._send_all(replies)
         for message in messages:
-            self.up = True
+            self.established = True
             self.on_message(self, message)
 
-    def _wrong_name(self, messages: list[AnyMessage]) -> str | None:
-        """On TLS a peer is who its certificate says, and nobody else. Clients need any of the same authority."""
-        shown = names(self.transport)
-        if shown is None or not messages:
+    def _certificate_mismatch(self, messages: list[AnyMessage]) -> str | None:
+        """On TLS a peer is whom its certificate names; clients need any certificate of the same authority."""
+        certificate_names = names(self.transport)
+        if certificate_names is None or not messages:
             return None
         greeting = messages[0]
         if not isinstance(greeting, Hello | Welcome) or greeting.role == "client":
             return None
-        mine = self.session.me
-        deployment = mine.deployment if isinstance(mine, Hello) else getattr(greeting, "deployment", "")
+        own = self.session.greeting
+        deployment = own.deployment if isinstance(own, Hello) else getattr(greeting, "deployment", "")
         name = party(greeting.role, greeting.id, deployment)
-        return (
-            None
-            if name in shown
-            else f"its certificate is for {', '.join(sorted(shown)) or 'nobody'}, not {name}"
-        )
+        if name in certificate_names:
+            return None
+        return f"its certificate is for {', '.join(sorted(certificate_names)) or 'nobody'}, not {name}"
 
-    def lineLengthExceeded(self, line: bytes) -> None:
-        self.refuse(f"line over the limit of {LINE_MOST} bytes")
+    def lineLengthExceeded(self, _line: bytes) -> None:
+        """Rejects a peer whose line is too long."""
+        self.reject(f"line over the limit of {MAX_LINE_BYTES} bytes")
 
     def send(self, message: Message) -> None:
+        """Encodes and sends a message; does nothing once the stream is closed."""
         self.send_line(encode(message))
 
     def send_line(self, line: bytes) -> None:
-        """A message that is already encoded, for those sent to many."""
-        if not self.ended:
+        """Sends a message that is already encoded, for those that go to many peers."""
+        if not self.closed:
             self.transport.write(line + b"\n")
 
     def _send_all(self, messages: list[Message]) -> None:
         for message in messages:
             self.send(message)
 
-    def refuse(self, reason: str) -> None:
-        """Says why and closes."""
-        if not self.ended:
-            self.reason = reason
-            if not reason.startswith("refused"):
-                self.send(ConnectionRejected(reason[:500]))
-            hang_up(self.transport)
-            if not self.writable:
-                self.transport.abortConnection()
+    def reject(self, reason: str) -> None:
+        """Sends the reason and closes the stream."""
+        if self.closed:
+            return
+        self.send(ConnectionRejected(reason[:MAX_REASON_LENGTH]))
+        self._close(reason)
+
+    def _close(self, reason: str) -> None:
+        self.close_reason = reason
+        close_gracefully(self.transport)
+        if not self.writable:
+            self.transport.abortConnection()
 
     def abort(self, reason: str) -> None:
-        self.reason = self.reason or reason
-        if not self.ended:
+        """Closes the stream at once, without sending what is buffered."""
+        self.close_reason = self.close_reason or reason
+        if not self.closed:
             self.transport.abortConnection()
 
-    def _schedule(self) -> None:
-        self._check = self.clock.callLater(self.session.ping_s / 2, self._beat)
+    def _schedule_heartbeat(self) -> None:
+        delay_s = self.session.heartbeat_interval_s / 2
+        self._heartbeat_timer = self.clock.callLater(delay_s, self._send_heartbeat)
 
-    def _beat(self) -> None:
-        self._check = None
+    def _send_heartbeat(self) -> None:
+        self._heartbeat_timer = None
         try:
-            self._send_all(self.session.due(self.clock.seconds()))
-        except WireError as error:
+            self._send_all(self.session.due_heartbeats(self.clock.seconds()))
+        except ProtocolError as error:
             self.abort(str(error))
             return
-        self._schedule()
+        self._schedule_heartbeat()
 
-    # The transport calls these when its buffer fills or drains.
     def pauseProducing(self) -> None:
+        """The transport's buffer is full."""
         self.writable = False
 
     def resumeProducing(self) -> None:
+        """The transport's buffer has drained."""
         self.writable = True
         if self.on_writable is not None:
             self.on_writable()
 
     def stopProducing(self) -> None:
+        """The transport is closing."""
         self.writable = False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.ended = True
-        if self._check is not None:
-            self._check.cancel()
-            self._check = None
+        """The transport is closed, by either end."""
+        self.closed = True
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
+            self._heartbeat_timer = None
         if self.on_lost is not None:
-            self.on_lost(self, ConnectionRejected(self.reason or reason.getErrorMessage()))
-
+            self.on_lost(self, ConnectionRejected(self.close_reason or reason.getErrorMessage()))
 
-class Acceptor(Factory):
-    """Makes a Stream for each peer that dials."""
 
-    noisy = False
+class StreamServerFactory(Factory):
+    """Makes a Stream for each peer that connects to a listening port.
 
-    def __init__(
-        self,
-        clock: Any,
-        me: Callable[[], Greeting],
-        on_message: Handler,
-        on_lost: Handler | None = None,
-        judge: Judge = any_peer,
-        ping_s: float = PING_S,
-        dead_s: float = DEAD_S,
-    ) -> None:
-        self.clock, self.me, self.judge = clock, me, judge
-        self.on_message, self.on_lost = on_message, on_lost
-        self.ping_s, self.dead_s = ping_s, dead_s
+    Args:
+        clock: For heartbeats.
+        make_greeting: Returns this end's Welcome, once for each connection.
+        on_message: As of Stream.
+        on_lost: As of Stream.
+        check_peer: Decides whether the peer's Hello is accepted.
+        heartbeat_interval_s: As of Session.
+        heartbeat_timeout_s: As of Session.
+    """
 
-    def buildProtocol(self, addr: IAddress | None) -> Stream:
-        session = Session(self.me(), self.ping_s, self.dead_s, self.judge)
-        return Stream(self.clock, session, self.on_message, self.on_lost)
-
-
-class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, owner: Dialler) -> None:
-        self.owner = owner
-
-    def buildProtocol(self, addr: IAddress | None) -> Stream:
-        owner = self.owner
-        session = Session(owner.me(), owner.ping_s, owner.dead_s)
-        return Stream(owner.reactor, session, owner.on_message, owner._lost)
-
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.owner._failed(reason.getErrorMessage())
-
-
-class Dialler:
-    """Keeps a stream to one address: dials again after a wait that grows to its limit, with jitter given by
-    `draw` (0 to 1). on_lost is called for each stream that had come up or failed."""
-
     def __init__(
         self,
-        reactor: Any,
-        address: str,
-        me: Callable[[], Greeting],
-        on_message: Handler,
-        on_lost: Callable[[str], None] | None = None,
-        draw: Callable[[], float] = lambda: 0.5,
-        wait_s: tuple[float, float] = (0.1, 1.0),
-        again: bool = True,
-        ping_s: float = PING_S,
-        dead_s: float = DEAD_S,
-        connect_s: float = 2.0,
-        tls: Contexts | None = None,
+        clock: Clock,
+        make_greeting: Callable[[], Greeting],
+        on_message: MessageHandler,
+        on_lost: MessageHandler | None = None,
+        check_peer: PeerCheck = accept_any_peer,
+        heartbeat_interval_s: float = HEARTBEAT_INTERVAL_S,
+        heartbeat_timeout_s: float = HEARTBEAT_TIMEOUT_S,
     ) -> None:
-        self.reactor, self.me, self.on_message, self.on_lost = reactor, me, on_message, on_lost
-        host, _, port = address.rpartition(":")
-        self.host, self.port = host, int(port)
-        self.draw, self.wait_s, self.again = draw, wait_s, again
-        self.ping_s, self.dead_s, self.connect_s = ping_s, dead_s, connect_s
-        self.tls = tls
-        self.stream: Stream | None = None
-        self.failures = 0
-        self.stopped = False
-        self._later: Any = None
-        self._connector: Any = None
-
-    def start(self) -> Dialler:
-        self._later = None
-        if not self.stopped and self.tls is None:
-            self._connector = self.reactor.connectTCP(self.host, self.port, _Dial(self), self.connect_s)
-        elif not self.stopped:
-            self._connector = self.reactor.connectSSL(
-                self.host, self.port, _Dial(self), self.tls, self.connect_s
-            )
-        return self
-
-    def _lost(self, stream: Stream, why: AnyMessage) -> None:
-        if stream.up:
-            self.failures = 0
-        self._failed(why.reason if isinstance(why, ConnectionRejected) else "")
-
-    def _failed(self, why: str) -> None:
-        self.failures += 1
-        if self.on_lost is not None:
-            self.on_lost(why)
-        if self.again and not self.stopped:
-            wait = min(self.wait_s[1], self.wait_s[0] * 2 ** min(self.failures - 1, 8))
-            self._later = self.reactor.callLater(wait * (0.5 + self.draw()), self.start)
-
-    def stop(self) -> None:
-        self.stopped = True
-        if self._later is not None:
-            self._later.cancel()
-            self._later = None
-        if self._connector is not None:
-            self._connector.disconnect()
+        self.clock = clock
+        self.make_greeting = make_greeting
+        self.on_message = on_message
+        self.on_lost = on_lost
+        self.check_peer = check_peer
+        self.heartbeat_interval_s = heartbeat_interval_s
+        self.heartbeat_timeout_s = heartbeat_timeout_s
+
+    def buildProtocol(self, _addr: IAddress | None) -> Stream:
+        """Makes the stream of one connection."""
+        session = Session(
+            self.make_greeting(), self.heartbeat_interval_s, self.heartbeat_timeout_s, self.check_peer
+        )
+        return Stream(self.clock, session, self.on_message, self.on_lost)
--- a/puffintide/proxy/connection_pools.py
+++ b/puffintide/proxy/connection_pools.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from puffintide.protocol.stream import hang_up
+from puffintide.protocol.stream import close_gracefully
 from puffintide.proxy.connection_attempts import ConnectionAttempts
 from puffintide.proxy.http_counters import HttpCounter
 from puffintide.proxy.http_exchange import HttpExchange
@@ -82,7 +82,7 @@
         else:
             self._idle.setdefault(server_id, []).append(upstream)
             idle_s = self.proxy.process.idle_s
-            upstream.idle_timeout = self.proxy.reactor.callLater(idle_s, hang_up, upstream.transport)
+            upstream.idle_timeout = self.proxy.reactor.callLater(idle_s, close_gracefully, upstream.transport)
         self._open_connections(server_id)
 
     def _open_exchange(self, attempt_id: int) -> HttpExchange | None:
--- a/puffintide/proxy/control_plane.py
+++ b/puffintide/proxy/control_plane.py
@@ -9,9 +9,10 @@
 from puffintide.config.schema import ProxyProcess
 from puffintide.logs import Logger
 from puffintide.protocol import messages as m
-from puffintide.protocol.checks import wrong_lines, wrong_order
+from puffintide.protocol.client import StreamClient
 from puffintide.protocol.messages import AnyMessage
-from puffintide.protocol.stream import Dialler, Stream
+from puffintide.protocol.stream import Stream
+from puffintide.protocol.validation import proxy_update_problem, weights_problem
 from puffintide.proxy.engine_driver import EngineDriver
 from puffintide.proxy.load_balancing import Random
 from puffintide.proxy.reactor import DelayedCall, Reactor, cancel_if_active
@@ -63,8 +64,8 @@
 
     def _assigner_dialler(
         self, assigner_id: int, address: str, random: Random, tls: Contexts | None
-    ) -> Dialler:
-        return Dialler(
+    ) -> StreamClient:
+        return StreamClient(
             self.reactor,
             address,
             partial(self._greeting, assigner_id),
@@ -74,8 +75,8 @@
             tls=tls,
         )
 
-    def _store_dialler(self, address: str, random: Random, tls: Contexts | None) -> Dialler:
-        return Dialler(
+    def _store_dialler(self, address: str, random: Random, tls: Contexts | None) -> StreamClient:
+        return StreamClient(
             self.reactor,
             address,
             partial(self._greeting, STORE_ID),
@@ -121,13 +122,13 @@
                 self.engine.tables.on_assigner_connected(assigner_id)
                 self._start_readings()
             case m.ProxyUpdate():
-                error = wrong_order(message)
+                error = proxy_update_problem(message)
                 if error is None:
                     self._apply_update(assigner_id, stream, message)
                 else:
-                    stream.refuse(f"proxy update: {error}")
+                    stream.reject(f"proxy update: {error}")
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"a {type(message).__name__} is not for a proxy")
 
     def _apply_update(self, assigner_id: int, stream: Stream, update: m.ProxyUpdate) -> None:
         owner = self.drivers[0]
@@ -142,7 +143,7 @@
 
     def _reply_to_checkpoint(self, stream: Stream, checkpoint_id: int, cleared_slices: Sequence[int]) -> None:
         """Acknowledge a checkpoint; with a single writer, once writes to the cleared slices have ended."""
-        if stream.ended:
+        if stream.closed:
             return
         if cleared_slices and self.engine.settings.single_writer and self._has_writes(cleared_slices):
             self.reactor.callLater(
@@ -189,13 +190,13 @@
             case m.ReadComplete():
                 self._store_revision = (message.revision, message.store_id)
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"a {type(message).__name__} is not for a proxy")
 
     def _apply_ownerships(self, stream: Stream, ownerships: Sequence[m.SliceOwnership]) -> None:
         for ownership in ownerships:
-            error = wrong_lines(ownership.entries)
+            error = weights_problem(ownership.entries)
             if error is not None:
-                stream.refuse(f"ownerships: {error}")
+                stream.reject(f"ownerships: {error}")
                 return
         owner = self.drivers[0]
         owner.run_effects(self.engine.on_slice_ownerships(owner.now_s(), ownerships))
--- a/puffintide/proxy/downstream.py
+++ b/puffintide/proxy/downstream.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.protocol.stream import hang_up
+from puffintide.protocol.stream import close_gracefully
 from puffintide.proxy.http_counters import HttpCounter
 from puffintide.proxy.http_exchange import HttpExchange
 from puffintide.proxy.http_messages import (
@@ -78,7 +78,7 @@
     def _close(self) -> None:
         """Close once all is written; a client that does not read it in time is cut off."""
         self.closing = True
-        hang_up(self.transport)
+        close_gracefully(self.transport)
         self._set_timeout(self.limits.head_s)
 
     # Timeouts ------------------------------------------------------------------------------------
--- a/puffintide/proxy/line_proxy.py
+++ b/puffintide/proxy/line_proxy.py
@@ -9,7 +9,7 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.messages import AnyMessage, AttemptStatus
 from puffintide.protocol.session import Greeting
-from puffintide.protocol.stream import Acceptor, Stream, hang_up
+from puffintide.protocol.stream import Stream, StreamServerFactory, close_gracefully
 from puffintide.proxy.effects import (
     CancelAttempt,
     CompleteRequest,
@@ -84,9 +84,9 @@
 
     # Clients -------------------------------------------------------------------------------------
 
-    def factory(self) -> Acceptor:
+    def factory(self) -> StreamServerFactory:
         """Accepts clients' streams."""
-        return Acceptor(
+        return StreamServerFactory(
             self.reactor, self._welcome, self._on_client_message, self._on_client_lost, self._greeting_error
         )
 
@@ -101,7 +101,7 @@
     def close_clients(self) -> None:
         """Close all clients' streams once their responses are written."""
         for stream in self.clients.values():
-            hang_up(stream.transport)
+            close_gracefully(stream.transport)
 
     def _on_client_message(self, stream: Stream, message: AnyMessage) -> None:
         match message:
@@ -112,9 +112,9 @@
                 if error is None:
                     self._begin_request(stream, message)
                 else:
-                    stream.refuse(error)
+                    stream.reject(error)
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"a {type(message).__name__} is not for a proxy")
 
     def _request_error(self, request: m.ClientRequest) -> str | None:
         """Why a request is invalid, if it is."""
--- a/puffintide/proxy/line_upstream.py
+++ b/puffintide/proxy/line_upstream.py
@@ -5,8 +5,9 @@
 from typing import TYPE_CHECKING
 
 from puffintide.protocol import messages as m
+from puffintide.protocol.client import StreamClient
 from puffintide.protocol.messages import AnyMessage
-from puffintide.protocol.stream import Dialler, Stream
+from puffintide.protocol.stream import Stream
 
 if TYPE_CHECKING:
     from puffintide.proxy.line_proxy import LineProxy
@@ -21,16 +22,16 @@
     def __init__(self, proxy: LineProxy, server_id: int, address: str) -> None:
         self.proxy = proxy
         self.server_id = server_id
-        self._dialler = Dialler(
+        self._dialler = StreamClient(
             proxy.reactor,
             address,
             proxy.greeting,
             self._on_message,
             self._on_lost,
-            again=False,
-            connect_s=proxy.process.connect_s,
-            ping_s=HEARTBEAT_INTERVAL_S,
-            dead_s=HEARTBEAT_TIMEOUT_S,
+            reconnect=False,
+            connect_timeout_s=proxy.process.connect_s,
+            heartbeat_interval_s=HEARTBEAT_INTERVAL_S,
+            heartbeat_timeout_s=HEARTBEAT_TIMEOUT_S,
             tls=proxy.tls,
         )
 
@@ -55,7 +56,7 @@
                 )
                 self.proxy.run_effects(effects)
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"a {type(message).__name__} is not for a proxy")
 
     def _on_lost(self, _reason: str) -> None:
         self.proxy.on_upstream_lost(self)
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -11,7 +11,7 @@
 from puffintide.config.loader import Config
 from puffintide.config.schema import ProxyProcess
 from puffintide.logs import Logger
-from puffintide.protocol.stream import Acceptor
+from puffintide.protocol.stream import StreamServerFactory
 from puffintide.proxy.control_plane import ControlPlane
 from puffintide.proxy.engine import Engine
 from puffintide.proxy.engine_driver import EngineDriver
@@ -79,7 +79,7 @@
             drivers.append(self.http_proxy)
         self.control_plane = ControlPlane(reactor, config, process, log, drivers, self._random, tls)
 
-    def factory(self) -> Acceptor:
+    def factory(self) -> StreamServerFactory:
         """Accepts clients of the line protocol."""
         return self.line_proxy.factory()
 
--- a/puffintide/proxy/upstream.py
+++ b/puffintide/proxy/upstream.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from puffintide.protocol.stream import hang_up
+from puffintide.protocol.stream import close_gracefully
 from puffintide.proxy.http_counters import HttpCounter
 from puffintide.proxy.http_exchange import HttpExchange
 from puffintide.proxy.http_messages import forwarded_response_headers, is_rejection
@@ -123,7 +123,7 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     break
                 if isinstance(event, h11.ConnectionClosed):
-                    hang_up(self.transport)
+                    close_gracefully(self.transport)
                     break
                 self._process_event(event)
         except (h11.RemoteProtocolError, h11.LocalProtocolError):
@@ -146,7 +146,7 @@
     def _receive_head(self, exchange: HttpExchange, response: h11.Response) -> None:
         if is_rejection(response):
             self._detach(exchange)
-            hang_up(self.transport)
+            close_gracefully(self.transport)
             self.proxy.on_rejected_by_server(self.server_id, self.attempt_id)
             return
         exchange.response_started = True
@@ -161,7 +161,7 @@
             self.proxy.pools.on_connection_ready(self)  # first, so that the client's next request finds it
         else:
             self.closed = True
-            hang_up(self.transport)
+            close_gracefully(self.transport)
         self.proxy.on_response_complete(exchange, self.server_id, attempt_id)
 
     def _detach(self, exchange: HttpExchange) -> None:
--- a/puffintide/replication/peer_sessions.py
+++ b/puffintide/replication/peer_sessions.py
@@ -13,8 +13,9 @@
 from puffintide.config.schema import PeersSection
 from puffintide.owned_tables import OwnedTables
 from puffintide.protocol import messages as m
+from puffintide.protocol.client import StreamClient
 from puffintide.protocol.messages import AnyMessage, ReplicaVersion
-from puffintide.protocol.stream import Dialler, Handler, Stream
+from puffintide.protocol.stream import MessageHandler, PeerIdentity, Stream
 from puffintide.replication.catch_up import CatchUp, DeltaSender, SourceSelector, keeps_stream
 from puffintide.replication.peer_observations import EndpointListState, LocalFindings, ObservationExchange
 from puffintide.replication.replica import NONCE_BITS, Replica
@@ -31,8 +32,8 @@
 
 class Dial(Protocol):
     def __call__(
-        self, address: str, heard: Handler, lost: Callable[[str], None] | None, *, again: bool = True
-    ) -> Dialler: ...
+        self, address: str, heard: MessageHandler, lost: Callable[[str], None] | None, *, again: bool = True
+    ) -> StreamClient: ...
 
 
 @dataclass(slots=True)
@@ -68,7 +69,7 @@
         self.asking = SourceSelector(len(section.addresses))
         self.catch_up = CatchUp(k for k in range(len(section.addresses)) if k != me)
         self.sessions: dict[int, PeerSession] = {}
-        self.diallers: list[Dialler] = []
+        self.diallers: list[StreamClient] = []
         self.tidy_at = 0.0
         self.reborn = 0
         self.sent = self.taken = self.refused = 0
@@ -102,25 +103,25 @@
         match message:
             case m.Welcome() | m.Hello():
                 self._joined(stream, message)
-            case m.VersionDigest() | m.ReplicationDelta() if stream.reason:
+            case m.VersionDigest() | m.ReplicationDelta() if stream.close_reason:
                 pass  # it was given up, and this was on its way
             case m.VersionDigest():
-                self._asked(self.sessions[stream.tag[1]], message)
+                self._asked(self.sessions[stream.peer.id], message)
             case m.ReplicationDelta():
                 self._take(stream, message)
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for a peer")
+                stream.reject(f"a {type(message).__name__} is not for a peer")
 
     def _joined(self, stream: Stream, greeting: m.Welcome | m.Hello) -> None:
         number = greeting.id
         old = self.sessions.get(number)
         by_lower = (self.me < number) == isinstance(greeting, m.Welcome)
-        if old is not None and not old.stream.ended:
+        if old is not None and not old.stream.closed:
             if keeps_stream(old.life, greeting.incarnation, by_lower):
                 stream.abort("a stream to that assigner stands")
                 return
             old.stream.abort("its assigner dialled anew")
-        stream.tag = ("assigner", number)
+        stream.peer = PeerIdentity("assigner", number)
         self.sessions[number] = PeerSession(
             stream, greeting.incarnation, DeltaSender(self.section.rows_per_s)
         )
@@ -138,8 +139,8 @@
 
     def _here(self) -> dict[int, PeerSession]:
         for number, peer in sorted(self.sessions.items()):
-            if peer.stream.ended:
-                self.log.warning("peer_left", assigner=number, reason=peer.stream.reason)
+            if peer.stream.closed:
+                self.log.warning("peer_left", assigner=number, reason=peer.stream.close_reason)
                 del self.sessions[number]
                 self.asking.remove_peer(number)
         return self.sessions
@@ -149,7 +150,7 @@
             stream.send(m.VersionDigest(self.asking.digest_for(self.reactor.seconds(), number, self.replica)))
 
     def _asked(self, peer: PeerSession, digest: m.VersionDigest) -> None:
-        number, new, peer.heard = peer.stream.tag[1], not peer.heard, digest.versions
+        number, new, peer.heard = peer.stream.peer.id, not peer.heard, digest.versions
         self.asking.on_digest(number, digest.versions)
         lacking = self.replica.is_behind(digest.versions)
         self.catch_up.on_digest(number, lacking)
@@ -164,7 +165,7 @@
 
     def _serve(self, peer: PeerSession) -> None:
         peer.serving = False
-        if peer.stream.ended or not peer.stream.writable:
+        if peer.stream.closed or not peer.stream.writable:
             return  # its next digest tells what it has of this
         pieces, wait = peer.out.next_deltas(self.reactor.seconds(), self.replica)
         for piece in pieces:
@@ -177,7 +178,7 @@
     def _take(self, stream: Stream, piece: m.ReplicationDelta) -> None:
         reasons, sound = validate_delta(piece, self.slices)
         for reason in reasons[:REASONS_MOST]:
-            self.log.warning("copy_refused", origin=piece.origin_id, by=stream.tag[1], reason=reason)
+            self.log.warning("copy_refused", origin=piece.origin_id, by=stream.peer.id, reason=reason)
         self.refused += len(reasons)
         if sound is not None and self.replica.apply(self.reactor.seconds(), sound):
             self.taken += len(piece.rows) + len(piece.deletions)
--- a/puffintide/replication/row_validation.py
+++ b/puffintide/replication/row_validation.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from puffintide.protocol.checks import wrong_lines
 from puffintide.protocol.messages import ReplicatedRow, ReplicationDelta, TableEntry, Value
+from puffintide.protocol.validation import weights_problem
 from puffintide.replication.row_types import FLEET_ROW_ID, RowType
 
 MAX_AGE_S = 1e8
@@ -41,7 +41,7 @@
     token, batch = value[:TABLE_HEADER_VALUES]
     if min(float(token), float(batch)) < 0:
         return f"table {slice_id}: token {token} or batch {batch} is below 0"
-    return wrong_lines(unpack_table(value))
+    return weights_problem(unpack_table(value))
 
 
 def _table_value_problem(position: int, item: float | str) -> str | None:
--- a/puffintide/scenarios/tap.py
+++ b/puffintide/scenarios/tap.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from puffintide.protocol.codec import LINE_MOST
+from puffintide.protocol.codec import MAX_LINE_BYTES
 
 BUFFER_MOST = 8 << 20  # bytes under way in one direction of a connection
 
@@ -307,7 +307,7 @@
                 if self.tap.refused(conn):
                     self.tap.end(conn, None)
                     return
-        if len(self.buffer) > LINE_MOST:
+        if len(self.buffer) > MAX_LINE_BYTES:
             self.tap.end(conn, None)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
--- a/puffintide/store/book.py
+++ b/puffintide/store/book.py
@@ -12,8 +12,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from puffintide.protocol.checks import wrong_lines
 from puffintide.protocol.messages import SliceOwnership, TableEntry, WeightEntry
+from puffintide.protocol.validation import weights_problem
 from puffintide.store.engine import Image, SliceState
 
 BURST_S = 0.25  # of the pace that may be saved up
@@ -177,7 +177,7 @@
                 refused[line.slice_id] = f"in charge of assigner {record.assigner}"
             elif line.fencing_token != record.token:
                 refused[line.slice_id] = f"token {line.fencing_token} is not the present {record.token}"
-            elif (wrong := wrong_lines([line])) is not None:
+            elif (wrong := weights_problem([line])) is not None:
                 refused[line.slice_id] = wrong
             elif (
                 line.weight > 0
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -16,7 +16,7 @@
 from puffintide.protocol.codec import encode
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.session import Greeting
-from puffintide.protocol.stream import Acceptor, Stream
+from puffintide.protocol.stream import PeerIdentity, Stream, StreamServerFactory
 from puffintide.replication.table_restore import TableRestore
 from puffintide.store.book import Book, Change, charge_of
 from puffintide.store.engine import Change as Kept
@@ -74,11 +74,11 @@
         self.overtaken = False  # another store serves in our place
         self.commits = self.failed = self.rows = 0
 
-    def factory(self) -> Acceptor:
+    def factory(self) -> StreamServerFactory:
         def me() -> m.Welcome:
             return m.Welcome(m.PROTOCOL_VERSION, "store", 0)
 
-        return Acceptor(self.reactor, me, self._message, self._lost, self._judge)
+        return StreamServerFactory(self.reactor, me, self._message, self._lost, self._judge)
 
     def start(self) -> None:
         self._due()
@@ -155,17 +155,17 @@
         return None
 
     def _message(self, stream: Stream, message: AnyMessage) -> None:
-        role = stream.tag[0] if stream.tag else ""
+        role = stream.peer.role
         match message:
             case m.Hello():
                 self._greeted(stream, message)
             case m.ReadRequest():
                 self._read(stream, message)
             case m.WriteRequest() if role == "assigner":
-                refused = self.book.write(stream.tag[1], message.weights, message.batch)
+                refused = self.book.write(stream.peer.id, message.weights, message.batch)
                 for number, reason in sorted(refused.items()):
                     stream.send(m.WriteRejected(message.batch, number, reason))
-                    self.log.warning("write_refused", assigner=stream.tag[1], slice=number, reason=reason)
+                    self.log.warning("write_refused", assigner=stream.peer.id, slice=number, reason=reason)
                 self._written[stream] = message.batch
                 self._keep()
             case m.ZoneCommand() if role == "operator":
@@ -173,7 +173,7 @@
             case m.MigrateSlices() if role == "operator":
                 wrong = self.book.move(message.slice_ids, message.assigner_id)
                 if wrong is not None:
-                    stream.refuse(wrong)
+                    stream.reject(wrong)
                     return
                 self.log.warning(
                     "move", slices=message.slice_ids, to=message.assigner_id, by=message.operator[:100]
@@ -184,26 +184,26 @@
                 self._backup(stream, message.name)
             case m.ReplicationDelta() if role == "assigner":
                 if self.refill is not None:
-                    for reason in self.refill.on_delta(self.reactor.seconds(), stream.tag[1], message)[
+                    for reason in self.refill.on_delta(self.reactor.seconds(), stream.peer.id, message)[
                         :REASONS_MOST
                     ]:
-                        self.log.warning("copy_refused", assigner=stream.tag[1], reason=reason)
+                        self.log.warning("copy_refused", assigner=stream.peer.id, reason=reason)
             case m.RestoreFromReplicas() if role == "operator":
                 if self.refill is None or not self.refill.complete_assigners:
                     waits = self.refill is not None
                     why = (
                         "no assigner has answered yet" if waits else "it is not empty, or may not be refilled"
                     )
-                    stream.refuse(why)
+                    stream.reject(why)
                     return
                 self._asked.append(stream)
                 self._refilled(self.reactor.seconds(), message.operator[:100])
             case _:
-                stream.refuse(f"a {type(message).__name__} is not for the store")
+                stream.reject(f"a {type(message).__name__} is not for the store")
 
     def _greeted(self, stream: Stream, hello: m.Hello) -> None:
         self.streams += 1
-        stream.tag = (hello.role, hello.id)
+        stream.peer = PeerIdentity(hello.role, hello.id)
         if hello.highest_token > self.book.token and self.refill is None:
             self.log.error(
                 "older_than_its_parties",
@@ -232,17 +232,17 @@
                 self._changed(self.book.joined(self.reactor.seconds(), hello.id, hello.incarnation))
 
     def _lost(self, stream: Stream, why: AnyMessage) -> None:
-        if not stream.tag:
+        if not stream.peer.role:
             return
         self.streams -= 1
         self.proxies.discard(stream)
         self._written.pop(stream, None)
-        if stream.tag[0] == "assigner" and self.assigners.get(stream.tag[1]) is stream:
-            del self.assigners[stream.tag[1]]
-            self.book.left(self.reactor.seconds(), stream.tag[1])
+        if stream.peer.role == "assigner" and self.assigners.get(stream.peer.id) is stream:
+            del self.assigners[stream.peer.id]
+            self.book.left(self.reactor.seconds(), stream.peer.id)
             if self.refill is not None:
-                self.refill.on_assigner_disconnected(stream.tag[1])
-            self.log.warning("assigner_left", assigner=stream.tag[1], reason=stream.reason)
+                self.refill.on_assigner_disconnected(stream.peer.id)
+            self.log.warning("assigner_left", assigner=stream.peer.id, reason=stream.close_reason)
 
     def _read(self, stream: Stream, read: m.ReadRequest) -> None:
         """What is kept, at one revision: all of it, or what changed since the one the reader has, if it has one
@@ -256,7 +256,7 @@
 
         def on() -> None:
             """A line at a time, as the reader takes them: a crowd of readers is no heap of buffers."""
-            while stream.writable and not stream.ended:
+            while stream.writable and not stream.closed:
                 line = next(lines, None)
                 if line is None:
                     stream.on_writable = None
@@ -287,12 +287,12 @@
 
     def _hand(self, stream: Stream, hand: m.ZoneCommand) -> None:
         if not 0 <= hand.zone < self.zones or hand.operation not in ("drain", "hold", "return"):
-            stream.refuse(
+            stream.reject(
                 f"{hand.operation!r} of zone {hand.zone}: there are {self.zones} zones; drain, hold or return"
             )
             return
         if not 0.1 <= hand.pace <= 10:
-            stream.refuse(f"pace {hand.pace:g} is not from 0.1 to 10")
+            stream.reject(f"pace {hand.pace:g} is not from 0.1 to 10")
             return
         self.hand_number += 1
         kept = m.ZoneCommand(hand.zone, hand.operation, hand.pace, hand.operator[:100], self.hand_number)
@@ -310,12 +310,12 @@
 
     def _backup(self, stream: Stream, name: str) -> None:
         if self.backups is None:
-            stream.refuse("this store keeps nothing that could be backed up")
+            stream.reject("this store keeps nothing that could be backed up")
             return
         try:
             path = self.backups(name)
         except ValueError as error:
-            stream.refuse(str(error))
+            stream.reject(str(error))
             return
         done = self.run(self.engine.backup, path)
 
@@ -323,7 +323,7 @@
             self.log.info("backup", path=path, revision=revision)
             stream.send(m.CommandCompleted(f"{path}: revision {revision}"))
 
-        done.addCallbacks(good, lambda failure: stream.refuse(failure.getErrorMessage()))
+        done.addCallbacks(good, lambda failure: stream.reject(failure.getErrorMessage()))
 
     # Keeping --------------------------------------------------------------------------------------
 
@@ -414,7 +414,7 @@
             for line in self._lines(charges):
                 if assigner in self.assigners:
                     self.assigners[assigner].send_line(line)
-                for proxy in sorted(self.proxies, key=lambda s: str(s.tag)):
+                for proxy in sorted(self.proxies, key=lambda s: str(s.peer)):
                     if proxy.writable:
                         proxy.send_line(line)
                     else:  # it reads again from the revision it has
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -101,7 +101,7 @@
         asked[0].send_line(encode(m.ClientRequest(10**6, 0, 1, 1e300, 0.05)))
 
     deployment = play(tmp_path, put)
-    assert asked[0].ended and "time left" in asked[0].reason
+    assert asked[0].closed and "time left" in asked[0].close_reason
     assert not any(proxy.engine.requests for proxy in deployment.proxies.values())
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -56,7 +56,7 @@
 def empty(on: bool) -> Any:
     def do(d: Deployment) -> None:
         d.fleet.list_empty = on
-        for stream in sorted(d.fleet.watchers, key=lambda s: str(s.tag)):
+        for stream in sorted(d.fleet.watchers, key=lambda s: str(s.peer)):
             d.fleet._full(stream)
 
     return do
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -19,6 +19,7 @@
     TableEntry,
     VersionDigest,
 )
+from puffintide.protocol.stream import UNIDENTIFIED_PEER
 from puffintide.replication import conflict_resolution, origin_state
 from puffintide.replication import replica as core
 from puffintide.replication.catch_up import MAX_BURST_ROWS, CatchUp, DeltaSender, SourceSelector, keeps_stream
@@ -401,7 +402,7 @@
     """A peer's stream that takes what it is sent."""
 
     def __init__(self) -> None:
-        self.ended, self.writable, self.reason, self.tag = False, True, "", None
+        self.closed, self.writable, self.close_reason, self.peer = False, True, "", UNIDENTIFIED_PEER
         self.sent: list[Any] = []
 
     def send(self, message: Any) -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -15,7 +15,7 @@
 import pytest
 
 from puffintide.protocol import messages as m
-from puffintide.protocol.codec import LINE_MOST, encode
+from puffintide.protocol.codec import MAX_LINE_BYTES, encode
 from tests.peers import PORTS, Around, Line, charges, dial, process, servers
 
 pytestmark = pytest.mark.processes
@@ -112,7 +112,7 @@
         encode(m.Hello(1, "proxy", 1, 0, "t")) + b'\n{"t":"write","batch":1,"lines":[]}\n',
         "not for an assigner",
     ),
-    (b"x" * (LINE_MOST + 10), "limit"),
+    (b"x" * (MAX_LINE_BYTES + 10), "limit"),
 ]
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,8 @@
 from hypothesis import strategies as st
 
 from puffintide.protocol import messages as m
-from puffintide.protocol.codec import LINE_MOST, WireError, decode, encode
+from puffintide.protocol.codec import MAX_LINE_BYTES, decode, encode
+from puffintide.protocol.errors import ProtocolError
 from puffintide.protocol.session import Session
 
 SAMPLES = [
@@ -89,11 +90,11 @@
         (b'{"t":"order","batch":1,"at":0,"cost":1,"lines":[[1,2]]}', "lines"),
         (b"\xff\xfe", "not a message"),
         (b"[" * 100000, "object"),
-        (b'"' + b"x" * LINE_MOST + b'"', "limit"),
+        (b'"' + b"x" * MAX_LINE_BYTES + b'"', "limit"),
     ],
 )
 def test_bad_lines_are_told_with_their_place(line: bytes, words: str) -> None:
-    with pytest.raises(WireError, match=words):
+    with pytest.raises(ProtocolError, match=words):
         decode(line)
 
 
@@ -101,7 +102,7 @@
 def test_no_bytes_make_the_codec_fail_otherwise(data: bytes) -> None:
     try:
         message = decode(data)
-    except WireError:
+    except ProtocolError:
         return
     assert decode(encode(message)) == message
 
@@ -110,7 +111,7 @@
 def test_a_damaged_message_is_refused_or_still_whole(sample: m.Message, at: int, byte: int) -> None:
     line = bytearray(encode(sample))
     line[at % len(line)] = byte
-    with contextlib.suppress(WireError):
+    with contextlib.suppress(ProtocolError):
         assert isinstance(decode(bytes(line)), msgspec.Struct)
 
 
@@ -123,12 +124,12 @@
 
 def test_a_greeting_is_answered_and_passed_on() -> None:
     dialler, dialled = pair()
-    (hello,) = dialler.opened(0.0)
-    assert dialled.opened(0.0) == []
+    (hello,) = dialler.connected(0.0)
+    assert dialled.connected(0.0) == []
     passed, back = dialled.received(0.1, encode(hello))
-    assert passed == [hello] and back == [dialled.me]
+    assert passed == [hello] and back == [dialled.greeting]
     passed, back = dialler.received(0.2, encode(back[0]))
-    assert passed == [dialled.me] and back == []
+    assert passed == [dialled.greeting] and back == []
 
 
 @pytest.mark.parametrize(
@@ -142,27 +143,27 @@
 )
 def test_a_wrong_greeting_is_refused_with_its_reason(line: bytes, words: str) -> None:
     _, dialled = pair()
-    with pytest.raises(WireError, match=words):
+    with pytest.raises(ProtocolError, match=words):
         dialled.received(0.0, line)
-    assert dialled.peer is None
+    assert dialled.peer_greeting is None
 
 
 def test_a_second_greeting_is_refused() -> None:
     _, dialled = pair()
     hello = encode(m.Hello(m.PROTOCOL_VERSION, "proxy", 1))
     dialled.received(0.0, hello)
-    with pytest.raises(WireError, match="twice"):
+    with pytest.raises(ProtocolError, match="twice"):
         dialled.received(0.1, hello)
 
 
 def test_a_half_open_stream_is_noticed_and_a_living_one_is_not() -> None:
     dialler, dialled = pair()
-    dialled.opened(0.0)
-    dialled.received(0.0, encode(dialler.me))
-    assert dialled.due(0.4) == []
-    assert dialled.due(0.6) == [m.Ping()]
-    assert dialled.due(0.7) == []  # one ping at a time
+    dialled.connected(0.0)
+    dialled.received(0.0, encode(dialler.greeting))
+    assert dialled.due_heartbeats(0.4) == []
+    assert dialled.due_heartbeats(0.6) == [m.Ping()]
+    assert dialled.due_heartbeats(0.7) == []  # one ping at a time
     dialled.received(1.9, encode(m.Pong()))
-    dialled.due(3.8)
-    with pytest.raises(WireError, match="silent"):
-        dialled.due(4.0)
+    dialled.due_heartbeats(3.8)
+    with pytest.raises(ProtocolError, match="silent"):
+        dialled.due_heartbeats(4.0)
