--- a/tests/test_wire.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The wire: every message there and back, and what a peer may not do."""
+"""The protocol: encoding and decoding of every message, the handshake, and peers that break the protocol."""
 
 import contextlib
 
@@ -9,7 +9,14 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import MAX_LINE_BYTES, decode, encode
-from puffintide.protocol.errors import ProtocolError
+from puffintide.protocol.errors import (
+    HandshakeError,
+    HeartbeatTimeoutError,
+    MessageDecodeError,
+    MessageTooLongError,
+    PeerRejectedError,
+    ProtocolError,
+)
 from puffintide.protocol.session import Session
 
 SAMPLES = [
@@ -68,19 +75,20 @@
 ]
 
 
-def test_every_message_goes_there_and_back() -> None:
+def test_every_message_decodes_to_what_was_encoded() -> None:
     assert {type(s) for s in SAMPLES} == set(m.AnyMessage.__args__)
     for sample in SAMPLES:
         line = encode(sample)
-        assert b"\n" not in line and decode(line) == sample
+        assert b"\n" not in line
+        assert decode(line) == sample
 
 
-def test_unknown_fields_are_skipped() -> None:
+def test_unknown_keys_are_skipped() -> None:
     assert decode(b'{"t":"applied","mark":3,"colour":"blue"}') == m.CheckpointReply(3)
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    ("line", "words"),
     [
         (b"", "not a message"),
         (b'{"t":"applied","mark":3', "not a message"),
@@ -93,13 +101,14 @@
         (b'"' + b"x" * MAX_LINE_BYTES + b'"', "limit"),
     ],
 )
-def test_bad_lines_are_told_with_their_place(line: bytes, words: str) -> None:
-    with pytest.raises(ProtocolError, match=words):
+def test_invalid_line_is_rejected_with_the_place_of_the_fault(line: bytes, words: str) -> None:
+    expected = MessageTooLongError if words == "limit" else MessageDecodeError
+    with pytest.raises(expected, match=words):
         decode(line)
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_make_the_codec_fail_otherwise(data: bytes) -> None:
+def test_arbitrary_bytes_decode_or_raise_protocol_error(data: bytes) -> None:
     try:
         message = decode(data)
     except ProtocolError:
@@ -108,32 +117,34 @@
 
 
 @given(st.sampled_from(SAMPLES), st.integers(0, 400), st.integers(0, 255))
-def test_a_damaged_message_is_refused_or_still_whole(sample: m.Message, at: int, byte: int) -> None:
+def test_damaged_line_decodes_or_raises_protocol_error(sample: m.Message, at: int, byte: int) -> None:
     line = bytearray(encode(sample))
     line[at % len(line)] = byte
     with contextlib.suppress(ProtocolError):
         assert isinstance(decode(bytes(line)), msgspec.Struct)
 
 
-def pair() -> tuple[Session, Session]:
+def client_and_server() -> tuple[Session, Session]:
     return (
         Session(m.Hello(m.PROTOCOL_VERSION, "proxy", 1), 0.5, 2.0),
         Session(m.Welcome(m.PROTOCOL_VERSION, "assigner", 0), 0.5, 2.0),
     )
 
 
-def test_a_greeting_is_answered_and_passed_on() -> None:
-    dialler, dialled = pair()
-    (hello,) = dialler.connected(0.0)
-    assert dialled.connected(0.0) == []
-    passed, back = dialled.received(0.1, encode(hello))
-    assert passed == [hello] and back == [dialled.greeting]
-    passed, back = dialler.received(0.2, encode(back[0]))
-    assert passed == [dialled.greeting] and back == []
+def test_hello_is_answered_with_welcome_and_passed_to_the_owner() -> None:
+    client, server = client_and_server()
+    (hello,) = client.connected(0.0)
+    assert server.connected(0.0) == []
+    received, replies = server.received(0.1, encode(hello))
+    assert received == [hello]
+    assert replies == [server.greeting]
+    received, replies = client.received(0.2, encode(replies[0]))
+    assert received == [server.greeting]
+    assert replies == []
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    ("line", "words"),
     [
         (encode(m.Hello(2, "proxy", 1)), "version 2 is not spoken"),
         (encode(m.CheckpointReply(1)), "first line must be a Hello"),
@@ -141,29 +152,30 @@
         (encode(m.ConnectionRejected("go away")), "go away"),
     ],
 )
-def test_a_wrong_greeting_is_refused_with_its_reason(line: bytes, words: str) -> None:
-    _, dialled = pair()
-    with pytest.raises(ProtocolError, match=words):
-        dialled.received(0.0, line)
-    assert dialled.peer_greeting is None
+def test_invalid_greeting_is_rejected_with_the_reason(line: bytes, words: str) -> None:
+    _, server = client_and_server()
+    expected = PeerRejectedError if words == "go away" else HandshakeError
+    with pytest.raises(expected, match=words):
+        server.received(0.0, line)
+    assert server.peer_greeting is None
 
 
-def test_a_second_greeting_is_refused() -> None:
-    _, dialled = pair()
+def test_second_greeting_is_rejected() -> None:
+    _, server = client_and_server()
     hello = encode(m.Hello(m.PROTOCOL_VERSION, "proxy", 1))
-    dialled.received(0.0, hello)
-    with pytest.raises(ProtocolError, match="twice"):
-        dialled.received(0.1, hello)
-
-
-def test_a_half_open_stream_is_noticed_and_a_living_one_is_not() -> None:
-    dialler, dialled = pair()
-    dialled.connected(0.0)
-    dialled.received(0.0, encode(dialler.greeting))
-    assert dialled.due_heartbeats(0.4) == []
-    assert dialled.due_heartbeats(0.6) == [m.Ping()]
-    assert dialled.due_heartbeats(0.7) == []  # one ping at a time
-    dialled.received(1.9, encode(m.Pong()))
-    dialled.due_heartbeats(3.8)
-    with pytest.raises(ProtocolError, match="silent"):
-        dialled.due_heartbeats(4.0)
+    server.received(0.0, hello)
+    with pytest.raises(HandshakeError, match="twice"):
+        server.received(0.1, hello)
+
+
+def test_silent_peer_times_out_and_a_responsive_one_does_not() -> None:
+    client, server = client_and_server()
+    server.connected(0.0)
+    server.received(0.0, encode(client.greeting))
+    assert server.due_heartbeats(0.4) == []
+    assert server.due_heartbeats(0.6) == [m.Ping()]
+    assert server.due_heartbeats(0.7) == []  # one ping at a time
+    server.received(1.9, encode(m.Pong()))
+    server.due_heartbeats(3.8)
+    with pytest.raises(HeartbeatTimeoutError, match="silent"):
+        server.due_heartbeats(4.0)
