--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -258,7 +258,7 @@
             ready = time.monotonic()
             charged = max(group.first(k, "charged")["t"] for k in range(3))
             events = [json.loads(line) for line in (folder / "store.log").read_text().splitlines()]
-            tables = next(e["tables"] for e in events if e["event"] == "refilled")
+            tables = next(e["tables"] for e in events if e["event"] == "restored_from_replicas")
             asked = [group.first(k, "asked")["took"] for k in range(3)]
             return {
                 "slices": slices,
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -23,18 +23,18 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
-from puffintide.store.engine import Change, SliceState
+from puffintide.store.engine import Commit, StoredSlice
 from puffintide.store.sqlite import SqliteEngine
 
 SIZES = ((500, 77), (10_000, 300), (100_000, 1000))
 
 
-def state(number: int, servers: int, token: int, rng: random.Random) -> SliceState:
+def state(number: int, servers: int, token: int, rng: random.Random) -> StoredSlice:
     held = [
         m.TableEntry(rng.randrange(servers), w, f"127.0.0.1:{20000 + rng.randrange(servers)}", 0)
         for w in (1.0, 0.004)
     ]
-    return SliceState(number, number % 3, token, token, held, -1, token, 1)
+    return StoredSlice(number, number % 3, token, token, held, -1, token, 1)
 
 
 def timed(call: Callable[[int], None], count: int) -> list[float]:
@@ -59,10 +59,10 @@
     lines = []
 
     sqlite = SqliteEngine(str(folder / f"engine-{rows}.db"))
-    sqlite.commit(Change(1, 1, tuple(states)))
+    sqlite.commit(Commit(1, 1, tuple(states)))
 
     def by_sqlite(k: int) -> None:
-        sqlite.commit(Change(k + 2, k, tuple(state(rng.randrange(10_000), 300, k, rng) for _ in range(rows))))
+        sqlite.commit(Commit(k + 2, k, tuple(state(rng.randrange(10_000), 300, k, rng) for _ in range(rows))))
 
     lines.append(f"| SQLite as used | {rows} | {shown(timed(by_sqlite, commits))} |")
     sqlite.close()
@@ -76,7 +76,7 @@
         with env.begin(write=True) as work:
             for _ in range(rows):
                 made = state(rng.randrange(10_000), 300, k, rng)
-                work.put(b"%08d" % made.slice, msgspec.json.encode(made))
+                work.put(b"%08d" % made.slice_id, msgspec.json.encode(made))
 
     lines.append(f"| LMDB | {rows} | {shown(timed(by_lmdb, commits))} |")
     env.close()
@@ -97,19 +97,19 @@
     """64 changes that come at once: one commit, or one each."""
     rng = random.Random(2)
     engine = SqliteEngine(str(folder / "group.db"))
-    engine.commit(Change(1, 1, tuple(state(n, 300, 1, rng) for n in range(10_000))))
+    engine.commit(Commit(1, 1, tuple(state(n, 300, 1, rng) for n in range(10_000))))
     revision = 1
     times = {"together": 0.0, "one by one": 0.0}
     for _ in range(rounds):
         rows = [state(n, 300, revision, rng) for n in rng.sample(range(10_000), 64)]
         began = time.perf_counter()
         revision += 1
-        engine.commit(Change(revision, revision, tuple(rows)))
+        engine.commit(Commit(revision, revision, tuple(rows)))
         times["together"] += time.perf_counter() - began
         began = time.perf_counter()
         for row in rows:
             revision += 1
-            engine.commit(Change(revision, revision, (row,)))
+            engine.commit(Commit(revision, revision, (row,)))
         times["one by one"] += time.perf_counter() - began
     engine.close()
     together, alone = times["together"] / rounds * 1000, times["one by one"] / rounds * 1000
@@ -121,11 +121,11 @@
     rng = random.Random(3)
     path = folder / f"size-{slices}.db"
     engine = SqliteEngine(str(path))
-    engine.commit(Change(1, 1, tuple(state(n, servers, 1, rng) for n in range(slices))))
+    engine.commit(Commit(1, 1, tuple(state(n, servers, 1, rng) for n in range(slices))))
 
     def write(k: int) -> None:
         rows = {n: state(n, servers, k, rng) for n in (rng.randrange(slices) for _ in range(20))}
-        engine.commit(Change(k + 2, k, tuple(rows.values())))
+        engine.commit(Commit(k + 2, k, tuple(rows.values())))
 
     times = timed(write, commits)
     grown = sum(p.stat().st_size for p in folder.glob(f"size-{slices}.db*"))
@@ -140,7 +140,7 @@
     again.close()
     began = time.perf_counter()
     rows = [
-        m.SliceOwnership(s.slice, s.token, s.assigner, s.lines, s.batch, s.since)
+        m.SliceOwnership(s.slice_id, s.fencing_token, s.owner_id, s.entries, s.batch, s.tenure_token)
         for s in image.slices.values()
     ]
     out = [encode(m.SliceOwnerships(rows[k : k + 1000])) for k in range(0, len(rows), 1000)]
--- a/benchmarks/store_readers.py
+++ b/benchmarks/store_readers.py
@@ -23,7 +23,7 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import MAX_LINE_BYTES, decode, encode
 from puffintide.scenarios.place import Ports
-from puffintide.store.engine import Change
+from puffintide.store.engine import Commit
 from puffintide.store.sqlite import SqliteEngine
 
 
@@ -60,7 +60,7 @@
     with tempfile.TemporaryDirectory() as made:
         folder = Path(made)
         engine = SqliteEngine(str(folder / "kept.db"))
-        engine.commit(Change(1, 1, tuple(state(n, servers, 1, rng) for n in range(slices))))
+        engine.commit(Commit(1, 1, tuple(state(n, servers, 1, rng) for n in range(slices))))
         engine.close()
         port = Ports(os.getpid() * 29).take()
         common = {
@@ -73,9 +73,9 @@
                     engine = SqliteEngine(str(folder / "kept.db"))
                     image = engine.load()
                     rows = tuple(state(n, servers, image.revision + 1, rng) for n in range(written))
-                    engine.commit(Change(image.revision + 1, image.token, rows))
+                    engine.commit(Commit(image.revision + 1, image.highest_token, rows))
                     engine.close()
-                    since, identity = image.revision, image.identity
+                    since, identity = image.revision, image.store_id
                 else:
                     since, identity = -1, ""
                 section = {"listen": f"127.0.0.1:{port}", "file": str(folder / "kept.db")}
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -91,21 +91,21 @@
 @click.argument("file")
 def store_restore(backup: str, file: str) -> None:
     """Puts BACKUP in place of a stopped store's FILE, which is kept as FILE.before."""
-    from puffintide.store.engine import StoreError
-    from puffintide.store.sqlite import restore
+    from puffintide.store.errors import StoreError
+    from puffintide.store.sqlite_restore import restore_backup
 
     try:
-        image = restore(backup, file)
+        image = restore_backup(backup, file)
     except (StoreError, OSError) as error:
         raise Failure(str(error)) from None
-    click.echo(f"{file}: revision {image.revision}, {len(image.slices)} slices, now store {image.identity}")
+    click.echo(f"{file}: revision {image.revision}, {len(image.slices)} slices, now store {image.store_id}")
 
 
 @store.command("verify")
 @click.argument("file")
 def store_verify(file: str) -> None:
     """Checks every row of a stopped store's FILE, or of a backup. Exit 1 if something is damaged."""
-    from puffintide.store.engine import StoreError
+    from puffintide.store.errors import StoreError
     from puffintide.store.sqlite import SqliteEngine
 
     _there(file)
@@ -128,7 +128,7 @@
     """Prints what a stopped store's FILE, or a backup, holds, as JSON lines."""
     import json
 
-    from puffintide.store.engine import StoreError
+    from puffintide.store.errors import StoreError
     from puffintide.store.sqlite import SqliteEngine
 
     _there(file)
@@ -138,12 +138,19 @@
         engine.close()
     except StoreError as error:
         raise Failure(str(error)) from None
-    click.echo(json.dumps({"store": image.identity, "revision": image.revision, "token": image.token}))
+    click.echo(
+        json.dumps({"store": image.store_id, "revision": image.revision, "token": image.highest_token})
+    )
     for number, state in sorted(image.slices.items()):
-        lines = [[h.server_id, h.weight, h.address] for h in state.lines]
-        row = {"slice": number, "assigner": state.assigner, "token": state.token, "pin": state.pin}
-        click.echo(json.dumps(row | {"revision": image.revisions[number], "lines": lines}))
-    for name, hand in sorted(image.hands.items()):
+        lines = [[h.server_id, h.weight, h.address] for h in state.entries]
+        row = {
+            "slice": number,
+            "assigner": state.owner_id,
+            "token": state.fencing_token,
+            "pin": state.home_override,
+        }
+        click.echo(json.dumps(row | {"revision": image.slice_revisions[number], "lines": lines}))
+    for name, hand in sorted(image.zone_commands.items()):
         click.echo(json.dumps({"zone": name, "hand": hand.operation, "pace": hand.pace, "by": hand.operator}))
 
 
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -123,38 +123,43 @@
     from twisted.python.threadpool import ThreadPool
 
     from puffintide.replication.table_restore import TableRestore
-    from puffintide.store.book import Book
-    from puffintide.store.engine import Engine, Memory, StoreError
+    from puffintide.store.engine import StorageEngine
+    from puffintide.store.errors import StoreError
+    from puffintide.store.initial_tables import read_initial_tables
+    from puffintide.store.memory import MemoryEngine
+    from puffintide.store.ownership import OwnershipLedger
     from puffintide.store.service import StoreService
     from puffintide.store.sqlite import SqliteEngine
-    from puffintide.store.tables import TableError, read_tables
 
     assert config.store is not None
     me, d = config.store, config.deployment
     reactor = monotonic_reactor()
     log = setup("store", me.log, me.level)
-    book = Book(
+    book = OwnershipLedger(
         d.slices,
         d.assigners,
         config.charge.takeover_s,
         d.single_writer,
-        opened=reactor.seconds(),
-        moves_per_s=config.charge.moves_per_s,
+        opened_at_s=reactor.seconds(),
+        max_transfers_per_s=config.charge.moves_per_s,
     )
     pool = ThreadPool(1, 1, "engine")  # one thread: an engine's calls follow each other
     try:
-        engine: Engine = Memory()
+        engine: StorageEngine = MemoryEngine()
         if me.file:
             engine = SqliteEngine(me.file)
         elif me.etcd:
-            from puffintide.store.etcd.engine import EtcdEngine, credentials
+            from puffintide.store.etcd.client import read_credentials
+            from puffintide.store.etcd.engine import EtcdEngine
 
-            engine = EtcdEngine(me.etcd, d.name, credentials=credentials(config.tls) if config.tls else None)
+            engine = EtcdEngine(
+                me.etcd, d.name, credentials=read_credentials(config.tls) if config.tls else None
+            )
         image = engine.load()
         book.restore(image)
         if me.start_tables and not image.slices:
-            book.load(read_tables(me.start_tables, d.slices))
-    except (TableError, StoreError) as error:
+            book.load_tables(read_initial_tables(me.start_tables, d.slices))
+    except StoreError as error:
         print(f"puffintide: {error}", file=sys.stderr)
         sys.exit(2)
     service = StoreService(
@@ -168,13 +173,13 @@
         run=(lambda call, *args: deferToThreadPool(reactor, pool, call, *args))
         if me.file or me.etcd
         else maybeDeferred,
-        streams_most=me.streams_most,
-        backups=(lambda name: _name(me.backups, name)) if me.file and me.backups else None,
+        max_streams=me.streams_most,
+        backup_path=(lambda name: _name(me.backups, name)) if me.file and me.backups else None,
         refill=TableRestore(d.slices, d.assigners, me.refill_wait_s) if me.refill else None,
     )
     _listen(reactor, me.listen, service.factory(), _tls(config, log))
     log.info(
-        "started", file=me.file, identity=image.identity, revision=image.revision, slices=len(image.slices)
+        "started", file=me.file, identity=image.store_id, revision=image.revision, slices=len(image.slices)
     )
     reactor.callWhenRunning(pool.start)
     reactor.addSystemEventTrigger("during", "shutdown", pool.stop)
--- /dev/null
+++ b/puffintide/store/commits.py
@@ -0,0 +1,173 @@
+"""Commits of the store, one at a time: what changes while one is under way goes into the next together."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
+
+from puffintide.protocol.clock import Clock, Timer
+from puffintide.protocol.messages import ZoneCommand
+from puffintide.protocol.stream import Stream
+from puffintide.store.durable_state import DurableState
+from puffintide.store.engine import Commit, StorageEngine
+from puffintide.store.ownership import OwnershipLedger, OwnershipTransfer
+
+RETRY_DELAY_S = 0.5  # after a commit that failed
+
+EngineRunner = Callable[..., Deferred[Any]]  # carries out an engine's call, possibly in a thread
+
+
+@dataclass(slots=True)
+class WaitingPeers:
+    """Those who are to be notified once what they asked for is durable."""
+
+    writers: dict[Stream, int] = field(default_factory=dict)  # the last batch of each
+    operators: list[Stream] = field(default_factory=list)
+
+    def __bool__(self) -> bool:
+        return bool(self.writers or self.operators)
+
+
+@dataclass(slots=True)
+class PendingChanges:
+    """What the next commit is to publish, besides the slices that the ledger has as changed."""
+
+    transfers: dict[int, OwnershipTransfer] = field(default_factory=dict)  # by slice
+    zone_commands: dict[int, ZoneCommand] = field(default_factory=dict)  # by zone
+    waiting: WaitingPeers = field(default_factory=WaitingPeers)
+
+    def add_transfer(self, transfer: OwnershipTransfer) -> None:
+        """Adds a transfer; two of one slice become one from the first owner to the last."""
+        earlier = self.transfers.get(transfer.slice_id)
+        if earlier is not None:
+            transfer = OwnershipTransfer(transfer.slice_id, earlier.previous_owner_id, transfer.new_owner_id)
+        self.transfers[transfer.slice_id] = transfer
+
+    def prepend(self, earlier: PendingChanges) -> None:
+        """Adds the changes of a commit that failed, which came before these."""
+        for slice_id, transfer in earlier.transfers.items():
+            later = self.transfers.get(slice_id)
+            new_owner_id = transfer.new_owner_id if later is None else later.new_owner_id
+            self.transfers[slice_id] = OwnershipTransfer(slice_id, transfer.previous_owner_id, new_owner_id)
+        self.zone_commands = earlier.zone_commands | self.zone_commands
+        self.waiting.writers = earlier.waiting.writers | self.waiting.writers
+        self.waiting.operators = earlier.waiting.operators + self.waiting.operators
+
+
+class CommitQueue:
+    """Commits what changed, and publishes it once it is durable.
+
+    A commit that fails is retried together with what changed meanwhile, and published to nobody before.
+
+    Args:
+        clock: For retries.
+        ledger: Has the slices that changed.
+        durable: Updated by each commit.
+        engine: Makes commits durable.
+        run: Carries out the engine's calls.
+        publish: Called with the changes of each durable commit.
+        on_failure: Called with the failure of a commit.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        ledger: OwnershipLedger,
+        durable: DurableState,
+        engine: StorageEngine,
+        run: EngineRunner,
+        publish: Callable[[PendingChanges], None],
+        on_failure: Callable[[Failure], None],
+    ) -> None:
+        self.clock = clock
+        self.ledger = ledger
+        self.durable = durable
+        self.engine = engine
+        self.run = run
+        self.publish = publish
+        self.on_failure = on_failure
+        self.pending = PendingChanges()
+        self.commit_count = 0
+        self.failure_count = 0
+        self.row_count = 0  # slices written, over all commits
+        self._committing = False
+        self._retry_timer: Timer | None = None
+
+    def add_transfers(self, transfers: list[OwnershipTransfer]) -> None:
+        """Commits changes of ownership."""
+        for transfer in transfers:
+            self.pending.add_transfer(transfer)
+        self.flush()
+
+    def add_write(self, stream: Stream, batch: int) -> None:
+        """Commits what an assigner has written to the ledger; it is notified then."""
+        self.pending.waiting.writers[stream] = batch
+        self.flush()
+
+    def add_operator(self, stream: Stream) -> None:
+        """An operator is to be notified of the next commit."""
+        self.pending.waiting.operators.append(stream)
+
+    def add_zone_command(self, stream: Stream, command: ZoneCommand) -> None:
+        """Commits an operator's command; the operator is notified then."""
+        self.pending.zone_commands[command.zone] = command
+        self.add_operator(stream)
+        self.flush()
+
+    def remove_writer(self, stream: Stream) -> None:
+        """A stream is lost: its writes are not acknowledged."""
+        self.pending.waiting.writers.pop(stream, None)
+
+    def flush(self) -> None:
+        """Begins a commit, unless one is under way or waits for its retry."""
+        if self._committing or self._retry_timer is not None:
+            return
+        if not (self.ledger.changed or self.pending.zone_commands):
+            if self.pending.waiting:  # nothing changed: what they wrote was there, or was rejected
+                waiting, self.pending.waiting = self.pending.waiting, WaitingPeers()
+                self.publish(PendingChanges(waiting=waiting))
+            return
+        self._committing = True
+        changes, self.pending = self.pending, PendingChanges()
+        commands = changes.zone_commands
+        slices = self.ledger.take_changed()
+        commit = Commit(
+            self.durable.revision + 1,
+            self.ledger.highest_token,
+            slices,
+            tuple(commands[zone] for zone in sorted(commands)),
+        )
+        done = self.run(self.engine.commit, commit)
+        done.addCallback(lambda _: self._committed(commit, changes))
+        done.addErrback(self._failed, commit, changes)
+
+    def _committed(self, commit: Commit, changes: PendingChanges) -> None:
+        self._committing = False
+        self.commit_count += 1
+        self.row_count += len(commit.slices)
+        self.durable.apply(commit)
+        self.publish(changes)
+        self.flush()
+
+    def _failed(self, failure: Failure, commit: Commit, changes: PendingChanges) -> None:
+        """The disk is full, or worse: everything waits for the retry."""
+        self.on_failure(failure)
+        self._committing = False
+        self.failure_count += 1
+        self.ledger.changed |= {stored.slice_id for stored in commit.slices}
+        self.pending.prepend(changes)
+        self._retry_timer = self.clock.callLater(RETRY_DELAY_S, self._retry)
+
+    def _retry(self) -> None:
+        self._retry_timer = None
+        self.flush()
+
+    def stop(self) -> None:
+        """Cancels the retry of a commit that failed."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
--- a/puffintide/store/engine.py
+++ b/puffintide/store/engine.py
@@ -1,8 +1,4 @@
-"""What a store keeps, and what an engine that keeps it promises. Types only.
-
-An engine's commit() is durable when it returns: neither a kill nor a power cut loses it, and a commit is there
-whole or not at all. Whoever calls it tells nobody of a change before.
-"""
+"""What a store keeps, and what a storage engine promises. Types only."""
 
 from __future__ import annotations
 
@@ -13,83 +9,79 @@
 
 from puffintide.protocol.messages import TableEntry, ZoneCommand
 
+NOBODY = -1  # the owner_id of a slice without an owner
+NO_OVERRIDE = -1
 
-class StoreError(Exception):
-    """The storage can't be used; the text says what and where, in one line."""
-
-
-class Overtaken(StoreError):
-    """Another store has written since: this one is behind, and must not go on."""
 
+class StoredSlice(msgspec.Struct, frozen=True, array_like=True):
+    """A slice as stored. It is stored as an array, so the order of the fields must not change."""
 
-class SliceState(msgspec.Struct, frozen=True, array_like=True):
-    """A slice as kept: who has charge under which token, the last write's batch, its table, and a pin."""
-
-    slice: int
-    assigner: int
-    token: int
-    batch: int
-    lines: list[TableEntry]
-    pin: int = -1  # an operator moved it here; -1: it goes where its number says
-    since: int = 0  # the first token of this unbroken tenure of one life of the assigner
-    life: int = 0
+    slice_id: int
+    owner_id: int  # number of the assigner; NOBODY: none
+    fencing_token: int  # of the ownership
+    batch: int  # of the last write in this tenure
+    entries: list[TableEntry]
+    home_override: int = NO_OVERRIDE  # assigner that an operator made the slice's home
+    tenure_token: int = 0  # first token of this unbroken ownership by one incarnation of the owner
+    incarnation: int = 0  # of the owner
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """What one commit makes durable together."""
+class Commit:
+    """What becomes durable together."""
 
     revision: int
-    token: int  # the highest ever given
-    slices: tuple[SliceState, ...] = ()
-    hands: tuple[ZoneCommand, ...] = ()
+    highest_token: int  # highest fencing token ever issued
+    slices: tuple[StoredSlice, ...] = ()
+    zone_commands: tuple[ZoneCommand, ...] = ()
 
 
 @dataclass(slots=True)
-class Image:
-    """All that is kept, as read at the start."""
+class StoreSnapshot:
+    """All that is stored, as of one revision."""
 
-    identity: str  # of this store; a restored backup has another
+    store_id: str  # identity of the store; a restored backup has another
     revision: int = 0
-    token: int = 0
-    slices: dict[int, SliceState] = field(default_factory=dict)
-    revisions: dict[int, int] = field(default_factory=dict)  # of each slice's last change
-    hands: dict[int, ZoneCommand] = field(default_factory=dict)
+    highest_token: int = 0
+    slices: dict[int, StoredSlice] = field(default_factory=dict)
+    slice_revisions: dict[int, int] = field(default_factory=dict)  # revision of each slice's last change
+    zone_commands: dict[int, ZoneCommand] = field(default_factory=dict)  # by zone
 
 
-class Engine(Protocol):
-    def load(self) -> Image:
-        """Raises StoreError if anything kept is damaged."""
+class StorageEngine(Protocol):
+    """Keeps the state of a store.
 
-    def commit(self, change: Change) -> None:
-        """Durable on return. Raises StoreError; then nothing of it is kept, and it may be tried again."""
+    A commit is durable when `commit` returns: neither a kill nor a power cut loses it, and a commit is there whole
+    or not at all. The caller publishes no change before.
+    """
 
-    def backup(self, path: str) -> int:
-        """A copy as of one revision, while serving; gives that revision. Raises StoreError."""
+    def load(self) -> StoreSnapshot:
+        """Reads all that is stored.
 
-    def beat(self) -> None:
-        """Called now and then, for what must be kept up. Raises StoreError."""
+        Raises:
+            StoreError: Anything stored is damaged, or the storage can't be used.
+        """
 
-    def close(self) -> None: ...
+    def commit(self, commit: Commit) -> None:
+        """Makes a commit durable.
 
+        Raises:
+            StoreError: Nothing of it is stored, and it may be retried.
+        """
 
-class Memory:
-    """Keeps nothing over a restart: for days and tests of what does not concern storage."""
-
-    def beat(self) -> None:
-        pass
-
-    def __init__(self, identity: str = "memory") -> None:
-        self.image = Image(identity)
+    def backup(self, path: str) -> int:
+        """Writes a copy as of one revision, while serving, and returns that revision.
 
-    def load(self) -> Image:
-        return self.image
+        Raises:
+            StoreError: There is no backup.
+        """
 
-    def commit(self, change: Change) -> None:
-        pass
+    def keep_alive(self) -> None:
+        """Renews what the engine has to renew, such as a lease; to be called about once a second.
 
-    def backup(self, path: str) -> int:
-        raise StoreError("a store in memory has nothing to back up")
+        Raises:
+            StoreError: It was not renewed.
+        """
 
     def close(self) -> None:
-        pass
+        """Releases the storage for another process."""
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -1,7 +1,7 @@
-"""The store on sockets: assigners write, proxies read and are told of changes of charge.
+"""The store on sockets: assigners write, proxies read and are notified of changes of ownership.
 
-Nobody is told of a change before it is kept. Changes that come while one commit is under way go into the next
-together; readings are of what is kept, so that they never wait for the disk.
+Nobody is notified of a change before it is durable. Reads are answered from what is durable, and never wait for the
+disk.
 """
 
 from __future__ import annotations
@@ -9,428 +9,244 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.defer import Deferred, maybeDeferred
+from twisted.internet.defer import maybeDeferred
 from twisted.python.failure import Failure
 
 from puffintide.protocol import messages as m
-from puffintide.protocol.codec import encode
-from puffintide.protocol.messages import AnyMessage
-from puffintide.protocol.session import Greeting
+from puffintide.protocol.clock import Timer
 from puffintide.protocol.stream import PeerIdentity, Stream, StreamServerFactory
 from puffintide.replication.table_restore import TableRestore
-from puffintide.store.book import Book, Change, charge_of
-from puffintide.store.engine import Change as Kept
-from puffintide.store.engine import Engine, Image, Overtaken, StoreError
-
-DUE_S = 0.1  # how often charge is looked over
-AGAIN_S = 0.5  # after a commit that failed
-BEAT_S = 1.0
-VIEWS_MOST = 20  # encoded readings that are kept
-STATS_S = 10.0
-REASONS_MOST = 5  # logged of one message
-
-Run = Callable[..., Deferred[Any]]
+from puffintide.store.commits import CommitQueue, EngineRunner
+from puffintide.store.durable_state import DurableState
+from puffintide.store.engine import StorageEngine, StoreSnapshot
+from puffintide.store.errors import StoreError, StoreOvertakenError
+from puffintide.store.notifications import Notifier
+from puffintide.store.operator_commands import BackupHandler, MigrationHandler, ZoneCommandHandler
+from puffintide.store.ownership import OwnershipLedger
+from puffintide.store.reads import Reads
+from puffintide.store.restoration import Restoration
+from puffintide.store.sessions import ASSIGNER, OPERATOR, Sessions
+
+REASSIGN_INTERVAL_S = 0.1
+KEEP_ALIVE_INTERVAL_S = 1.0
+STATS_INTERVAL_S = 10.0
+MAX_STREAMS = 5000
 
 
 class StoreService:
-    """engine: where it is kept. run: carries out an engine's call, in a thread of its own where that may take
-    long. image: what the engine has kept, already in the book."""
+    """Wires the parts of the store to its streams and timers.
+
+    Args:
+        reactor: Clock, and stopped when another store has overtaken this one.
+        ledger: Ownership, with the snapshot restored into it.
+        deployment: Name that peers must give.
+        log: Of the store.
+        engine: Where the state is stored.
+        snapshot: What the engine has stored.
+        zone_count: Zones are numbered below this.
+        run: Carries out an engine's call, in a thread of its own where that may take long.
+        max_streams: Beyond which proxies are rejected.
+        backup_path: Returns the path for a backup's name, or raises ValueError; None where there are no backups.
+        refill: Gathers replicas if the store is empty; None where it is not to be restored from them.
+    """
 
     def __init__(
         self,
         reactor: Any,
-        book: Book,
+        ledger: OwnershipLedger,
         deployment: str,
         log: Any,
-        engine: Engine,
-        image: Image,
-        zones: int = 1,
-        run: Run = maybeDeferred,
-        streams_most: int = 5000,
-        backups: Callable[[str], str] | None = None,
+        engine: StorageEngine,
+        snapshot: StoreSnapshot,
+        zone_count: int = 1,
+        run: EngineRunner = maybeDeferred,
+        max_streams: int = MAX_STREAMS,
+        backup_path: Callable[[str], str] | None = None,
         refill: TableRestore | None = None,
     ) -> None:
-        self.reactor, self.book, self.deployment, self.log = reactor, book, deployment, log
-        self.engine, self.run, self.zones = engine, run, zones
-        self.identity, self.revision = image.identity, image.revision
-        self.kept = dict(image.slices)  # as on the disk
-        self.revisions = dict(image.revisions)
-        self.hands = dict(image.hands)  # by zone, as on the disk
-        self.hand_number = max((h.sequence for h in self.hands.values()), default=0)
-        self.streams_most, self.backups = streams_most, backups
-        self.refill = refill if self._empty() else None  # until it is done no charge is given
-        self.streams = 0
-        self.assigners: dict[int, Stream] = {}
-        self.lives: dict[int, int] = {}
-        self.members: list[int] = []  # as told last
-        self.proxies: set[Stream] = set()
-        self._given: dict[int, Change] = {}  # changes of charge that wait to be kept, by slice
-        self._written: dict[Stream, int] = {}  # the last batch of each writer that waits
-        self._hands: dict[int, m.ZoneCommand] = {}
-        self._asked: list[Stream] = []  # operators that wait for their order to be kept
-        self._views: dict[int, list[bytes]] = {}  # encoded readings of this revision, by where they start
-        self._views_of = -1
-        self._busy = self._failing = False
-        self.overtaken = False  # another store serves in our place
-        self.commits = self.failed = self.rows = 0
+        self.reactor = reactor
+        self.ledger = ledger
+        self.log = log
+        self.engine = engine
+        self.run = run
+        self.overtaken = False  # another store serves in place of this one
+        self.membership: list[int] = []  # assigners as last sent
+        self._timers: dict[str, Timer] = {}
+        self._stopped = False
+        is_empty = snapshot.revision == 0 and not snapshot.slices and not ledger.changed
+        self.durable = DurableState(snapshot)
+        self.sessions = Sessions(deployment, ledger.assigner_count, max_streams)
+        self.notifier = Notifier(self.sessions, self.durable, log)
+        self.commits = CommitQueue(
+            reactor, ledger, self.durable, engine, run, self.notifier.publish, self._commit_failed
+        )
+        self.reads = Reads(self.durable, ledger.slices)
+        self.zone_commands = ZoneCommandHandler(zone_count, self.durable, self.commits, log)
+        self.migrations = MigrationHandler(reactor, ledger, self.commits, log)
+        self.backups = BackupHandler(engine, run, backup_path, log)
+        self.restoration = Restoration(
+            reactor, ledger, self.sessions, self.commits, refill if is_empty else None, log
+        )
 
     def factory(self) -> StreamServerFactory:
-        def me() -> m.Welcome:
-            return m.Welcome(m.PROTOCOL_VERSION, "store", 0)
-
-        return StreamServerFactory(self.reactor, me, self._message, self._lost, self._judge)
+        """The factory for the listening port."""
+        return StreamServerFactory(
+            self.reactor,
+            lambda: m.Welcome(m.PROTOCOL_VERSION, "store", 0),
+            self._handle_message,
+            self._handle_lost,
+            self.sessions.rejection_reason,
+        )
 
     def start(self) -> None:
-        self._due()
-        self.reactor.callLater(STATS_S, self._stats)
-        self.reactor.callLater(BEAT_S, self._beat)
-
-    def _beat(self) -> None:
-        done = self.run(self.engine.beat)
-        done.addErrback(lambda failure: self._failed(failure, "not_kept_up"))
-        done.addBoth(lambda _: self.reactor.callLater(BEAT_S, self._beat))
-
-    def _failed(self, failure: Failure, what: str) -> None:
-        if isinstance(failure.value, Overtaken):
+        """Starts the timers."""
+        self._reassign()
+        self._schedule("stats", STATS_INTERVAL_S, self._log_stats)
+        self._schedule("keep_alive", KEEP_ALIVE_INTERVAL_S, self._keep_alive)
+
+    def stop(self) -> None:
+        """Cancels all timers. The engine is closed by whoever opened it."""
+        self._stopped = True
+        self.commits.stop()
+        for timer in self._timers.values():
+            timer.cancel()
+        self._timers.clear()
+
+    def _schedule(self, name: str, delay_s: float, call: Callable[[], None]) -> None:
+        def fire() -> None:
+            del self._timers[name]
+            call()
+
+        if not self._stopped:
+            self._timers[name] = self.reactor.callLater(delay_s, fire)
+
+    def _keep_alive(self) -> None:
+        done = self.run(self.engine.keep_alive)
+        done.addErrback(self._log_failure, "keep_alive_failed")
+        done.addBoth(lambda _: self._schedule("keep_alive", KEEP_ALIVE_INTERVAL_S, self._keep_alive))
+
+    def _commit_failed(self, failure: Failure) -> None:
+        self._log_failure(failure, "commit_failed")
+
+    def _log_failure(self, failure: Failure, event: str) -> None:
+        if isinstance(failure.value, StoreOvertakenError):
             self.log.critical("overtaken", reason=str(failure.value))
             self.overtaken = True
             self.reactor.stop()
         elif isinstance(failure.value, StoreError):
-            self.log.error(what, reason=str(failure.value))
-        else:  # a fault of ours: no more is kept, and it must not look as if
+            self.log.error(event, reason=str(failure.value))
+        else:  # a bug: nothing more is stored, and that must not go unnoticed
             self.log.critical("engine_failed", reason=failure.getTraceback())
 
-    def _empty(self) -> bool:
-        return self.revision == 0 and not self.kept and not self.book.dirty
-
-    def _refilled(self, now: float, by: str) -> None:
-        """All that was given out before counts no more: tokens go on far above any that was seen. Proxies keep what
-        they hold until they are told."""
-        assert self.refill is not None
-        done, self.refill = self.refill, None
-        tables = done.tables()
-        self.book.load(tables)
-        self.book.token = done.first_fencing_token(self.book.token)
-        told = sorted(done.complete_assigners)
-        self.log.warning("refilled", tables=len(tables), assigners=told, token=self.book.token, by=by)
-        for assigner in sorted(self.assigners):
-            self._changed(self.book.joined(now, assigner, self.lives.get(assigner, 0)))
-
-    def _due(self) -> None:
-        now = self.reactor.seconds()
-        if self.refill is not None and self.refill.is_ready(now):
-            self._refilled(now, "itself")
-        self._changed(self.book.due(now))  # nobody is there before the refill
-        members = self.book.members(now)
-        if members != self.members:
-            self.members = members
-            self.log.info("members", assigners=members)
-            for assigner in sorted(self.assigners):
-                self.assigners[assigner].send(m.AssignerMembership(members))
-        self.reactor.callLater(DUE_S, self._due)
-
-    def _stats(self) -> None:
+    def _reassign(self) -> None:
+        now_s = self.reactor.seconds()
+        self.restoration.check()
+        self.commits.add_transfers(self.ledger.reassign(now_s))  # nobody is connected before the restoration
+        membership = self.ledger.lease_holders(now_s)
+        if membership != self.membership:
+            self.membership = membership
+            self.log.info("membership_changed", assigner_ids=membership)
+            self.sessions.send_to_assigners(m.AssignerMembership(membership))
+        self._schedule("reassign", REASSIGN_INTERVAL_S, self._reassign)
+
+    def _log_stats(self) -> None:
         self.log.info(
             "stats",
-            revision=self.revision,
-            commits=self.commits,
-            rows=self.rows,
-            failed=self.failed,
-            streams=self.streams,
-            waiting=len(self.book.dirty),
+            revision=self.durable.revision,
+            commits=self.commits.commit_count,
+            rows=self.commits.row_count,
+            failed_commits=self.commits.failure_count,
+            streams=self.sessions.stream_count,
+            uncommitted_slices=len(self.ledger.changed),
         )
-        self.reactor.callLater(STATS_S, self._stats)
-
-    # Streams --------------------------------------------------------------------------------------
+        self._schedule("stats", STATS_INTERVAL_S, self._log_stats)
 
-    def _judge(self, hello: Greeting) -> str | None:
-        if hello.role not in ("assigner", "proxy", "operator"):
-            return f"role {hello.role!r} is not served by the store"
-        if isinstance(hello, m.Hello) and hello.deployment != self.deployment:
-            return f"deployment {hello.deployment!r} is not {self.deployment!r}, which this store holds"
-        if hello.role == "assigner" and not 0 <= hello.id < self.book.assigners:
-            return f"assigner {hello.id} is not among the {self.book.assigners} of this deployment"
-        if self.streams >= self.streams_most and hello.role == "proxy":
-            return f"{self.streams_most} streams are here already"
-        return None
-
-    def _message(self, stream: Stream, message: AnyMessage) -> None:
-        role = stream.peer.role
+    def _handle_message(self, stream: Stream, message: m.AnyMessage) -> None:
         match message:
             case m.Hello():
-                self._greeted(stream, message)
+                self._handle_hello(stream, message)
             case m.ReadRequest():
-                self._read(stream, message)
-            case m.WriteRequest() if role == "assigner":
-                refused = self.book.write(stream.peer.id, message.weights, message.batch)
-                for number, reason in sorted(refused.items()):
-                    stream.send(m.WriteRejected(message.batch, number, reason))
-                    self.log.warning("write_refused", assigner=stream.peer.id, slice=number, reason=reason)
-                self._written[stream] = message.batch
-                self._keep()
-            case m.ZoneCommand() if role == "operator":
-                self._hand(stream, message)
-            case m.MigrateSlices() if role == "operator":
-                wrong = self.book.move(message.slice_ids, message.assigner_id)
-                if wrong is not None:
-                    stream.reject(wrong)
-                    return
-                self.log.warning(
-                    "move", slices=message.slice_ids, to=message.assigner_id, by=message.operator[:100]
-                )
-                self._asked.append(stream)
-                self._changed(self.book.due(self.reactor.seconds()))
-            case m.BackupRequest() if role == "operator":
-                self._backup(stream, message.name)
-            case m.ReplicationDelta() if role == "assigner":
-                if self.refill is not None:
-                    for reason in self.refill.on_delta(self.reactor.seconds(), stream.peer.id, message)[
-                        :REASONS_MOST
-                    ]:
-                        self.log.warning("copy_refused", assigner=stream.peer.id, reason=reason)
-            case m.RestoreFromReplicas() if role == "operator":
-                if self.refill is None or not self.refill.complete_assigners:
-                    waits = self.refill is not None
-                    why = (
-                        "no assigner has answered yet" if waits else "it is not empty, or may not be refilled"
-                    )
-                    stream.reject(why)
-                    return
-                self._asked.append(stream)
-                self._refilled(self.reactor.seconds(), message.operator[:100])
+                self.reads.send(stream, message)
+            case _ if stream.peer.role == ASSIGNER:
+                self._handle_assigner_message(stream, message)
+            case _ if stream.peer.role == OPERATOR:
+                self._handle_operator_message(stream, message)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for the store")
-
-    def _greeted(self, stream: Stream, hello: m.Hello) -> None:
-        self.streams += 1
-        stream.peer = PeerIdentity(hello.role, hello.id)
-        if hello.highest_token > self.book.token and self.refill is None:
-            self.log.error(
-                "older_than_its_parties",
-                token=self.book.token,
-                seen=hello.highest_token,
-                role=hello.role,
-                id=hello.id,
-            )
-            self._changed(self.book.seen(hello.highest_token))
-        if hello.role == "proxy":
-            self.proxies.add(stream)
-        elif hello.role == "assigner":
-            old = self.assigners.get(hello.id)
-            if old is not None:
-                old.abort("its assigner dialled anew")
-            self.assigners[hello.id] = stream
-            self.lives[hello.id] = hello.incarnation
-            self.log.info("assigner_joined", assigner=hello.id, life=hello.incarnation)
-            if self.hands:
-                stream.send(self._standing())
-            if self.members:
-                stream.send(m.AssignerMembership(self.members))
-            if self.refill is not None:
-                stream.send(m.ReplicaRequest())
-            else:
-                self._changed(self.book.joined(self.reactor.seconds(), hello.id, hello.incarnation))
-
-    def _lost(self, stream: Stream, why: AnyMessage) -> None:
-        if not stream.peer.role:
-            return
-        self.streams -= 1
-        self.proxies.discard(stream)
-        self._written.pop(stream, None)
-        if stream.peer.role == "assigner" and self.assigners.get(stream.peer.id) is stream:
-            del self.assigners[stream.peer.id]
-            self.book.left(self.reactor.seconds(), stream.peer.id)
-            if self.refill is not None:
-                self.refill.on_assigner_disconnected(stream.peer.id)
-            self.log.warning("assigner_left", assigner=stream.peer.id, reason=stream.close_reason)
-
-    def _read(self, stream: Stream, read: m.ReadRequest) -> None:
-        """What is kept, at one revision: all of it, or what changed since the one the reader has, if it has one
-        of this very store."""
-        known = (
-            read.since_revision
-            if read.store_id == self.identity and 0 <= read.since_revision <= self.revision
-            else -1
-        )
-        lines = iter(self._view(known))
-
-        def on() -> None:
-            """A line at a time, as the reader takes them: a crowd of readers is no heap of buffers."""
-            while stream.writable and not stream.closed:
-                line = next(lines, None)
-                if line is None:
-                    stream.on_writable = None
-                    return
-                stream.send_line(line)
-
-        stream.on_writable = on  # a second reading takes the place of one under way
-        on()
+                self._reject(stream, message)
 
-    def _view(self, known: int) -> list[bytes]:
-        """A reading, encoded: once for each revision and starting point that is asked for."""
-        if self._views_of != self.revision:
-            self._views_of, self._views = self.revision, {}
-        if known not in self._views:
-            if len(self._views) >= VIEWS_MOST:
-                self._views.pop(next(iter(self._views)))
-            numbers = [
-                n for n in sorted(self.kept) if n in self.book.slices and self.revisions.get(n, 0) > known
-            ]
-            lines = self._lines([charge_of(self.kept[n]) for n in numbers])
-            self._views[known] = [*lines, encode(m.ReadComplete(len(numbers), self.revision, self.identity))]
-        return self._views[known]
-
-    # Orders by hand -------------------------------------------------------------------------------
+    def _handle_assigner_message(self, stream: Stream, message: m.AnyMessage) -> None:
+        match message:
+            case m.WriteRequest():
+                self._handle_write(stream, message)
+            case m.ReplicationDelta():
+                self.restoration.handle_delta(stream, message)
+            case _:
+                self._reject(stream, message)
 
-    def _standing(self) -> m.ZoneCommands:
-        return m.ZoneCommands([self.hands[z] for z in sorted(self.hands)])
+    def _handle_operator_message(self, stream: Stream, message: m.AnyMessage) -> None:
+        match message:
+            case m.ZoneCommand():
+                self.zone_commands.handle(stream, message)
+            case m.MigrateSlices():
+                self.migrations.handle(stream, message)
+            case m.BackupRequest():
+                self.backups.handle(stream, message)
+            case m.RestoreFromReplicas():
+                self.restoration.handle_command(stream, message)
+            case _:
+                self._reject(stream, message)
 
-    def _hand(self, stream: Stream, hand: m.ZoneCommand) -> None:
-        if not 0 <= hand.zone < self.zones or hand.operation not in ("drain", "hold", "return"):
-            stream.reject(
-                f"{hand.operation!r} of zone {hand.zone}: there are {self.zones} zones; drain, hold or return"
-            )
-            return
-        if not 0.1 <= hand.pace <= 10:
-            stream.reject(f"pace {hand.pace:g} is not from 0.1 to 10")
+    @staticmethod
+    def _reject(stream: Stream, message: m.AnyMessage) -> None:
+        stream.reject(f"a {type(message).__name__} is not for the store")
+
+    def _handle_hello(self, stream: Stream, hello: m.Hello) -> None:
+        if not self.restoration.pending:
+            self._check_highest_token(hello)
+        self.sessions.add(stream, PeerIdentity(hello.role, hello.id))
+        if hello.role == ASSIGNER:
+            self._handle_assigner_hello(stream, hello)
+
+    def _check_highest_token(self, hello: m.Hello) -> None:
+        """A peer that has seen a later token than was issued shows that this store is an older copy of itself."""
+        if hello.highest_token <= self.ledger.highest_token:
             return
-        self.hand_number += 1
-        kept = m.ZoneCommand(hand.zone, hand.operation, hand.pace, hand.operator[:100], self.hand_number)
-        self._hands[hand.zone] = kept
-        self._asked.append(stream)
-        self.log.warning(
-            "hand",
-            zone=kept.zone,
-            what=kept.operation,
-            pace=kept.pace,
-            by=kept.operator,
-            number=kept.sequence,
+        self.log.error(
+            "stale_store_detected",
+            highest_token=self.ledger.highest_token,
+            seen_token=hello.highest_token,
+            role=hello.role,
+            id=hello.id,
         )
-        self._keep()
-
-    def _backup(self, stream: Stream, name: str) -> None:
-        if self.backups is None:
-            stream.reject("this store keeps nothing that could be backed up")
-            return
-        try:
-            path = self.backups(name)
-        except ValueError as error:
-            stream.reject(str(error))
+        self.commits.add_transfers(self.ledger.observe_token(hello.highest_token))
+
+    def _handle_assigner_hello(self, stream: Stream, hello: m.Hello) -> None:
+        self.sessions.add_assigner(stream, hello.id, hello.incarnation)
+        self.log.info("assigner_connected", assigner_id=hello.id, incarnation=hello.incarnation)
+        if self.durable.zone_commands:
+            stream.send(self.durable.commands_in_force())
+        if self.membership:
+            stream.send(m.AssignerMembership(self.membership))
+        if self.restoration.pending:
+            stream.send(m.ReplicaRequest())
             return
-        done = self.run(self.engine.backup, path)
+        now_s = self.reactor.seconds()
+        self.commits.add_transfers(self.ledger.assigner_connected(now_s, hello.id, hello.incarnation))
 
-        def good(revision: int) -> None:
-            self.log.info("backup", path=path, revision=revision)
-            stream.send(m.CommandCompleted(f"{path}: revision {revision}"))
-
-        done.addCallbacks(good, lambda failure: stream.reject(failure.getErrorMessage()))
-
-    # Keeping --------------------------------------------------------------------------------------
-
-    def _changed(self, changes: list[Change]) -> None:
-        for change in changes:
-            before = self._given.get(change.slice)
-            old = before.old if before is not None else change.old
-            self._given[change.slice] = Change(change.slice, old, change.new)
-        self._keep()
-
-    def _keep(self) -> None:
-        """One commit at a time; what comes meanwhile is the next."""
-        if self._busy or self._failing:
-            return
-        if not (self.book.dirty or self._hands):
-            if self._written or self._asked:  # nothing changed: what they wrote was there, or was refused
-                self._tell((), {}, self._take_waiting())
+    def _handle_lost(self, stream: Stream, _reason: m.AnyMessage) -> None:
+        if not stream.peer.role:
             return
-        self._busy = True
-        given, self._given = self._given, {}
-        waiting = self._take_waiting()
-        hands, self._hands = self._hands, {}
-        states = self.book.take_dirty()
-        change = Kept(self.revision + 1, self.book.token, states, tuple(hands[z] for z in sorted(hands)))
-        done = self.run(self.engine.commit, change)
-        done.addCallback(lambda _: self._done(change, given, waiting))
-        done.addErrback(self._undone, change, given, waiting)
-
-    def _take_waiting(self) -> tuple[dict[Stream, int], list[Stream]]:
-        found = self._written, self._asked
-        self._written, self._asked = {}, []
-        return found
-
-    def _done(
-        self, kept: Kept, given: dict[int, Change], waiting: tuple[dict[Stream, int], list[Stream]]
-    ) -> None:
-        self._busy = False
-        self.commits += 1
-        self.rows += len(kept.slices)
-        self.revision = kept.revision
-        for state in kept.slices:
-            self.kept[state.slice] = state
-            self.revisions[state.slice] = kept.revision
-        for hand in kept.hands:
-            self.hands[hand.zone] = hand
-        self._tell(kept.hands, given, waiting)
-        self._keep()
-
-    def _undone(
-        self,
-        failure: Failure,
-        kept: Kept,
-        given: dict[int, Change],
-        waiting: tuple[dict[Stream, int], list[Stream]],
-    ) -> None:
-        """Disk full, or worse: nobody is told of it, and it is tried again with what comes meanwhile."""
-        self._failed(failure, "not_kept")
-        self._busy, self._failing = False, True
-        self.failed += 1
-        self.book.dirty |= {state.slice for state in kept.slices}
-        for number, change in given.items():
-            later = self._given.get(number)
-            self._given[number] = Change(number, change.old, later.new if later is not None else change.new)
-        self._written = waiting[0] | self._written
-        self._asked = waiting[1] + self._asked
-        self._hands = {h.zone: h for h in kept.hands} | self._hands
-        self.reactor.callLater(AGAIN_S, self._again)
-
-    def _again(self) -> None:
-        self._failing = False
-        self._keep()
-
-    def _tell(
-        self,
-        hands: tuple[m.ZoneCommand, ...],
-        given: dict[int, Change],
-        waiting: tuple[dict[Stream, int], list[Stream]],
-    ) -> None:
-        """What has been kept goes out; changes of charge as one message to each party, encoded once."""
-        by_assigner: dict[int, list[m.SliceOwnership]] = {}
-        for number, change in sorted(given.items()):
-            charge = charge_of(self.kept[number])
-            if change.old != change.new and change.old in self.assigners:
-                self.assigners[change.old].send(m.OwnershipRevoked(number, charge.fencing_token))
-            by_assigner.setdefault(charge.owner_id, []).append(charge)
-        for assigner, charges in sorted(by_assigner.items()):
-            self.log.info("charge", assigner=assigner, slices=[c.slice_id for c in charges])
-            for line in self._lines(charges):
-                if assigner in self.assigners:
-                    self.assigners[assigner].send_line(line)
-                for proxy in sorted(self.proxies, key=lambda s: str(s.peer)):
-                    if proxy.writable:
-                        proxy.send_line(line)
-                    else:  # it reads again from the revision it has
-                        proxy.abort("does not read what it is told")
-        written, asked = waiting
-        for stream, batch in written.items():
-            stream.send(m.WriteAcknowledged(batch, self.revision))
-        if hands:
-            for assigner in sorted(self.assigners):
-                self.assigners[assigner].send(self._standing())
-        for stream in asked:
-            stream.send(self._standing())
-
-    @staticmethod
-    def _lines(charges: list[m.SliceOwnership]) -> list[bytes]:
-        return [
-            encode(m.SliceOwnerships(charges[first : first + m.MAX_OWNERSHIPS_PER_MESSAGE]))
-            for first in range(0, len(charges), m.MAX_OWNERSHIPS_PER_MESSAGE)
-        ]
+        self.commits.remove_writer(stream)
+        if self.sessions.remove(stream):
+            assigner_id = stream.peer.id
+            self.ledger.assigner_disconnected(self.reactor.seconds(), assigner_id)
+            self.restoration.assigner_disconnected(assigner_id)
+            self.log.warning("assigner_disconnected", assigner_id=assigner_id, reason=stream.close_reason)
+
+    def _handle_write(self, stream: Stream, write: m.WriteRequest) -> None:
+        assigner_id = stream.peer.id
+        rejections = self.ledger.write(assigner_id, write.weights, write.batch)
+        for slice_id, reason in sorted(rejections.items()):
+            stream.send(m.WriteRejected(write.batch, slice_id, reason))
+            self.log.warning("write_rejected", assigner_id=assigner_id, slice_id=slice_id, reason=reason)
+        self.commits.add_write(stream, write.batch)
--- a/puffintide/store/sqlite.py
+++ b/puffintide/store/sqlite.py
@@ -1,14 +1,14 @@
 """The embedded engine: one SQLite file (through apsw) with a write-ahead log, synced at every commit.
 
 Every row carries a checksum (xxh64 of its place and content), as SQLite itself would hand out a flipped bit. The
-file is locked while open, so that two stores can't serve from it. Format 1.
+file is locked while open, so that two stores can't serve from it. Its format is 1.
 """
 
 from __future__ import annotations
 
 import os
 import secrets
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from pathlib import Path
 from typing import Any
 
@@ -17,80 +17,113 @@
 import xxhash
 
 from puffintide.protocol.messages import ZoneCommand
-from puffintide.store.engine import Change, Image, SliceState, StoreError
+from puffintide.store.engine import Commit, StoredSlice, StoreSnapshot
+from puffintide.store.errors import (
+    BackupError,
+    StoreDamagedError,
+    StoreError,
+    StoreFormatError,
+    StoreFullError,
+    StoreInUseError,
+)
 
 FORMAT = 1
-TOKEN_JUMP = 1 << 32  # a restored store gives tokens above all that its older self may have given
-LOG_PAGES = 1000  # of the write-ahead log, before it is folded into the file
+RESTORED_TOKEN_INCREMENT = (
+    1 << 32
+)  # a restored store issues tokens above all that its older self may have issued
+WAL_CHECKPOINT_PAGES = 1000  # of the write-ahead log, before it is folded into the file
+MAX_WAL_BYTES = 4 << 20  # that the log keeps on the disk once it is folded in
+BACKUP_STEP_PAGES = 500
 
-_SLICES = msgspec.json.Decoder(SliceState)
-_HANDS = msgspec.json.Decoder(ZoneCommand)
+_slice_decoder = msgspec.json.Decoder(StoredSlice)
+_command_decoder = msgspec.json.Decoder(ZoneCommand)
 _SCHEMA = """
 create table meta (name text primary key, value text not null, sum integer not null) without rowid;
 create table slice (number integer primary key, revision integer not null, body blob not null,
  sum integer not null);
 create table hand (zone integer primary key, revision integer not null, body blob not null, sum integer not null);
 """
+_ERRORS: list[tuple[type[BaseException], type[StoreError], str]] = [
+    (apsw.BusyError, StoreInUseError, "is open in another store"),
+    (apsw.LockedError, StoreInUseError, "is open in another store"),
+    (apsw.NotADBError, StoreFormatError, "is no store's file"),
+    (apsw.CorruptError, StoreDamagedError, "is damaged"),
+    (apsw.FullError, StoreFullError, "no room left on the disk"),
+    (apsw.ReadOnlyError, StoreError, "can't be written to"),
+    (apsw.CantOpenError, StoreError, "can't be opened"),
+    (apsw.IOError, StoreError, "could not be read or written"),
+]
 
 
 def checksum(*parts: object) -> int:
-    """Signed 64 bits, as SQLite's integers are."""
-    found = xxhash.xxh64_intdigest(repr(parts).encode())
-    return found - (1 << 64) if found >= 1 << 63 else found
-
-
-def _words(error: BaseException) -> str:
-    kinds: list[tuple[type[BaseException], str]] = [
-        (apsw.BusyError, "is open in another store"),
-        (apsw.LockedError, "is open in another store"),
-        (apsw.NotADBError, "is no store's file"),
-        (apsw.CorruptError, "is damaged"),
-        (apsw.FullError, "no room left on the disk"),
-        (apsw.ReadOnlyError, "can't be written to"),
-        (apsw.CantOpenError, "can't be opened"),
-        (apsw.IOError, "could not be read or written"),
-    ]
-    for kind, words in kinds:
+    """xxh64 of the parts, as a signed integer of 64 bits, which is what SQLite stores."""
+    unsigned = xxhash.xxh64_intdigest(repr(parts).encode())
+    return unsigned - (1 << 64) if unsigned >= 1 << 63 else unsigned
+
+
+def sync_path(path: str) -> None:
+    """Makes a file, or the entries of a folder, durable. Raises OSError."""
+    descriptor = os.open(path, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
+
+
+def _store_error(path: str, error: BaseException) -> StoreError:
+    """The StoreError that stands for an error of SQLite or of the system."""
+    for kind, store_error, text in _ERRORS:
         if isinstance(error, kind):
-            return f"{words} ({error})"
-    return str(error)
+            return store_error(f"{path}: {text} ({error})")
+    return StoreError(f"{path}: {error}")
 
 
 class SqliteEngine:
-    """vfs: the name of a file layer registered with apsw, for tests; None is the system's own."""
+    """A StorageEngine on one file, which it creates and locks.
+
+    Args:
+        path: Of the file.
+        vfs: Name of a file layer registered with apsw, for tests; None is the system's own.
+
+    Raises:
+        StoreError: The file can't be opened, is in use, or is not a store's.
+    """
 
     def __init__(self, path: str, vfs: str | None = None) -> None:
         self.path = path
         try:
             self.db = apsw.Connection(path, vfs=vfs)
-            self.db.set_busy_timeout(0)
-            self.db.pragma(
-                "locking_mode", "EXCLUSIVE"
-            )  # two stores on one file; and no shared memory is needed
-            self.db.pragma("journal_mode", "WAL")
-            self.db.pragma("synchronous", "FULL")  # the log is synced at every commit
-            self.db.pragma("wal_autocheckpoint", LOG_PAGES)
-            self.db.pragma("journal_size_limit", 4 << 20)
-            self.db.execute("begin immediate")  # takes the lock, or tells that another has it
-            self._open()
+            self._configure()
+            self.db.execute("begin immediate")  # takes the lock, or fails if another process has it
+            self._create_or_check_format()
             self.db.execute("commit")
         except (apsw.Error, ValueError) as error:
-            raise StoreError(f"{path}: {_words(error)}") from None
+            raise _store_error(path, error) from error
         except StoreError:
             self.db.close()
             raise
 
-    def _open(self) -> None:
+    def _configure(self) -> None:
+        self.db.set_busy_timeout(0)
+        self.db.pragma("locking_mode", "EXCLUSIVE")  # keeps a second store out, and needs no shared memory
+        self.db.pragma("journal_mode", "WAL")
+        self.db.pragma("synchronous", "FULL")  # the log is synced at every commit
+        self.db.pragma("wal_autocheckpoint", WAL_CHECKPOINT_PAGES)
+        self.db.pragma("journal_size_limit", MAX_WAL_BYTES)
+
+    def _create_or_check_format(self) -> None:
         version = self.db.pragma("user_version")
         if version == 0 and not self.db.execute("select name from sqlite_master").fetchall():
-            for text in _SCHEMA.split(";"):
-                self.db.execute(text)
+            for statement in _SCHEMA.split(";"):
+                self.db.execute(statement)
             self.db.pragma("user_version", FORMAT)
             self._put_meta(identity=secrets.token_hex(8), revision="0", token="0")
         elif version != FORMAT:
             self.db.execute("rollback")
-            newer = "newer than" if version > FORMAT else "not"
-            raise StoreError(f"{self.path}: format {version} is {newer} {FORMAT}, which this program writes")
+            relation = "newer than" if version > FORMAT else "not"
+            raise StoreFormatError(
+                f"{self.path}: format {version} is {relation} {FORMAT}, which this program writes"
+            )
 
     def _put_meta(self, **values: str) -> None:
         rows = [(name, value, checksum(name, value)) for name, value in sorted(values.items())]
@@ -101,135 +134,132 @@
             for row in self.db.execute(f"select * from {table} order by 1"):
                 yield table, row
 
+    def _row_problem(self, table: str, row: tuple[Any, ...]) -> str | None:
+        *content, stored_checksum = row
+        if checksum(*content) == stored_checksum:
+            return None
+        return f"{self.path}: {table} {row[0]}: checksum of the row does not fit"
+
     def problems(self) -> list[str]:
-        """What is damaged, each with its place; empty if all is whole."""
+        """What is damaged, each with its place; empty if nothing is."""
         found = []
         try:
-            found += [
-                f"{self.path}: {text}"
-                for (text,) in self.db.execute("pragma integrity_check")
-                if text != "ok"
-            ]
+            for (text,) in self.db.execute("pragma integrity_check"):
+                if text != "ok":
+                    found.append(f"{self.path}: {text}")
             for table, row in self._rows():
-                if checksum(*row[:-1]) != row[-1]:
-                    found.append(f"{self.path}: {table} {row[0]}: checksum of the row does not fit")
+                problem = self._row_problem(table, row)
+                if problem is not None:
+                    found.append(problem)
         except apsw.Error as error:
-            found.append(f"{self.path}: {_words(error)}")
+            found.append(str(_store_error(self.path, error)))
         return found
 
-    def load(self) -> Image:
+    def load(self) -> StoreSnapshot:
+        """Reads and checks all rows.
+
+        Raises:
+            StoreDamagedError: A row is damaged or missing.
+            StoreError: The file can't be read.
+        """
         meta: dict[str, str] = {}
-        image = Image("")
+        snapshot = StoreSnapshot("")
         try:
             for table, row in self._rows():
-                if checksum(*row[:-1]) != row[-1]:
-                    raise StoreError(f"{self.path}: {table} {row[0]}: checksum of the row does not fit")
+                problem = self._row_problem(table, row)
+                if problem is not None:
+                    raise StoreDamagedError(problem)
                 if table == "meta":
                     meta[row[0]] = row[1]
                 elif table == "slice":
-                    image.slices[row[0]] = _SLICES.decode(row[2])
-                    image.revisions[row[0]] = row[1]
+                    snapshot.slices[row[0]] = _slice_decoder.decode(row[2])
+                    snapshot.slice_revisions[row[0]] = row[1]
                 else:
-                    image.hands[row[0]] = _HANDS.decode(row[2])
-            image.identity = meta["identity"]
-            image.revision, image.token = int(meta["revision"]), int(meta["token"])
-        except (apsw.Error, msgspec.DecodeError) as error:
-            raise StoreError(f"{self.path}: {_words(error)}") from None
+                    snapshot.zone_commands[row[0]] = _command_decoder.decode(row[2])
+            snapshot.store_id = meta["identity"]
+            snapshot.revision = int(meta["revision"])
+            snapshot.highest_token = int(meta["token"])
+        except apsw.Error as error:
+            raise _store_error(self.path, error) from error
+        except msgspec.DecodeError as error:
+            raise StoreDamagedError(f"{self.path}: {error}") from error
         except KeyError as error:
-            raise StoreError(f"{self.path}: meta {error} is missing") from None
-        return image
+            raise StoreDamagedError(f"{self.path}: meta {error} is missing") from error
+        return snapshot
+
+    def commit(self, commit: Commit) -> None:
+        """Writes a commit as one transaction, and syncs it.
 
-    def commit(self, change: Change) -> None:
+        Raises:
+            StoreError: Nothing of the commit is stored.
+        """
+        slices = [(stored.slice_id, stored) for stored in commit.slices]
+        commands = [(command.zone, command) for command in commit.zone_commands]
         try:
             self.db.execute("begin immediate")
             try:
-                for table, key, rows in (
-                    ("slice", "slice", change.slices),
-                    ("hand", "zone", change.hands),
-                ):
-                    made = []
-                    for state in rows:
-                        body = msgspec.json.encode(state)
-                        place = getattr(state, key)
-                        made.append((place, change.revision, body, checksum(place, change.revision, body)))
-                    self.db.executemany(f"insert or replace into {table} values (?, ?, ?, ?)", made)
-                self._put_meta(revision=str(change.revision), token=str(change.token))
+                self._put_rows("slice", commit.revision, slices)
+                self._put_rows("hand", commit.revision, commands)
+                self._put_meta(revision=str(commit.revision), token=str(commit.highest_token))
                 self.db.execute("commit")
             except BaseException:
                 if self.db.in_transaction:
                     self.db.execute("rollback")
                 raise
         except apsw.Error as error:
-            raise StoreError(f"{self.path}: {_words(error)}") from None
+            raise _store_error(self.path, error) from error
+
+    def _put_rows(
+        self, table: str, revision: int, rows: Sequence[tuple[int, StoredSlice | ZoneCommand]]
+    ) -> None:
+        values = []
+        for number, content in rows:
+            body = msgspec.json.encode(content)
+            values.append((number, revision, body, checksum(number, revision, body)))
+        self.db.executemany(f"insert or replace into {table} values (?, ?, ?, ?)", values)
 
     def backup(self, path: str) -> int:
+        """Writes a copy as of one revision to a new file, and returns that revision.
+
+        Raises:
+            BackupError: The file exists.
+            StoreError: The copy can't be written.
+        """
         if Path(path).exists():
-            raise StoreError(f"{path}: is there already")
-        beside = f"{path}.part"
+            raise BackupError(f"{path}: is there already")
+        partial_path = f"{path}.part"
         try:
-            Path(beside).unlink(missing_ok=True)
-            with apsw.Connection(beside) as copy:
-                with copy.backup("main", self.db, "main") as work:
-                    while not work.done:
-                        work.step(500)
-                ((text,),) = copy.execute("select value from meta where name = 'revision'").fetchall()
-                revision = int(str(text))
-            copy.close()
-            _sync(beside)
-            os.replace(beside, path)
-            _sync(str(Path(path).resolve().parent))
+            Path(partial_path).unlink(missing_ok=True)
+            revision = self._copy_to(partial_path)
+            sync_path(partial_path)
+            os.replace(partial_path, path)
+            sync_path(str(Path(path).resolve().parent))
         except (apsw.Error, OSError) as error:
-            raise StoreError(f"{path}: {_words(error)}") from None
+            raise _store_error(path, error) from error
         return revision
 
-    def become(self) -> str:
-        """A copy takes a new identity, and a token above all that its older self may have given."""
-        image = self.load()
-        identity = secrets.token_hex(8)
+    def _copy_to(self, path: str) -> int:
+        with apsw.Connection(path) as copy:
+            with copy.backup("main", self.db, "main") as work:
+                while not work.done:
+                    work.step(BACKUP_STEP_PAGES)
+            ((text,),) = copy.execute("select value from meta where name = 'revision'").fetchall()
+        copy.close()
+        return int(str(text))
+
+    def assign_new_identity(self) -> str:
+        """Makes a copy another store, with tokens above all that the original may have issued; returns its id."""
+        snapshot = self.load()
+        store_id = secrets.token_hex(8)
+        token = snapshot.highest_token + RESTORED_TOKEN_INCREMENT
         self.db.execute("begin immediate")
-        self._put_meta(identity=identity, token=str(image.token + TOKEN_JUMP))
+        self._put_meta(identity=store_id, token=str(token))
         self.db.execute("commit")
-        return identity
+        return store_id
 
-    def beat(self) -> None:
-        pass
+    def keep_alive(self) -> None:
+        """Does nothing: the lock lasts as long as the process."""
 
     def close(self) -> None:
+        """Closes the file, which folds the log into it."""
         self.db.close()
-
-
-def _sync(path: str) -> None:
-    handle = os.open(path, os.O_RDONLY)
-    try:
-        os.fsync(handle)
-    finally:
-        os.close(handle)
-
-
-def restore(backup: str, target: str) -> Image:
-    """Puts a backup in place of a store that does not run. What is there is kept beside it as .before. Raises
-    StoreError; the target is then as it was."""
-    if not Path(backup).exists():
-        raise StoreError(f"{backup}: is not there")
-    beside = f"{target}.restoring"
-    Path(beside).unlink(missing_ok=True)
-    old = SqliteEngine(backup)
-    try:
-        wrong = old.problems()
-        if wrong:
-            raise StoreError(wrong[0])
-        old.backup(beside)
-    finally:
-        old.close()
-    if Path(target).exists():
-        SqliteEngine(target).close()  # raises if a store runs on it; folds its log into the file
-        os.replace(target, f"{target}.before")
-    new = SqliteEngine(beside)
-    try:
-        new.become()
-        image = new.load()
-    finally:
-        new.close()
-    os.replace(beside, target)
-    _sync(str(Path(target).resolve().parent))
-    return image
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -30,8 +30,9 @@
 from puffintide.scenarios.place import Place, at
 from puffintide.scenarios.tap import Bend, Link, Tap
 from puffintide.scenarios.verdict import Verdict, judge
-from puffintide.store.book import Book
-from puffintide.store.engine import Change, Image, StoreError
+from puffintide.store.engine import Commit, StoreSnapshot
+from puffintide.store.errors import StoreError
+from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.service import StoreService
 
 START = 1000.0
@@ -277,31 +278,31 @@
     """A store's engine that outlives its process, and refuses while `full`."""
 
     def __init__(self, identity: str = "t") -> None:
-        self.image, self.full = Image(identity), False
+        self.image, self.full = StoreSnapshot(identity), False
 
-    def load(self) -> Image:
+    def load(self) -> StoreSnapshot:
         return self.image
 
-    def commit(self, change: Change) -> None:
+    def commit(self, change: Commit) -> None:
         if self.full:
             raise StoreError("no space left")
-        self.image.revision, self.image.token = change.revision, change.token
-        self.image.slices |= {s.slice: s for s in change.slices}
-        self.image.revisions |= {s.slice: change.revision for s in change.slices}
-        self.image.hands |= {h.zone: h for h in change.hands}
+        self.image.revision, self.image.highest_token = change.revision, change.highest_token
+        self.image.slices |= {s.slice_id: s for s in change.slices}
+        self.image.slice_revisions |= {s.slice_id: change.revision for s in change.slices}
+        self.image.zone_commands |= {h.zone: h for h in change.zone_commands}
 
     def backup(self, path: str) -> int:
         raise StoreError("not in tests")
 
-    def beat(self) -> None:
+    def keep_alive(self) -> None:
         pass
 
     def close(self) -> None:
         pass
 
 
-def copied(image: Image) -> Image:
-    return msgspec.convert(msgspec.to_builtins(image), Image)
+def copied(image: StoreSnapshot) -> StoreSnapshot:
+    return msgspec.convert(msgspec.to_builtins(image), StoreSnapshot)
 
 
 class Log:
@@ -383,9 +384,9 @@
             n: [TableEntry(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))]
             for n in range(d.slices)
         }
-        book = Book(d.slices, d.assigners, 1.0, d.single_writer)
-        book.load(rows)
-        self.engine.commit(Change(1, 0, book.take_dirty()))
+        book = OwnershipLedger(d.slices, d.assigners, 1.0, d.single_writer)
+        book.load_tables(rows)
+        self.engine.commit(Commit(1, 0, book.take_changed()))
 
     def _begin(self) -> None:
         config, out, place = self.config, self.out, self.place
@@ -418,7 +419,7 @@
         if kind == "store":
             image = copied(self.engine.image)
             charge, now = self.config.charge, party.seconds()
-            book = Book(d.slices, d.assigners, charge.takeover_s, d.single_writer, opened=now)
+            book = OwnershipLedger(d.slices, d.assigners, charge.takeover_s, d.single_writer, opened_at_s=now)
             book.restore(image)
             refill = TableRestore(d.slices, d.assigners, 5.0) if self.config.peers is not None else None
             self.store = StoreService(party, book, d.name, log, self.engine, image, zones, refill=refill)
@@ -458,7 +459,9 @@
                 self.party[name].kill()
                 self.engine = Kept()
                 self.engine.image = replace(
-                    copied(self.saved), identity="r", token=self.saved.token + FENCING_TOKEN_GAP
+                    copied(self.saved),
+                    store_id="r",
+                    highest_token=self.saved.highest_token + FENCING_TOKEN_GAP,
                 )
             case "start":
                 self.start(name)
@@ -509,9 +512,9 @@
     def astray(self) -> list[str]:
         """Slices whose table or level differs between the module in charge, the store and a proxy."""
         found = []
-        for number, record in sorted(self.store.book.slices.items()):
-            kept = {s: h.weight for s, h in record.lines.items()}
-            decider: Any = self.assigners[record.assigner].runtime.director
+        for number, record in sorted(self.store.ledger.slices.items()):
+            kept = {s: h.weight for s, h in record.entries.items()}
+            decider: Any = self.assigners[record.owner_id].runtime.director
             director = getattr(decider, "director", decider)
             module = director.slices[number].weights
             if module != kept:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
-from puffintide.store.book import Book
+from puffintide.store.ownership import OwnershipLedger
 from tests.deployment import SECTIONS, Deployment
 
 GOOD = m.EndpointEntry(0, 0, 0, 0, 1, 1.0, 1, -1.0, "127.0.0.1:5100")
@@ -116,13 +116,13 @@
     ],
 )
 def test_the_store_refuses_a_line_that_cannot_be_and_takes_the_rest(line: m.WeightEntry, reason: str) -> None:
-    book = Book(2, 1, 1.0, False)
-    book.joined(0.0, 0)
-    tokens = {n: book.slices[n].token for n in (0, 1)}
+    book = OwnershipLedger(2, 1, 1.0, False)
+    book.assigner_connected(0.0, 0)
+    tokens = {n: book.slices[n].fencing_token for n in (0, 1)}
     line = replace_token(line, tokens) if reason != "token" else line
     refused = book.write(0, [line, m.WeightEntry(1, 5, 1.0, tokens[1], "127.0.0.1:5")], 3)
     assert list(refused) == [line.slice_id] and reason in refused[line.slice_id]
-    assert not book.slices[0].lines and set(book.slices[1].lines) == {5}
+    assert not book.slices[0].entries and set(book.slices[1].entries) == {5}
 
 
 def replace_token(line: m.WeightEntry, tokens: dict[int, int]) -> m.WeightEntry:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -26,7 +26,7 @@
 from puffintide.protocol.codec import decode, encode
 from puffintide.proxy.state import capture_state, load_state, restore_state, save_state
 from puffintide.proxy.weight_tables import WeightTables
-from puffintide.store.engine import Change, Image, SliceState
+from puffintide.store.engine import Commit, StoredSlice, StoreSnapshot
 from puffintide.store.etcd import rpc_pb2 as pb
 from puffintide.store.etcd.engine import EtcdEngine
 from puffintide.store.sqlite import SqliteEngine
@@ -193,13 +193,29 @@
     m.CommandCompleted(note="monday: revision 12"),
 ]
 STATES = (
-    SliceState(slice=5, assigner=2, token=41, batch=17, lines=ENTRIES, pin=1, since=40, life=7),
-    SliceState(slice=6, assigner=-1, token=42, batch=0, lines=[]),
+    StoredSlice(
+        slice_id=5,
+        owner_id=2,
+        fencing_token=41,
+        batch=17,
+        entries=ENTRIES,
+        home_override=1,
+        tenure_token=40,
+        incarnation=7,
+    ),
+    StoredSlice(slice_id=6, owner_id=-1, fencing_token=42, batch=0, entries=[]),
 )
-LATER_STATE = SliceState(
-    slice=6, assigner=1, token=43, batch=3, lines=[m.TableEntry(13, 1.0)], pin=-1, since=43, life=8
+LATER_STATE = StoredSlice(
+    slice_id=6,
+    owner_id=1,
+    fencing_token=43,
+    batch=3,
+    entries=[m.TableEntry(13, 1.0)],
+    home_override=-1,
+    tenure_token=43,
+    incarnation=8,
 )
-COMMITS = [Change(1, 42, STATES, (COMMAND,)), Change(2, 43, (LATER_STATE,))]
+COMMITS = [Commit(1, 42, STATES, (COMMAND,)), Commit(2, 43, (LATER_STATE,))]
 
 
 def message_lines() -> list[bytes]:
@@ -220,11 +236,11 @@
     assert encode(expected) == line
 
 
-def check_image(image: Image) -> None:
-    assert (image.revision, image.token) == (2, 43)
+def check_image(image: StoreSnapshot) -> None:
+    assert (image.revision, image.highest_token) == (2, 43)
     assert image.slices == {5: STATES[0], 6: LATER_STATE}
-    assert image.revisions == {5: 1, 6: 2}
-    assert image.hands == {1: COMMAND}
+    assert image.slice_revisions == {5: 1, 6: 2}
+    assert image.zone_commands == {1: COMMAND}
 
 
 def sqlite_rows(path: Path) -> dict[str, list[Any]]:
@@ -244,7 +260,7 @@
     assert engine.problems() == []
     image = engine.load()
     check_image(image)
-    assert image.identity == "c73e027193575cf1"
+    assert image.store_id == "c73e027193575cf1"
     engine.close()
     engine = SqliteEngine(str(written))
     for commit in COMMITS:
@@ -301,25 +317,25 @@
 
 def test_recorded_staged_etcd_commit_loads_and_is_staged_the_same_way(etcd: Etcd) -> None:
     states = tuple(
-        SliceState(
-            slice=n,
-            assigner=0,
-            token=50 + n,
+        StoredSlice(
+            slice_id=n,
+            owner_id=0,
+            fencing_token=50 + n,
             batch=n,
-            lines=[m.TableEntry(n, 1.0, "127.0.0.1:9000")],
-            since=50,
+            entries=[m.TableEntry(n, 1.0, "127.0.0.1:9000")],
+            tenure_token=50,
         )
         for n in range(105)
     )
-    staged = Change(2, 160, states, (m.ZoneCommand(zone=0, operation="return", sequence=7),))
+    staged = Commit(2, 160, states, (m.ZoneCommand(zone=0, operation="return", sequence=7),))
     put_recorded(etcd, "etcd-staged.jsonl")
     engine = etcd_engine(etcd)
     image = engine.load()
     engine.close()
-    assert (image.revision, image.token) == (2, 160)
-    assert image.slices == {state.slice: state for state in states}
-    assert image.revisions == dict.fromkeys(range(105), 2)
-    assert image.hands == {0: staged.hands[0], 1: COMMAND}
+    assert (image.revision, image.highest_token) == (2, 160)
+    assert image.slices == {state.slice_id: state for state in states}
+    assert image.slice_revisions == dict.fromkeys(range(105), 2)
+    assert image.zone_commands == {0: staged.zone_commands[0], 1: COMMAND}
     etcd.keys.clear()
     engine = etcd_engine(etcd)
     engine.load()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -28,13 +28,15 @@
                 for n, r in rows.items()
                 if (best := conflict_resolution.latest_table(r)) is not None
             }
-    for number, record in sorted(d.store.book.slices.items()):
-        wanted = [(h.server_id, h.weight) for _, h in sorted(record.lines.items())]
+    for number, record in sorted(d.store.ledger.slices.items()):
+        wanted = [(h.server_id, h.weight) for _, h in sorted(record.entries.items())]
         for k, view in views.items():
             value = view.get(number, ())
             held = [(value[at], value[at + 1]) for at in range(2, len(value), 4)]
-            if held != wanted or value[0] != record.token:
-                found.append(f"slice {number} at {k}: {value[:2]} {held}, store {record.token} {wanted}")
+            if held != wanted or value[0] != record.fencing_token:
+                found.append(
+                    f"slice {number} at {k}: {value[:2]} {held}, store {record.fencing_token} {wanted}"
+                )
     return found
 
 
@@ -43,7 +45,12 @@
     assert verdict.judgement.findings == [] and not verdict.gaps
     assert verdict.judgement.checked["copies agree"] >= 16
     assert differing(d) == []
-    refused = [row for name, log in d.log.items() for row in log.rows if row[0] == "copy_refused"]
+    refused = [
+        row
+        for name, log in d.log.items()
+        for row in log.rows
+        if row[0] in ("copy_refused", "replica_row_rejected")
+    ]
     assert not refused, refused[:3]
 
 
@@ -137,16 +144,17 @@
     before: dict[int, Any] = {}
 
     def note(d: Deployment) -> None:
-        before.update({n: sorted(r.lines) for n, r in d.store.book.slices.items()})
-        before[-1] = d.store.book.token
+        before.update({n: sorted(r.entries) for n, r in d.store.ledger.slices.items()})
+        before[-1] = d.store.ledger.highest_token
 
     d.steps.insert(0, (5.9, note))
     d.steps.append((8.99, lambda d: began.append(len(d.log["store"].rows))))
     kept(d)
     since = [event for event, _ in d.log["store"].rows[began[0] :]]
-    assert "charge" in since and since.index("refilled") < since.index("charge")
-    assert d.store.book.token > 2**32 + before[-1] - 1
-    rows = [row for event, row in d.log["store"].rows if event == "refilled"]
+    assert "ownership_changed" in since
+    assert since.index("restored_from_replicas") < since.index("ownership_changed")
+    assert d.store.ledger.highest_token > 2**32 + before[-1] - 1
+    rows = [row for event, row in d.log["store"].rows if event == "restored_from_replicas"]
     assert [row["tables"] for row in rows] == [16]
 
 
@@ -189,7 +197,7 @@
 
     def on(d: Deployment, at: float) -> None:
         """Slices of assigner 1 whose table at some proxy names the server that leaves."""
-        mine = [n for n, r in d.store.book.slices.items() if r.assigner == 1]
+        mine = [n for n, r in d.store.ledger.slices.items() if r.owner_id == 1]
         tables = [p.engine.tables for p in d.proxies.values()]
         seen[at] = [n for n in mine if any(t.available_weights(n).get(1, 0) >= 1 for t in tables)]
 
@@ -216,11 +224,11 @@
 
     def look(d: Deployment) -> None:
         """What each has ordered, until the store has its tables: they are as of the last beat, not of its start."""
-        if found or not any(event == "refilled" for event, _ in d.log["store"].rows):
+        if found or not any(event == "restored_from_replicas" for event, _ in d.log["store"].rows):
             live = [d.assigners[k].owned_tables.entries for k in (0, 2)]
             seen.append({n: {s: h.weight for s, h in t.items()} for lines in live for n, t in lines.items()})
             return
-        book = {n: {s: h.weight for s, h in r.lines.items()} for n, r in d.store.book.slices.items()}
+        book = {n: {s: h.weight for s, h in r.entries.items()} for n, r in d.store.ledger.slices.items()}
         late = {n for n in seen[-1] if all(book[n] != then.get(n) for then in seen[-40:])}
         found.append((sum(seen[-1][n] != seen[-200].get(n) for n in seen[-1]), late))
 
--- a/tests/test_copies_processes.py
+++ b/tests/test_copies_processes.py
@@ -159,8 +159,8 @@
     disk lost, and one come back from an old backup."""
     row, logs = played(tmp_path, day)
     assert "kept" in row and int(row.split("│")[3]) > cases, row
-    refilled = [x for x in logs["store"] if x["event"] == "refilled"]
-    assert [(x["tables"], x["assigners"]) for x in refilled] == [(slices, list(range(assigners)))]
+    refilled = [x for x in logs["store"] if x["event"] == "restored_from_replicas"]
+    assert [(x["tables"], x["assigner_ids"]) for x in refilled] == [(slices, list(range(assigners)))]
     for name, events in logs.items():
         caught = [x for x in events if x["event"] == "caught_up"]
         assert all(x["tables"] > 0 for x in caught[1:]), (
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -21,7 +21,7 @@
 from puffintide.scenarios.faults import BY_CLIENTS, plan
 from puffintide.scenarios.importer import ImportFailure, turn
 from puffintide.scenarios.kinds import KINDS, script
-from puffintide.store.book import Book
+from puffintide.store.ownership import OwnershipLedger
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("scenario")]  # one run serves many tests
 
@@ -385,31 +385,32 @@
 
 
 def test_charge_goes_to_the_next_and_back_and_never_by_an_old_token() -> None:
-    book = Book(6, 3, 2.0, False)
+    book = OwnershipLedger(6, 3, 2.0, False)
     for k in range(3):
-        book.joined(10.0, k)
-    assert [book.slices[n].assigner for n in range(6)] == [0, 1, 2, 0, 1, 2]
-    token = book.slices[1].token
-    book.left(20.0, 1)
-    assert book.due(21.9) == []
-    assert {c.slice for c in book.due(22.0)} == {1, 4}
-    assert all(book.slices[n].assigner in (0, 2) for n in (1, 4))
+        book.assigner_connected(10.0, k)
+    assert [book.slices[n].owner_id for n in range(6)] == [0, 1, 2, 0, 1, 2]
+    token = book.slices[1].fencing_token
+    book.assigner_disconnected(20.0, 1)
+    assert book.reassign(21.9) == []
+    assert {c.slice_id for c in book.reassign(22.0)} == {1, 4}
+    assert all(book.slices[n].owner_id in (0, 2) for n in (1, 4))
     assert book.write(1, [m.WeightEntry(1, 5, 1.0, token)]) != {}
-    assert book.write(book.slices[1].assigner, [m.WeightEntry(1, 5, 1.0, token)]) != {}
-    assert {c.slice for c in book.joined(30.0, 1)} == {1, 4} and book.slices[1].assigner == 1
-    assert book.write(1, [m.WeightEntry(1, 5, 1.0, book.slices[1].token)]) == {}
-    before = {n: r.token for n, r in book.slices.items()}
-    book.left(40.0, 0)
-    book.left(40.0, 1)
-    book.left(40.0, 2)
-    assert book.due(50.0) == []  # nobody is there: charge stays where it was
-    book.joined(51.0, 2)
-    assert all(r.assigner == 2 for r in book.slices.values())
-    assert all(book.slices[n].token > before[n] for n in before)
+    assert book.write(book.slices[1].owner_id, [m.WeightEntry(1, 5, 1.0, token)]) != {}
+    assert {c.slice_id for c in book.assigner_connected(30.0, 1)} == {1, 4} and book.slices[1].owner_id == 1
+    assert book.write(1, [m.WeightEntry(1, 5, 1.0, book.slices[1].fencing_token)]) == {}
+    before = {n: r.fencing_token for n, r in book.slices.items()}
+    book.assigner_disconnected(40.0, 0)
+    book.assigner_disconnected(40.0, 1)
+    book.assigner_disconnected(40.0, 2)
+    assert book.reassign(50.0) == []  # nobody is there: charge stays where it was
+    book.assigner_connected(51.0, 2)
+    assert all(r.owner_id == 2 for r in book.slices.values())
+    assert all(book.slices[n].fencing_token > before[n] for n in before)
 
 
 def test_a_store_refuses_tables_that_cannot_be(tmp_path: Path) -> None:
-    from puffintide.store.tables import TableError, read_tables
+    from puffintide.store.errors import TableFileError
+    from puffintide.store.initial_tables import read_initial_tables
 
     path = tmp_path / "t.jsonl"
     for text, words in [
@@ -420,8 +421,8 @@
         ('{"slice":0,"serv', ":1: not a table"),
     ]:
         path.write_text(text)
-        with pytest.raises(TableError, match=words):
-            read_tables(str(path), 4)
+        with pytest.raises(TableFileError, match=words):
+            read_initial_tables(str(path), 4)
     assert os.path.exists(path)
 
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -11,12 +11,13 @@
 
 from puffintide.emulators.etcd import Etcd
 from puffintide.protocol import messages as m
-from puffintide.store.engine import Change, Engine, Overtaken, SliceState, StoreError
+from puffintide.store.engine import Commit, StorageEngine, StoredSlice
+from puffintide.store.errors import StoreError, StoreOvertakenError
 from puffintide.store.etcd.engine import EtcdEngine
 from puffintide.store.sqlite import SqliteEngine
 from tests.peers import PORTS, dial, process
 
-Open = Callable[[], Engine]
+Open = Callable[[], StorageEngine]
 
 
 class Clock:
@@ -47,42 +48,45 @@
     return lambda: client(etcd)
 
 
-def states(numbers: range, token: int) -> tuple[SliceState, ...]:
+def states(numbers: range, token: int) -> tuple[StoredSlice, ...]:
     return tuple(
-        SliceState(n, 0, token, token, [m.TableEntry(token % 9, 1.0, "127.0.0.1:1")]) for n in numbers
+        StoredSlice(n, 0, token, token, [m.TableEntry(token % 9, 1.0, "127.0.0.1:1")]) for n in numbers
     )
 
 
 def test_what_is_kept_is_there_again(opened: Open) -> None:
     engine = opened()
     image = engine.load()
-    assert (image.revision, image.slices, image.hands) == (0, {}, {})
-    engine.commit(Change(1, 5, states(range(30), 1)))
-    engine.commit(Change(2, 6, states(range(3), 2), (m.ZoneCommand(1, "hold", 1.0, "me", 1),)))
-    engine.beat()
+    assert (image.revision, image.slices, image.zone_commands) == (0, {}, {})
+    engine.commit(Commit(1, 5, states(range(30), 1)))
+    engine.commit(Commit(2, 6, states(range(3), 2), (m.ZoneCommand(1, "hold", 1.0, "me", 1),)))
+    engine.keep_alive()
     engine.close()
     again = opened()
     found = again.load()
-    assert found.identity == image.identity and (found.revision, found.token) == (2, 6)
-    assert found.slices == {s.slice: s for s in states(range(30), 1) + states(range(3), 2)}
-    assert found.revisions == {n: 2 if n < 3 else 1 for n in range(30)} and found.hands[1].operator == "me"
-    again.commit(Change(3, 7, states(range(1), 3)))
+    assert found.store_id == image.store_id and (found.revision, found.highest_token) == (2, 6)
+    assert found.slices == {s.slice_id: s for s in states(range(30), 1) + states(range(3), 2)}
+    assert (
+        found.slice_revisions == {n: 2 if n < 3 else 1 for n in range(30)}
+        and found.zone_commands[1].operator == "me"
+    )
+    again.commit(Commit(3, 7, states(range(1), 3)))
     again.close()
 
 
 def test_a_large_commit_is_one(opened: Open) -> None:
     engine = opened()
     engine.load()
-    engine.commit(Change(1, 1, states(range(3000), 1)))
+    engine.commit(Commit(1, 1, states(range(3000), 1)))
     engine.close()
     engine = opened()
-    assert engine.load().slices == {s.slice: s for s in states(range(3000), 1)}
-    engine.commit(Change(2, 2, states(range(5), 2)))
+    assert engine.load().slices == {s.slice_id: s for s in states(range(3000), 1)}
+    engine.commit(Commit(2, 2, states(range(5), 2)))
     engine.close()
     engine = opened()
     found = engine.load()
-    assert found.slices == {s.slice: s for s in states(range(3000), 1) + states(range(5), 2)}
-    assert found.revisions[4] == 2 and found.revisions[5] == 1
+    assert found.slices == {s.slice_id: s for s in states(range(3000), 1) + states(range(5), 2)}
+    assert found.slice_revisions[4] == 2 and found.slice_revisions[5] == 1
     engine.close()
 
 
@@ -91,7 +95,7 @@
     engine.load()
     with pytest.raises(StoreError, match="open in another store"):
         opened().load()
-    engine.commit(Change(1, 1, states(range(2), 1)))
+    engine.commit(Commit(1, 1, states(range(2), 1)))
     engine.close()
     opened().load()
 
@@ -104,19 +108,19 @@
 def test_a_store_paused_beyond_its_lease_writes_nothing_once_another_has_begun(etcd: Etcd) -> None:
     first = client(etcd)
     first.load()
-    first.commit(Change(1, 1, states(range(2), 1)))
+    first.commit(Commit(1, 1, states(range(2), 1)))
     advance(etcd, 30)
     second = client(etcd)
     second.load()
-    with pytest.raises(Overtaken):
-        first.commit(Change(2, 2, states(range(2), 2)))
-    with pytest.raises(Overtaken):
-        first.beat()
-    second.commit(Change(2, 3, states(range(1), 3)))
-    assert client_image(etcd, second)[0].token == 3
+    with pytest.raises(StoreOvertakenError):
+        first.commit(Commit(2, 2, states(range(2), 2)))
+    with pytest.raises(StoreOvertakenError):
+        first.keep_alive()
+    second.commit(Commit(2, 3, states(range(1), 3)))
+    assert client_image(etcd, second)[0].fencing_token == 3
 
 
-def client_image(etcd: Etcd, engine: EtcdEngine) -> dict[int, SliceState]:
+def client_image(etcd: Etcd, engine: EtcdEngine) -> dict[int, StoredSlice]:
     engine.close()
     other = client(etcd)
     found = other.load().slices
@@ -128,9 +132,9 @@
     engine = client(etcd)
     engine.load()
     advance(etcd, 30)
-    engine.commit(Change(1, 1, states(range(2), 1)))
+    engine.commit(Commit(1, 1, states(range(2), 1)))
     advance(etcd, 30)
-    engine.beat()
+    engine.keep_alive()
     with pytest.raises(StoreError, match="open in another store"):
         client(etcd).load()
 
@@ -139,20 +143,20 @@
 def test_an_answer_that_is_lost_neither_loses_nor_doubles_a_commit(etcd: Etcd, rows: int) -> None:
     engine = client(etcd)
     engine.load()
-    engine.commit(Change(1, 1, states(range(5), 1)))
+    engine.commit(Commit(1, 1, states(range(5), 1)))
     for lost in (1, 2):
         etcd.faults.lose_answers = lost
-        engine.commit(Change(1 + lost, lost, states(range(rows), 1 + lost)))
+        engine.commit(Commit(1 + lost, lost, states(range(rows), 1 + lost)))
     found = client_image(etcd, engine)
-    assert found == {s.slice: s for s in states(range(5), 1) + states(range(rows), 3)}
+    assert found == {s.slice_id: s for s in states(range(5), 1) + states(range(rows), 3)}
 
 
 @pytest.mark.parametrize("after", range(1, 12))
 def test_a_large_commit_cut_short_anywhere_is_there_whole_or_not_at_all(etcd: Etcd, after: int) -> None:
     engine = client(etcd)
     engine.load()
-    engine.commit(Change(1, 1, states(range(450), 1)))
-    engine.commit(Change(2, 2, states(range(1), 2)))
+    engine.commit(Commit(1, 1, states(range(450), 1)))
+    engine.commit(Commit(2, 2, states(range(1), 2)))
     begun = etcd.transactions
 
     class Gone(Exception):
@@ -169,8 +173,8 @@
     etcd._carry_out = cut  # type: ignore[method-assign, assignment]
     acknowledged = True
     try:
-        engine.commit(Change(3, 3, states(range(450), 3)))
-        engine.commit(Change(4, 4, states(range(2), 4)))
+        engine.commit(Commit(3, 3, states(range(450), 3)))
+        engine.commit(Commit(4, 4, states(range(2), 4)))
     except StoreError:
         acknowledged = False
     etcd._carry_out = put  # type: ignore[method-assign]
@@ -178,28 +182,28 @@
     advance(etcd, 30)
     other = client(etcd)
     image = other.load()
-    old = {s.slice: s for s in states(range(450), 1) + states(range(1), 2)}
-    new = {s.slice: s for s in states(range(450), 3)}
-    last = new | {s.slice: s for s in states(range(2), 4)}
+    old = {s.slice_id: s for s in states(range(450), 1) + states(range(1), 2)}
+    new = {s.slice_id: s for s in states(range(450), 3)}
+    last = new | {s.slice_id: s for s in states(range(2), 4)}
     assert image.slices == {2: old, 3: new, 4: last}[image.revision]
     assert not acknowledged or image.revision == 4
-    other.commit(Change(image.revision + 1, 9, states(range(7), 9)))
-    assert client_image(etcd, other) == image.slices | {s.slice: s for s in states(range(7), 9)}
+    other.commit(Commit(image.revision + 1, 9, states(range(7), 9)))
+    assert client_image(etcd, other) == image.slices | {s.slice_id: s for s in states(range(7), 9)}
 
 
 def test_no_leader_no_space_and_a_compacted_revision(etcd: Etcd) -> None:
     engine = client(etcd)
     engine.load()
-    engine.commit(Change(1, 1, states(range(900), 1)))
+    engine.commit(Commit(1, 1, states(range(900), 1)))
     etcd.faults.no_leader = True
     with pytest.raises(StoreError, match="no leader"):
-        engine.commit(Change(2, 2, states(range(2), 2)))
+        engine.commit(Commit(2, 2, states(range(2), 2)))
     etcd.faults.no_leader = False
     etcd.faults.no_space = True
     with pytest.raises(StoreError, match="no room left"):
-        engine.commit(Change(2, 2, states(range(2), 2)))
+        engine.commit(Commit(2, 2, states(range(2), 2)))
     etcd.faults.no_space = False
-    engine.commit(Change(2, 2, states(range(2), 2)))
+    engine.commit(Commit(2, 2, states(range(2), 2)))
     engine.close()
     etcd.faults.compacted = 1 << 40  # the second page of each reading
     other = client(etcd)
@@ -213,8 +217,8 @@
     gone = PORTS.take()
     engine = EtcdEngine([f"127.0.0.1:{gone}", f"127.0.0.1:{etcd.port}"], "t")  # type: ignore[attr-defined]
     engine.load()
-    engine.commit(Change(1, 1, states(range(2), 1)))
-    assert client_image(etcd, engine) == {s.slice: s for s in states(range(2), 1)}
+    engine.commit(Commit(1, 1, states(range(2), 1)))
+    assert client_image(etcd, engine) == {s.slice_id: s for s in states(range(2), 1)}
 
 
 def test_the_running_store_on_a_cluster_and_a_second_that_takes_its_place(etcd: Etcd, tmp_path: Path) -> None:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -20,8 +20,10 @@
 from puffintide.audit.history import GIVE, READ, WRITE, Operation, linearizable
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
-from puffintide.store.book import Book
-from puffintide.store.engine import Change, Image, Memory, StoreError
+from puffintide.store.engine import Commit, StoreSnapshot
+from puffintide.store.errors import StoreError
+from puffintide.store.memory import MemoryEngine
+from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.service import StoreService
 
 NOBODY = math.inf
@@ -56,24 +58,31 @@
     assert linearizable(history) is fine
 
 
-class Disk(Memory):
+class Disk(MemoryEngine):
     """Keeps commits; a kill loses those under way, or not."""
 
     def __init__(self) -> None:
         super().__init__()
         self.full = False
 
-    def commit(self, change: Change) -> None:
+    def commit(self, change: Commit) -> None:
         if self.full:
             raise StoreError("no room left on the disk")
-        image = self.image
-        image.revision, image.token = change.revision, change.token
+        image = self.snapshot
+        image.revision, image.highest_token = change.revision, change.highest_token
         for state in change.slices:
-            image.slices[state.slice], image.revisions[state.slice] = state, change.revision
+            image.slices[state.slice_id], image.slice_revisions[state.slice_id] = state, change.revision
 
-    def load(self) -> Image:
-        i = self.image
-        return Image(i.identity, i.revision, i.token, dict(i.slices), dict(i.revisions), dict(i.hands))
+    def load(self) -> StoreSnapshot:
+        i = self.snapshot
+        return StoreSnapshot(
+            i.store_id,
+            i.revision,
+            i.highest_token,
+            dict(i.slices),
+            dict(i.slice_revisions),
+            dict(i.zone_commands),
+        )
 
 
 class Wire(StringTransport):
@@ -141,7 +150,9 @@
 
     def start(self) -> None:
         image = self.disk.load()
-        book = Book(self.slices, self.assigners, 1.0, False, opened=self.clock.seconds(), moves_per_s=5)
+        book = OwnershipLedger(
+            self.slices, self.assigners, 1.0, False, opened_at_s=self.clock.seconds(), max_transfers_per_s=5
+        )
         book.restore(image)
         log = structlog.wrap_logger(structlog.testing.CapturingLogger())
         self.service = StoreService(self.clock, book, "t", log, self.disk, image, run=self.run)
@@ -174,9 +185,7 @@
         for connection in self.connections:
             connection.open = False
         self.connections = []
-        for later in list(self.clock.getDelayedCalls()):
-            if getattr(later.func, "__self__", None) is self.service:
-                later.cancel()  # type: ignore[misc]
+        self.service.stop()
 
     def saw(self, charge: m.SliceOwnership) -> None:
         now = self.clock.seconds()
@@ -363,26 +372,29 @@
 
 def forgets_tokens(world: World) -> None:
     """As if a start gave tokens from the beginning."""
-    if world.service.book.token > 12:
-        world.service.book.token = 0
+    if world.service.ledger.highest_token > 12:
+        world.service.ledger.highest_token = 0
 
 
 def tells_before_it_keeps(world: World) -> None:
     """As if writers were told at once."""
     service = world.service
-    for stream, batch in list(service._written.items()):
+    for stream, batch in list(service.commits.pending.waiting.writers.items()):
         stream.send(m.WriteAcknowledged(batch, 0))
 
 
 def takes_any_token(world: World) -> None:
     """As if there were no fence."""
-    book, write = world.service.book, Book.write
+    book, write = world.service.ledger, OwnershipLedger.write
 
-    def unfenced(assigner: int, lines: Any, batch: int = 0) -> dict[int, str]:
-        now = [m.WeightEntry(x.slice_id, x.server_id, x.weight, book.slices[x.slice_id].token) for x in lines]
+    def unfenced(writer_id: int, weights: Any, batch: int = 0) -> dict[int, str]:
+        now = [
+            m.WeightEntry(x.slice_id, x.server_id, x.weight, book.slices[x.slice_id].fencing_token)
+            for x in weights
+        ]
         found: dict[int, str] = {}
         for line in now:
-            found |= write(book, book.slices[line.slice_id].assigner, [line], batch)
+            found |= write(book, book.slices[line.slice_id].owner_id, [line], batch)
         return found
 
     book.write = unfenced  # type: ignore[method-assign]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,9 +18,11 @@
 
 from puffintide.protocol import messages as m
 from puffintide.proxy.weight_tables import WeightTables
-from puffintide.store.book import Book
-from puffintide.store.engine import Change, Image, SliceState, StoreError
-from puffintide.store.sqlite import TOKEN_JUMP, SqliteEngine, restore
+from puffintide.store.engine import Commit, StoredSlice, StoreSnapshot
+from puffintide.store.errors import StoreError
+from puffintide.store.ownership import OwnershipLedger
+from puffintide.store.sqlite import RESTORED_TOKEN_INCREMENT, SqliteEngine
+from puffintide.store.sqlite_restore import restore_backup
 from tests.disk import Cut, Disk, Layer
 from tests.peers import PORTS, Around, Line, charges, dial, process, servers
 
@@ -29,24 +31,24 @@
 LAYER = Layer("puffintide-test", Disk())
 
 
-def state(number: int, token: int) -> SliceState:
-    return SliceState(number, 0, token, token, [m.TableEntry(token % 7, 1.0, "127.0.0.1:9000")])
+def state(number: int, token: int) -> StoredSlice:
+    return StoredSlice(number, 0, token, token, [m.TableEntry(token % 7, 1.0, "127.0.0.1:9000")])
 
 
-def made(revision: int) -> Change:
+def made(revision: int) -> Commit:
     """A commit that is the same whenever it is made."""
     rng = random.Random(revision)
     numbers = sorted(rng.sample(range(60), rng.randint(1, 25)))
     hands = (m.ZoneCommand(0, "hold", 1.0, "x", revision),) if rng.random() < 0.2 else ()
-    return Change(revision, revision, tuple(state(n, revision) for n in numbers), hands)
+    return Commit(revision, revision, tuple(state(n, revision) for n in numbers), hands)
 
 
-def image_of(last: int) -> tuple[dict[int, SliceState], dict[int, m.ZoneCommand]]:
-    slices: dict[int, SliceState] = {}
+def image_of(last: int) -> tuple[dict[int, StoredSlice], dict[int, m.ZoneCommand]]:
+    slices: dict[int, StoredSlice] = {}
     hands: dict[int, m.ZoneCommand] = {}
     for revision in range(1, last + 1):
-        slices |= {s.slice: s for s in made(revision).slices}
-        hands |= {h.zone: h for h in made(revision).hands}
+        slices |= {s.slice_id: s for s in made(revision).slices}
+        hands |= {h.zone: h for h in made(revision).zone_commands}
     return slices, hands
 
 
@@ -75,7 +77,7 @@
     assert found.problems() == []
     image = found.load()
     assert acknowledged <= image.revision <= tried  # the last one may have been kept, and is then whole
-    assert (image.slices, image.hands) == image_of(image.revision)
+    assert (image.slices, image.zone_commands) == image_of(image.revision)
     found.commit(made(image.revision + 1))  # and it goes on
 
 
@@ -186,11 +188,11 @@
         engine.backup(str(backup))
     engine.commit(made(30))
     with pytest.raises(StoreError, match="open in another store"):
-        restore(str(backup), str(file))  # it runs
+        restore_backup(str(backup), str(file))  # it runs
     engine.close()
-    image = restore(str(backup), str(file))
+    image = restore_backup(str(backup), str(file))
     assert image.slices == before.slices and image.revision == 29
-    assert image.identity != before.identity and image.token >= TOKEN_JUMP
+    assert image.store_id != before.store_id and image.highest_token >= RESTORED_TOKEN_INCREMENT
     assert SqliteEngine(f"{file}.before").load().revision == 30
 
 
@@ -307,7 +309,7 @@
     with setting.running():
         _, again = setting.assigner(token=newest, life=2)
         assert min(c.fencing_token for c in again.values()) > newest
-    assert "older_than_its_parties" in (tmp_path / "store.log").read_text()
+    assert "stale_store_detected" in (tmp_path / "store.log").read_text()
 
 
 def operator(tmp: Path, port: int) -> list[str]:
@@ -346,10 +348,10 @@
 
 
 def test_home_slices_come_back_at_the_pace_and_a_rolling_upgrade_moves_each_twice_at_most() -> None:
-    book = Book(120, 4, 2.0, False, opened=99.0, moves_per_s=10)
+    book = OwnershipLedger(120, 4, 2.0, False, opened_at_s=99.0, max_transfers_per_s=10)
     now = 100.0
     for k in range(4):
-        book.joined(now, k)
+        book.assigner_connected(now, k)
     moves = dict.fromkeys(range(120), 0)
 
     def go(seconds: float) -> list[int]:
@@ -357,36 +359,36 @@
         counts = []
         for _ in range(round(seconds * 10)):
             now += 0.1
-            changed = book.due(now)
+            changed = book.reassign(now)
             for c in changed:
-                moves[c.slice] += c.old != c.new
+                moves[c.slice_id] += c.previous_owner_id != c.new_owner_id
             counts.append(len(changed))
         return counts
 
     go(5)
     for k in range(4):
-        book.left(now, k)
+        book.assigner_disconnected(now, k)
         assert sum(go(3)) == 30  # all at once: nobody has charge of them
-        for c in book.joined(now, k, life=2):
-            moves[c.slice] += c.old != c.new
+        for c in book.assigner_connected(now, k, incarnation=2):
+            moves[c.slice_id] += c.previous_owner_id != c.new_owner_id
         back = go(6)
         assert 25 <= sum(back) <= 30 and all(sum(back[n : n + 10]) <= 13 for n in range(50))
     assert max(moves.values()) <= 2
-    assert all(book.slices[n].assigner == n % 4 for n in range(120))
+    assert all(book.slices[n].owner_id == n % 4 for n in range(120))
 
 
 def test_a_store_that_was_away_takes_no_table_back() -> None:
     """The assigner ordered while the store was away: the proxy's lines are newer than the store's."""
     tables = WeightTables(2, 0, "rotate", lambda: 0.5)
-    book = Book(2, 1, 2.0, False)
-    book.joined(0.0, 0, life=7)
+    book = OwnershipLedger(2, 1, 2.0, False)
+    book.assigner_connected(0.0, 0, incarnation=7)
 
     def told(number: int) -> m.SliceOwnership:
-        s = book.state(number)
-        return m.SliceOwnership(number, s.token, s.assigner, s.lines, s.batch, s.since)
+        s = book.stored_slice(number)
+        return m.SliceOwnership(number, s.fencing_token, s.owner_id, s.entries, s.batch, s.tenure_token)
 
     for n in (0, 1):
-        book.write(0, [m.WeightEntry(n, 4, 1.0, book.slices[n].token, "127.0.0.1:1")], 3)
+        book.write(0, [m.WeightEntry(n, 4, 1.0, book.slices[n].fencing_token, "127.0.0.1:1")], 3)
         tables.apply_ownership(told(n))
     tables.apply_update(
         0,
@@ -395,17 +397,22 @@
             0.0,
             1.0,
             [
-                m.WeightEntry(0, 5, 1.0, book.slices[0].token, "a:2"),
-                m.WeightEntry(0, 4, 0.0, book.slices[0].token),
+                m.WeightEntry(0, 5, 1.0, book.slices[0].fencing_token, "a:2"),
+                m.WeightEntry(0, 4, 0.0, book.slices[0].fencing_token),
             ],
         ),
     )
-    book.left(1.0, 0)
-    book.joined(1.5, 0, life=7)  # the same life: its tenure goes on
+    book.assigner_disconnected(1.0, 0)
+    book.assigner_connected(1.5, 0, incarnation=7)  # the same life: its tenure goes on
     tables.apply_ownership(told(0))
-    assert tables.slices[0].weights == {5: 1.0} and tables.slices[0].fencing_token == book.slices[0].token
-    book.left(2.0, 0)
-    book.joined(2.5, 0, life=8)  # it has forgotten what it had ordered: the store's table holds for all
+    assert (
+        tables.slices[0].weights == {5: 1.0}
+        and tables.slices[0].fencing_token == book.slices[0].fencing_token
+    )
+    book.assigner_disconnected(2.0, 0)
+    book.assigner_connected(
+        2.5, 0, incarnation=8
+    )  # it has forgotten what it had ordered: the store's table holds for all
     tables.apply_ownership(told(0))
     assert tables.slices[0].weights == {4: 1.0}
 
@@ -441,12 +448,14 @@
             (x.slice_id, x.server_id, x.weight, x.fencing_token + 100) for x in lost.weights
         }
         store.send(m.WriteAcknowledged(again.batch + 1000, 1))
-        book = Book(8, 1, 1.0, False)
-        book.load({c.slice_id: c.entries for c in given})
+        book = OwnershipLedger(8, 1, 1.0, False)
+        book.load_tables({c.slice_id: c.entries for c in given})
         for record in book.slices.values():
-            record.assigner, record.token = 0, 0
+            record.owner_id, record.fencing_token = 0, 0
         book.write(0, [msgspec.structs.replace(x, fencing_token=0) for x in again.weights])
-        kept = [msgspec.structs.replace(c, entries=[*book.slices[c.slice_id].lines.values()]) for c in given]
+        kept = [
+            msgspec.structs.replace(c, entries=[*book.slices[c.slice_id].entries.values()]) for c in given
+        ]
         store.send(
             m.SliceOwnerships([msgspec.structs.replace(c, fencing_token=c.fencing_token + 200) for c in kept])
         )
@@ -455,7 +464,9 @@
 
 
 def test_what_is_kept_of_a_larger_site_does_not_hinder_a_smaller_one() -> None:
-    book = Book(3, 1, 2.0, False)
-    book.restore(Image("x", 9, 9, {n: SliceState(n, 4, 9, 1, [], 4) for n in range(5)}))
-    book.joined(10.0, 0)
-    assert all(c.slice < 3 for c in book.due(20.0)) and all(r.assigner == 0 for r in book.slices.values())
+    book = OwnershipLedger(3, 1, 2.0, False)
+    book.restore(StoreSnapshot("x", 9, 9, {n: StoredSlice(n, 4, 9, 1, [], 4) for n in range(5)}))
+    book.assigner_connected(10.0, 0)
+    assert all(c.slice_id < 3 for c in book.reassign(20.0)) and all(
+        r.owner_id == 0 for r in book.slices.values()
+    )
