--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -13,7 +13,7 @@
 
 import click
 
-from tests.test_store import check_after_cut, run_until_cut
+from tests.test_sqlite import check_after_cut, run_until_cut
 
 
 @click.command()
@@ -22,7 +22,7 @@
 @click.option("--table", default="")
 def main(commits: int, ways: int, table: str) -> None:
     whole, _, _ = run_until_cut(0, commits)
-    points = whole.points
+    points = whole.operations
     found = failed = 0
     for cut_at in range(1, points + 1):
         disk, acknowledged, tried = run_until_cut(cut_at, commits)
--- a/benchmarks/store_histories.py
+++ b/benchmarks/store_histories.py
@@ -14,7 +14,7 @@
 
 import click
 
-from tests.test_histories import unfit
+from tests.store_histories import failing_seeds
 
 
 @click.command()
@@ -25,7 +25,7 @@
     first, last = map(int, seeds.split(".."))
     parts = [(k, min(k + 50, last)) for k in range(first, last, 50)]
     with ProcessPoolExecutor(jobs) as pool:
-        found = list(pool.map(unfit, [a for a, _ in parts], [b for _, b in parts]))
+        found = list(pool.map(failing_seeds, [a for a, _ in parts], [b for _, b in parts]))
     bad = [seed for seeds, _ in found for seed in seeds]
     count = sum(n for _, n in found)
     text = f"{last - first} seeds, {count} operations, not linearizable: {bad or 'none'}."
--- a/puffintide/store/__init__.py
+++ b/puffintide/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store: tables of slices and who has charge of them, in a process of its own."""
+"""The store: ownership and tables of slices, kept durably, in a process of its own."""
--- a/puffintide/store/commits.py
+++ b/puffintide/store/commits.py
@@ -128,11 +128,13 @@
             return
         if not (self.ledger.changed or self.pending.zone_commands):
             if self.pending.waiting:  # nothing changed: what they wrote was there, or was rejected
-                waiting, self.pending.waiting = self.pending.waiting, WaitingPeers()
+                waiting = self.pending.waiting
+                self.pending.waiting = WaitingPeers()
                 self.publish(PendingChanges(waiting=waiting))
             return
         self._committing = True
-        changes, self.pending = self.pending, PendingChanges()
+        changes = self.pending
+        self.pending = PendingChanges()
         commands = changes.zone_commands
         slices = self.ledger.take_changed()
         commit = Commit(
--- a/puffintide/store/durable_state.py
+++ b/puffintide/store/durable_state.py
@@ -3,8 +3,19 @@
 from __future__ import annotations
 
 from puffintide.protocol.messages import SliceOwnership, ZoneCommands
-from puffintide.store.engine import Commit, StoreSnapshot
-from puffintide.store.ownership import ownership_message
+from puffintide.store.engine import Commit, StoredSlice, StoreSnapshot
+
+
+def ownership_message(stored: StoredSlice) -> SliceOwnership:
+    """The message that tells peers of a stored slice."""
+    return SliceOwnership(
+        slice_id=stored.slice_id,
+        fencing_token=stored.fencing_token,
+        owner_id=stored.owner_id,
+        entries=stored.entries,
+        batch=stored.batch,
+        tenure_token=stored.tenure_token,
+    )
 
 
 class DurableState:
--- a/puffintide/store/ownership.py
+++ b/puffintide/store/ownership.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from puffintide.protocol.messages import SliceOwnership, TableEntry, WeightEntry
+from puffintide.protocol.messages import TableEntry, WeightEntry
 from puffintide.protocol.validation import weights_problem
 from puffintide.store.engine import NO_OVERRIDE, NOBODY, StoredSlice, StoreSnapshot
 
@@ -289,15 +289,3 @@
         record.entries[weight.server_id] = TableEntry(
             weight.server_id, weight.weight, weight.address, weight.zone
         )
-
-
-def ownership_message(stored: StoredSlice) -> SliceOwnership:
-    """The message that tells peers of a stored slice."""
-    return SliceOwnership(
-        slice_id=stored.slice_id,
-        fencing_token=stored.fencing_token,
-        owner_id=stored.owner_id,
-        entries=stored.entries,
-        batch=stored.batch,
-        tenure_token=stored.tenure_token,
-    )
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -1,5 +1,8 @@
-"""A disk in memory, as a file layer for SQLite: what was written and not yet synced is lost, whole or in part, when
-the power goes. Every write and sync is a point at which it can go."""
+"""A disk in memory, as a file layer (VFS) for SQLite.
+
+What was written and not yet synced is lost, whole or in part, when the power is cut. Every write and every sync is
+an operation at which that may happen.
+"""
 
 from __future__ import annotations
 
@@ -8,100 +11,114 @@
 
 import apsw
 
-SECTOR = 512
+SECTOR_BYTES = 512
+UNLIMITED_BYTES = 1 << 40
+LOST_WRITE_PROBABILITY = 0.4
+TORN_WRITE_PROBABILITY = 0.5
+
+PendingWrite = tuple[int, bytes | None]  # (offset, data), or (size, None) for a truncation
 
 
-class Cut(Exception):
-    """The power is gone."""
+class PowerCutError(Exception):
+    """The power is cut."""
 
 
 class Disk:
-    """Files by name: what is surely there, and the writes since, in order."""
+    """Files by name: their durable contents, and the writes since, in order."""
 
     def __init__(self) -> None:
         self.synced: dict[str, bytes] = {}
-        self.pending: dict[str, list[tuple[int, bytes | None]]] = {}  # (at, data); (size, None) cuts the file
-        self.points = 0  # writes and syncs so far
-        self.cut_at = 0  # the power goes at this one; 0: never
-        self.room = 1 << 40
+        self.pending: dict[str, list[PendingWrite]] = {}
+        self.operations = 0  # writes and syncs so far
+        self.cut_at_operation = 0  # at which the power is cut; 0: never
+        self.capacity_bytes = UNLIMITED_BYTES  # of each file
         self.fail_sync = False
-        self.dead = False  # nothing that is done after the cut reaches it
+        self.powered_off = False  # what is done after the cut does not reach the disk
 
-    def point(self) -> None:
-        self.points += 1
-        if self.points == self.cut_at:
-            self.dead = True
-            raise Cut
+    def count_operation(self) -> None:
+        self.operations += 1
+        if self.operations == self.cut_at_operation:
+            self.powered_off = True
+            raise PowerCutError
 
-    def now(self, name: str, steps: list[tuple[int, bytes | None]] | None = None) -> bytes:
+    def contents(self, name: str, writes: list[PendingWrite] | None = None) -> bytes:
+        """A file with its pending writes, or with others, applied."""
         data = bytearray(self.synced.get(name, b""))
-        for at, piece in self.pending.get(name, []) if steps is None else steps:
+        for offset, piece in self.pending.get(name, []) if writes is None else writes:
             if piece is None:
-                del data[at:]
-                data.extend(b"\0" * (at - len(data)))
-            else:
-                data.extend(b"\0" * (at - len(data)))
-                data[at : at + len(piece)] = piece
+                del data[offset:]
+            data.extend(b"\0" * (offset - len(data)))
+            if piece is not None:
+                data[offset : offset + len(piece)] = piece
         return bytes(data)
 
     def sync(self, name: str) -> None:
-        self.synced[name] = self.now(name)
+        self.synced[name] = self.contents(name)
         self.pending[name] = []
 
-    def after_cut(self, rng: random.Random) -> Disk:
-        """The disk as it may be found: of each file any of the unsynced writes, in parts of a sector."""
+    def after_power_cut(self, rng: random.Random) -> Disk:
+        """The disk as it may be found: of each file any of the pending writes, each whole or its first sectors."""
         found = Disk()
         for name in sorted({*self.synced, *self.pending}):
-            kept: list[tuple[int, bytes | None]] = []
-            for at, piece in self.pending.get(name, []):
-                if rng.random() < 0.4:
-                    continue
-                if piece is not None and len(piece) > SECTOR and rng.random() < 0.5:
-                    piece = piece[: SECTOR * rng.randint(1, len(piece) // SECTOR)]
-                kept.append((at, piece))
-            if name in self.synced or kept:
-                found.synced[name] = self.now(name, kept)
+            survived = self._surviving_writes(name, rng)
+            if name in self.synced or survived:
+                found.synced[name] = self.contents(name, survived)
         return found
 
+    def _surviving_writes(self, name: str, rng: random.Random) -> list[PendingWrite]:
+        survived: list[PendingWrite] = []
+        for offset, piece in self.pending.get(name, []):
+            if rng.random() < LOST_WRITE_PROBABILITY:
+                continue
+            if piece is not None and len(piece) > SECTOR_BYTES and rng.random() < TORN_WRITE_PROBABILITY:
+                sectors = rng.randint(1, len(piece) // SECTOR_BYTES)
+                survived.append((offset, piece[: SECTOR_BYTES * sectors]))
+            else:
+                survived.append((offset, piece))
+        return survived
 
-class File(apsw.VFSFile):
-    def __init__(self, disk: Disk, name: str, flags: list[int]) -> None:
-        self.disk, self.name = disk, name
+
+class DiskFile(apsw.VFSFile):
+    """An open file of a disk."""
+
+    def __init__(self, disk: Disk, name: str) -> None:
+        self.disk = disk
+        self.name = name
         disk.synced.setdefault(name, b"")
         disk.pending.setdefault(name, [])
 
     def xRead(self, amount: int, offset: int) -> bytes:
-        return self.disk.now(self.name)[offset : offset + amount]
+        return self.disk.contents(self.name)[offset : offset + amount]
 
     def xWrite(self, data: Any, offset: int) -> None:
-        if self.disk.dead:
+        if self.disk.powered_off:
             return
-        self.disk.point()
+        self.disk.count_operation()
         data = bytes(data)
-        if offset + len(data) > self.disk.room:
+        if offset + len(data) > self.disk.capacity_bytes:
             raise apsw.FullError("database or disk is full")
         self.disk.pending.setdefault(self.name, []).append((offset, data))
 
     def xTruncate(self, newsize: int) -> None:
-        if self.disk.dead:
+        if self.disk.powered_off:
             return
         self.disk.pending.setdefault(self.name, []).append((newsize, None))
 
-    def xSync(self, flags: int) -> None:
-        if self.disk.dead:
+    def xSync(self, _flags: int) -> None:
+        if self.disk.powered_off:
             return
-        self.disk.point()
+        self.disk.count_operation()
         if self.disk.fail_sync:
             raise apsw.IOError("disk I/O error")
         self.disk.sync(self.name)
 
     def xFileSize(self) -> int:
-        return len(self.disk.now(self.name))
+        return len(self.disk.contents(self.name))
 
-    def xLock(self, level: int) -> None:
+    def xLock(self, _level: int) -> None:
         pass
 
-    def xUnlock(self, level: int) -> None:
+    def xUnlock(self, _level: int) -> None:
         pass
 
     def xCheckReservedLock(self) -> bool:
@@ -111,36 +128,35 @@
         pass
 
     def xSectorSize(self) -> int:
-        return SECTOR
+        return SECTOR_BYTES
 
     def xDeviceCharacteristics(self) -> int:
         return 0
 
-    def xFileControl(self, op: int, ptr: int) -> bool:
+    def xFileControl(self, _op: int, _ptr: int) -> bool:
         return False
 
 
-class Layer(apsw.VFS):
-    """Registers itself under the name; the disk can be changed between opens."""
+class DiskVfs(apsw.VFS):
+    """Registers itself with SQLite under a name; its disk can be changed between opens."""
 
     def __init__(self, name: str, disk: Disk) -> None:
         self.disk = disk
         super().__init__(name, base="")
 
-    def xOpen(self, name: Any, flags: list[int]) -> Any:
+    def xOpen(self, name: Any, _flags: list[int]) -> Any:
         path = name if isinstance(name, str) else (name.filename() if name is not None else "temp")
-        return File(self.disk, path.rsplit("/", 1)[-1], flags)
+        return DiskFile(self.disk, path.rsplit("/", 1)[-1])
 
-    def xDelete(self, filename: str, syncdir: bool) -> None:
+    def xDelete(self, filename: str, _syncdir: bool) -> None:
         name = filename.rsplit("/", 1)[-1]
-        if self.disk.dead:
+        if self.disk.powered_off:
             return
         self.disk.synced.pop(name, None)
         self.disk.pending.pop(name, None)
 
-    def xAccess(self, pathname: str, flags: int) -> bool:
-        name = pathname.rsplit("/", 1)[-1]
-        return name in self.disk.synced
+    def xAccess(self, pathname: str, _flags: int) -> bool:
+        return pathname.rsplit("/", 1)[-1] in self.disk.synced
 
     def xFullPathname(self, name: str) -> str:
         return name
--- /dev/null
+++ b/tests/store_histories.py
@@ -0,0 +1,432 @@
+"""Concurrent writers and readers of the real store service, on a clock in memory.
+
+There are kills, pauses and slow or full disks. `play` runs a course of events from a seed and returns what the
+clients observed, as operations whose linearizability can be checked.
+"""
+
+# mypy: disallow-untyped-calls=False
+# (StringTransport and its relatives are untyped in Twisted.)
+from __future__ import annotations
+
+import contextlib
+import math
+import random
+from collections import defaultdict
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import structlog
+from twisted.internet.defer import Deferred
+from twisted.internet.task import Clock
+from twisted.internet.testing import StringTransport
+from twisted.python.failure import Failure
+
+from puffintide.audit.history import GIVE, READ, WRITE, Operation, linearizable
+from puffintide.protocol import messages as m
+from puffintide.protocol.codec import decode, encode
+from puffintide.store.engine import Commit, StoreSnapshot
+from puffintide.store.errors import StoreError, StoreFullError
+from puffintide.store.memory import MemoryEngine
+from puffintide.store.ownership import OwnershipLedger
+from puffintide.store.service import StoreService
+
+NEVER = math.inf
+TICK_S = 0.02
+MIN_LATENCY_S = 0.001
+MAX_LATENCY_S = 0.3
+SLOW_COMMIT_PROBABILITY = 0.05
+SLOW_COMMIT_S = 1.5
+COMMIT_S = 0.05
+REACHED_DISK_PROBABILITY = 0.5  # of a commit that is under way when the store is killed
+SETTLING_S = 2.0
+
+
+class DurableEngine(MemoryEngine):
+    """Keeps commits over a kill of the store; it may be full."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.full = False
+
+    def commit(self, commit: Commit) -> None:
+        if self.full:
+            raise StoreFullError("no room left on the disk")
+        snapshot = self.snapshot
+        snapshot.revision = commit.revision
+        snapshot.highest_token = commit.highest_token
+        for stored in commit.slices:
+            snapshot.slices[stored.slice_id] = stored
+            snapshot.slice_revisions[stored.slice_id] = commit.revision
+
+    def load(self) -> StoreSnapshot:
+        return StoreSnapshot(
+            self.snapshot.store_id,
+            self.snapshot.revision,
+            self.snapshot.highest_token,
+            dict(self.snapshot.slices),
+            dict(self.snapshot.slice_revisions),
+            dict(self.snapshot.zone_commands),
+        )
+
+
+class MemoryTransport(StringTransport):
+    def setTcpNoDelay(self, enabled: bool) -> None:
+        pass
+
+
+class Connection:
+    """A client's stream to the store: messages take their time, in order, until it is cut."""
+
+    def __init__(self, world: World, hello: m.Hello, on_message: Callable[[m.AnyMessage], None]) -> None:
+        self.world = world
+        self.on_message = on_message
+        self.open = True
+        self.last_arrival_s = 0.0  # at the store
+        self.last_reply_s = 0.0  # at the client
+        self.stream = world.factory.buildProtocol(None)
+        self.transport = MemoryTransport()
+        self.stream.makeConnection(self.transport)
+        world.connections.append(self)
+        self.send(hello)
+
+    def send(self, message: m.Message) -> None:
+        self.last_arrival_s = max(self.last_arrival_s, self.world.after_latency_s())
+        delay_s = self.last_arrival_s - self.world.clock.seconds()
+        self.world.clock.callLater(delay_s, self._deliver_to_store, encode(message) + b"\n")
+
+    def _deliver_to_store(self, data: bytes) -> None:
+        if self.open:
+            self.stream.dataReceived(data)
+
+    def pump(self) -> None:
+        """Takes what the store has written."""
+        written = self.transport.value()
+        for line in written.splitlines():
+            message = decode(line)
+            self.last_reply_s = max(self.last_reply_s, self.world.after_latency_s())
+            delay_s = self.last_reply_s - self.world.clock.seconds()
+            self.world.clock.callLater(delay_s, self._deliver_to_client, message)
+        self.transport.clear()
+
+    def _deliver_to_client(self, message: m.AnyMessage) -> None:
+        if not self.open:
+            return
+        if isinstance(message, m.Ping):
+            self.send(m.Pong())
+        else:
+            self.on_message(message)
+
+    def cut(self) -> None:
+        if self.open:
+            self.open = False
+            reason = Failure(ConnectionError())
+            self.stream.connectionLost(reason)
+
+
+@dataclass(eq=False, slots=True)
+class EngineCall:
+    """A call of the engine that is under way."""
+
+    call: Callable[..., Any]
+    arguments: tuple[Any, ...]
+
+
+class World:
+    """A store and its clients; the seed determines the order of events."""
+
+    def __init__(self, seed: int, slice_count: int = 3, assigner_count: int = 3) -> None:
+        self.rng = random.Random(seed)
+        self.clock = Clock()
+        self.clock.advance(100.0)
+        self.slice_count = slice_count
+        self.assigner_count = assigner_count
+        self.engine = DurableEngine()
+        self.calls_under_way: list[EngineCall] = []
+        self.connections: list[Connection] = []
+        self.history: defaultdict[int, list[Operation]] = defaultdict(list)  # by slice
+        self.granted_at_s: dict[tuple[int, int], float] = {}  # (slice, token): when it was first observed
+        self.last_value = 0  # of writes
+        self.start()
+
+    def start(self) -> None:
+        snapshot = self.engine.load()
+        ledger = OwnershipLedger(
+            self.slice_count,
+            self.assigner_count,
+            1.0,
+            False,
+            opened_at_s=self.clock.seconds(),
+            max_transfers_per_s=5,
+        )
+        ledger.restore(snapshot)
+        log = structlog.wrap_logger(structlog.testing.CapturingLogger())
+        self.service = StoreService(self.clock, ledger, "t", log, self.engine, snapshot, run=self.run)
+        self.factory = self.service.factory()
+        self.service.start()
+
+    def after_latency_s(self) -> float:
+        return self.clock.seconds() + self.rng.uniform(MIN_LATENCY_S, MAX_LATENCY_S)
+
+    def run(self, call: Callable[..., Any], *arguments: Any) -> Deferred[Any]:
+        done: Deferred[Any] = Deferred()
+        under_way = EngineCall(call, arguments)
+        self.calls_under_way.append(under_way)
+
+        def finish() -> None:
+            if under_way not in self.calls_under_way:  # the store was killed meanwhile
+                return
+            self.calls_under_way.remove(under_way)
+            try:
+                done.callback(call(*arguments))
+            except StoreError:
+                done.errback()
+
+        longest_s = SLOW_COMMIT_S if self.rng.random() < SLOW_COMMIT_PROBABILITY else COMMIT_S
+        self.clock.callLater(self.rng.uniform(0.0, longest_s), finish)
+        return done
+
+    def kill(self) -> None:
+        for under_way in self.calls_under_way:
+            if self.rng.random() < REACHED_DISK_PROBABILITY:
+                with contextlib.suppress(StoreError):
+                    under_way.call(*under_way.arguments)
+        self.calls_under_way = []
+        for connection in self.connections:
+            connection.open = False
+        self.connections = []
+        self.service.stop()
+
+    def observe_grant(self, ownership: m.SliceOwnership) -> None:
+        grant = (ownership.slice_id, ownership.fencing_token)
+        self.granted_at_s.setdefault(grant, self.clock.seconds())
+
+    def pass_time(self, seconds: float) -> None:
+        for _ in range(round(seconds / TICK_S)):
+            self.clock.advance(TICK_S)
+            for connection in list(self.connections):
+                connection.pump()
+
+    def finish(self) -> dict[int, list[Operation]]:
+        for (slice_id, token), observed_s in self.granted_at_s.items():
+            self.history[slice_id].append(Operation(GIVE, token, 0, 0.0, observed_s))
+        return dict(self.history)
+
+
+@dataclass(frozen=True, slots=True)
+class PendingWrite:
+    """A write of one slice that has not been acknowledged."""
+
+    slice_id: int
+    token: int
+    value: int
+    sent_s: float
+
+
+class Assigner:
+    """Writes under the tokens it has received; it may be paused for a while, and goes on all the same."""
+
+    def __init__(self, world: World, assigner_id: int) -> None:
+        self.world = world
+        self.assigner_id = assigner_id
+        self.tokens: dict[int, int] = {}
+        self.pending: dict[int, list[PendingWrite]] = {}  # by batch
+        self.batch = 0
+        self.connection: Connection | None = None
+        self.paused = False
+        self.unread: list[m.AnyMessage] = []  # received while it was paused
+
+    def connect(self) -> None:
+        hello = m.Hello(
+            m.PROTOCOL_VERSION, "assigner", self.assigner_id, 0, "t", incarnation=self.assigner_id + 1
+        )
+        self.connection = Connection(self.world, hello, self.on_message)
+
+    def pause(self) -> None:
+        self.paused = True
+
+    def resume(self) -> None:
+        self.paused = False
+        unread, self.unread = self.unread, []
+        for message in unread:
+            self.on_message(message)
+
+    def on_message(self, message: m.AnyMessage) -> None:
+        if self.paused:
+            self.unread.append(message)
+            return
+        match message:
+            case m.SliceOwnerships():
+                for ownership in message.ownerships:
+                    if ownership.owner_id == self.assigner_id:
+                        self.world.observe_grant(ownership)
+                        self.tokens[ownership.slice_id] = ownership.fencing_token
+            case m.WriteRejected(batch, slice_id, _):
+                self.pending[batch] = [w for w in self.pending.get(batch, []) if w.slice_id != slice_id]
+            case m.WriteAcknowledged(batch):
+                for acknowledged in sorted(b for b in self.pending if b <= batch):
+                    self._record(self.pending.pop(acknowledged), self.world.clock.seconds())
+
+    def _record(self, writes: list[PendingWrite], answered_s: float) -> None:
+        for w in writes:
+            operation = Operation(WRITE, w.token, w.value, w.sent_s, answered_s)
+            self.world.history[w.slice_id].append(operation)
+
+    def write(self) -> None:
+        if not self.tokens or self.connection is None or not self.connection.open:
+            return
+        rng = self.world.rng
+        self.batch += 1
+        writes = []
+        for slice_id in rng.sample(sorted(self.tokens), rng.randint(1, len(self.tokens))):
+            self.world.last_value += 1
+            writes.append(
+                PendingWrite(
+                    slice_id, self.tokens[slice_id], self.world.last_value, self.world.clock.seconds()
+                )
+            )
+        self.pending[self.batch] = writes
+        weights = [m.WeightEntry(w.slice_id, 1, float(w.value), w.token) for w in writes]
+        self.connection.send(m.WriteRequest(self.batch, weights))
+
+    def disconnect(self) -> None:
+        """Its stream is lost: of the pending writes nothing will be received."""
+        if self.connection is not None:
+            self.connection.cut()
+        for writes in self.pending.values():
+            self._record(writes, NEVER)
+        self.pending = {}
+        self.unread = []
+
+    def reconnect(self) -> None:
+        if self.connection is None or not self.connection.open:
+            self.disconnect()
+            self.connect()
+
+
+class Reader:
+    """Reads all slices, one read at a time."""
+
+    def __init__(self, world: World) -> None:
+        self.world = world
+        self.sent_s = 0.0  # of the read under way; 0: none
+        self.received: list[m.SliceOwnership] = []
+        self.connection: Connection | None = None
+
+    def read(self) -> None:
+        if self.connection is None or not self.connection.open:
+            hello = m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t")
+            self.connection = Connection(self.world, hello, self.on_message)
+            self.sent_s = 0.0
+        if not self.sent_s:
+            self.sent_s = self.world.clock.seconds()
+            self.received = []
+            self.connection.send(m.ReadRequest())
+
+    def on_message(self, message: m.AnyMessage) -> None:
+        match message:
+            case m.SliceOwnerships():
+                self.received += message.ownerships
+            case m.ReadComplete():
+                latest = {o.slice_id: o for o in self.received if o.fencing_token}
+                for ownership in latest.values():
+                    self._record(ownership)
+                self.sent_s = 0.0
+
+    def _record(self, ownership: m.SliceOwnership) -> None:
+        self.world.observe_grant(ownership)
+        value = round(ownership.entries[0].weight) if ownership.entries else 0
+        answered_s = self.world.clock.seconds()
+        operation = Operation(READ, ownership.fencing_token, value, self.sent_s, answered_s)
+        self.world.history[ownership.slice_id].append(operation)
+
+    def forget_connection(self) -> None:
+        self.connection = None
+
+
+class Play:
+    """One random course of events."""
+
+    def __init__(self, seed: int) -> None:
+        self.world = World(seed)
+        self.assigners = [Assigner(self.world, k) for k in range(self.world.assigner_count)]
+        self.reader = Reader(self.world)
+        self.events: list[tuple[Callable[[Assigner], None], float]] = [  # with their relative frequencies
+            (Assigner.write, 12),
+            (lambda _: self.reader.read(), 6),
+            (Assigner.disconnect, 2),
+            (Assigner.reconnect, 4),
+            (Assigner.pause, 1),
+            (Assigner.resume, 2),
+            (lambda _: self.restart_store(), 0.7),
+            (lambda _: self.set_disk_full(True), 0.4),
+            (lambda _: self.set_disk_full(False), 1),
+        ]
+
+    def connect_assigners(self) -> None:
+        for assigner in self.assigners:
+            assigner.connect()
+
+    def disconnect_assigners(self) -> None:
+        for assigner in self.assigners:
+            assigner.disconnect()
+
+    def restart_store(self) -> None:
+        self.disconnect_assigners()
+        self.reader.forget_connection()
+        self.world.kill()
+        self.world.start()
+        self.connect_assigners()
+
+    def set_disk_full(self, full: bool) -> None:
+        self.world.engine.full = full
+
+    def step(self) -> None:
+        rng = self.world.rng
+        assigner = rng.choice(self.assigners)
+        calls = [call for call, _ in self.events]
+        frequencies = [frequency for _, frequency in self.events]
+        rng.choices(calls, frequencies)[0](assigner)
+        self.world.pass_time(rng.choice([0.02, 0.1, 0.4, 1.5]))
+
+    def final_read(self) -> None:
+        self.set_disk_full(False)
+        self.disconnect_assigners()
+        self.world.pass_time(SETTLING_S)
+        self.reader.forget_connection()
+        self.reader.read()
+        self.world.pass_time(SETTLING_S)
+
+
+def play(
+    seed: int, steps: int = 40, fault: Callable[[World], None] | None = None
+) -> dict[int, list[Operation]]:
+    """The operations of each slice that clients observed.
+
+    Args:
+        seed: Determines the course of events.
+        steps: How many of them there are.
+        fault: Called before each; it may break the store, to show that the check notices.
+    """
+    course = Play(seed)
+    course.connect_assigners()
+    for _ in range(steps):
+        if fault is not None:
+            fault(course.world)
+        course.step()
+    course.final_read()
+    return course.world.finish()
+
+
+def failing_seeds(
+    first: int, end: int, fault: Callable[[World], None] | None = None
+) -> tuple[list[int], int]:
+    """Seeds whose histories are not linearizable, and the number of operations that were checked."""
+    failing = []
+    operation_count = 0
+    for seed in range(first, end):
+        history = play(seed, fault=fault)
+        operation_count += sum(map(len, history.values()))
+        if not all(linearizable(operations) for operations in history.values()):
+            failing.append(seed)
+    return failing, operation_count
