--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -790,10 +790,10 @@
 
 
 def test_a_round_that_fails_is_told_and_is_not_the_last(platform: Platform) -> None:
-    decider: Any = platform.node.runtime.director
-    real, decider.estimator.update = decider.estimator.update, lambda: 1 / 0
+    director: Any = platform.node.runtime.director
+    real, director.estimator.update = director.estimator.update, lambda: 1 / 0
     platform.go(1.0)
-    decider.estimator.update = real
+    director.estimator.update = real
     assert "ZeroDivisionError" in platform.logged("round_failed")[0]["error"]
     platform.go(1.0)
     client: Any = platform.node.relay.client
