--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,10 +8,13 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
+if TYPE_CHECKING:
+    from tests.platform_world import Platform
+
 KNOWN_RED_FILE = "KNOWN-RED.txt"
 MAX_ENTRIES = 3
 FIELDS = "test id | command and seed | what was seen | issue"
@@ -62,3 +65,14 @@
 def pytest_terminal_summary(terminalreporter: Any) -> None:
     for report in terminalreporter.stats.get("xfailed", []):
         terminalreporter.write_line(f"KNOWN RED: {report.nodeid} | {report.wasxfail}")
+
+
+@pytest.fixture
+def platform(tmp_path: Path) -> Platform:
+    """An assigner of the platform on a virtual clock, one second after its start."""
+    # test_known_red copies this file to where there is no such module.
+    from tests.platform_world import Platform
+
+    made = Platform(tmp_path)
+    made.go(1.0)
+    return made
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.test_node_service import Peer, Platform, entry
+from tests.platform_world import Peer, Platform, entry
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 THERE: dict[str, Any] = {
@@ -118,7 +118,7 @@
     return subprocess.run(words, capture_output=True, check=True, cwd=SITES.parent.parent).stdout
 
 
-def test_two_assigners_fed_in_turn_act_as_each_does_alone(tmp_path: Path) -> None:
+def test_two_assigners_in_one_process_act_as_each_does_alone(tmp_path: Path) -> None:
     expected = [in_a_process(tmp_path / "here", False), in_a_process(tmp_path / "there", True)]
     assert expected[0] != expected[1] and all(len(json.loads(e)[0]) >= 3 for e in expected)
     for first in (False, True):
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("name", CLAIMS)
-def test_a_site_kept_here_is_whole_and_differs_where_it_claims_to(name: str) -> None:
+def test_site_is_complete_and_differs_where_it_claims_to(name: str) -> None:
     folder = SITES / name
     site = tomllib.loads((folder / f"{name}.toml").read_text(encoding="utf-8"))
     assert site["name"] == name and CLAIMS[name](site)
@@ -159,5 +159,5 @@
     assert any(not c.isascii() for c in chain(*(c["name"] for c in site["class"]), *site["net"]["zones"]))
 
 
-def test_every_site_kept_here_is_checked() -> None:
+def test_every_site_is_checked() -> None:
     assert {path.name for path in SITES.iterdir()} == set(CLAIMS)
--- /dev/null
+++ b/tests/test_platform_config.py
@@ -0,0 +1,64 @@
+"""Configuration and log of the platform's assigner."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+
+from puffintide.platform.config import parse_config
+from puffintide.platform.errors import (
+    ConfigError,
+)
+from puffintide.platform.log import EventLog
+from tests.platform_config import CONFIG, SETTINGS
+
+
+def test_configuration_is_parsed_with_its_settings() -> None:
+    config = parse_config(json.dumps(CONFIG).encode())
+    assert (config.listen, config.discovery, config.relay) == (
+        ("127.0.0.1", 3000),
+        ("127.0.0.2", 8500),
+        ("127.0.0.3", 6400),
+    )
+    assert config.sockets == 256
+    assert config.settings.seed == 0x8C1F30D27A5BE964
+    assert config.names.zones == {"a": 0}
+    assert config.settings.drain_grace_s == 3.0
+
+
+@pytest.mark.parametrize(
+    ("changes", "key"),
+    [
+        ({"listen": "127.0.0.1"}, "listen"),
+        ({"listen": ...}, "listen"),
+        ({"discovery": "h:0"}, "discovery"),
+        ({"store": {}}, "store.address"),
+        ({"store": 5}, "store"),
+        ({"settings": []}, "settings"),
+        ({"settings": {}}, "settings: setting classes"),
+        ({"seed": "xyz"}, "seed"),
+        ({"limits": {"sockets": 0}}, "limits.sockets"),
+        ({"settings": {**SETTINGS, "zones": [1]}}, "settings"),
+    ],
+)
+def test_error_of_an_invalid_configuration_names_the_key(changes: dict[str, Any], key: str) -> None:
+    tree = {k: v for k, v in (CONFIG | changes).items() if v is not ...}
+    with pytest.raises(ConfigError, match=key):
+        parse_config(json.dumps(tree).encode())
+    for text in (b"", b"{", b"[]", b"\xff"):
+        with pytest.raises(ConfigError):
+            parse_config(text)
+
+
+def test_log_is_rate_limited_and_counts_skipped_lines() -> None:
+    rows: list[str] = []
+    now = [0.0]
+    log = EventLog("n0", rows.append, lambda: now[0], lambda: 1.0)
+    for k in range(1000):
+        log("spoilt", k=k)
+    assert len(rows) < 30
+    now[0] = 10.0
+    log("spoilt", k=1000)
+    assert json.loads(rows[-1])["skipped"] > 900
--- /dev/null
+++ b/tests/test_platform_health_checks.py
@@ -0,0 +1,26 @@
+"""What a response to a health check means."""
+
+from __future__ import annotations
+
+from puffintide.platform.health_check_response import classify_response, parse_load_report
+
+
+def test_load_report_of_a_server_is_parsed() -> None:
+    assert parse_load_report("TEXT inflight=7, queue=2, util=0.61\n") == {
+        "inflight": 7,
+        "queue": 2,
+        "util": 0.61,
+    }
+    assert parse_load_report("TEXT inflight=7, queue=x, =, util") == {"inflight": 7}
+    assert parse_load_report("TEXT inflight=7, inflight=8, util=1") == {"util": 1}
+    assert parse_load_report("<html>") == {}
+    assert parse_load_report("") == {}
+
+
+def test_response_to_a_health_check_is_classified() -> None:
+    assert [classify_response(s, t, 0.4) for s, t in ((200, 0.3), (503, 0.1), (503, 0.3), (500, 0.1))] == [
+        0,
+        2,
+        3,
+        1,
+    ]
--- /dev/null
+++ b/tests/test_platform_relay_outbox.py
@@ -0,0 +1,296 @@
+"""Orders to the relay, the outbox and the relay's answers."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from puffintide.decisions.actions import (
+    ALL_SLICES,
+    Action,
+    LogMessage,
+    SendCheckpoint,
+    SendHealthCheck,
+    SetAdmission,
+    SetWeight,
+    SetWithdrawn,
+)
+from puffintide.platform.http_exchange import RequestResult, Response
+from puffintide.platform.identifiers import HostRegistry
+from puffintide.platform.relay_answers import parse_answer
+from puffintide.platform.relay_orders import (
+    Order,
+    OrderedWeight,
+    OrderEncoder,
+    OrderKey,
+    OrderType,
+    SendPriority,
+)
+from puffintide.platform.relay_outbox import MAX_CALL_BYTES, Outbox
+from tests.platform_config import NAMES
+
+
+def test_orders_are_encoded_with_the_platforms_field_names() -> None:
+    hosts = HostRegistry()
+    s = hosts.register("s-1")
+    actions: list[Action] = [
+        SetWithdrawn(s, True),
+        SetWithdrawn(s, False),
+        SetWeight(2, s, 1.5),
+        SetWeight(2, s, 0.0),
+        SetWeight(3, s, 1.0),
+        SetWeight(2, 99, 1.0),
+        SetAdmission(ALL_SLICES, 0, 1.0, 1),
+        SetAdmission(2, 2, 0.25, 0),
+        SendCheckpoint(77),
+        SendHealthCheck(s),
+        LogMessage("x"),
+    ]
+    made, wrong = OrderEncoder(NAMES, hosts).encode(actions, [2])
+    assert [json.loads(o.text) for o in made] == [
+        {"do": "OUT", "host": "s-1"},
+        {"do": "IN", "host": "s-1"},
+        {"do": "SET", "group": 2, "host": "s-1", "share": 1.5},
+        {"do": "SET", "group": 2, "host": "s-1", "share": 0.0},
+        {"do": "LIMIT", "gate": 1.0, "again": 1},
+        {"do": "LIMIT", "group": 2, "for": ["start"], "gate": 0.25, "again": 0},
+        {"do": "SYNC", "stamp": 77, "yes": 0},
+    ]
+    assert len(wrong) == 1
+    assert "99" in wrong[0]
+
+
+def weight_key(slice_id: int, server_id: int) -> OrderKey:
+    return OrderKey(OrderType.WEIGHT, slice_id, server_id)
+
+
+def withdrawal_key(server_id: int) -> OrderKey:
+    return OrderKey(OrderType.WITHDRAWAL, item_id=server_id)
+
+
+def added(slice_id: int, server_id: int) -> Order:
+    """A weight that a snapshot of the tables can show."""
+    weight = OrderedWeight(slice_id, f"s-{server_id}", 1.0)
+    return Order(weight_key(slice_id, server_id), b"{}", SendPriority.ADDED_WEIGHT, weight)
+
+
+def removed(slice_id: int, server_id: int) -> Order:
+    weight = OrderedWeight(slice_id, f"s-{server_id}", 0.0)
+    return Order(weight_key(slice_id, server_id), b"{}", SendPriority.REMOVED_WEIGHT, weight)
+
+
+def line(server: int, weight: float, table: int = 0, size: int = 0) -> Order:
+    text = json.dumps(
+        {"do": "SET", "group": table, "host": f"s-{server}{'x' * size}", "share": weight}
+    ).encode()
+    priority = SendPriority.ADDED_WEIGHT if weight > 0 else SendPriority.REMOVED_WEIGHT
+    return Order(weight_key(table, server), text, priority)
+
+
+def out(server: int) -> Order:
+    return Order(withdrawal_key(server), b'{"do":"OUT"}', SendPriority.WITHDRAWAL)
+
+
+def sent(outbox: Outbox) -> list[Order]:
+    call = outbox.next_call()
+    assert [json.loads(o.text) for o in call.orders] == json.loads(call.body)["orders"]
+    assert len(call.body) <= MAX_CALL_BYTES
+    return call.orders
+
+
+def test_one_batch_is_one_call_and_calls_do_not_overlap() -> None:
+    box = Outbox()
+    assert box.ready_in_s(0.0) is None
+    box.put([out(1), line(2, 1.0), line(1, 0.0)])
+    assert box.ready_in_s(0.0) == 0.0
+    assert [o.key.order_type for o in sent(box)] == [OrderType.WITHDRAWAL, OrderType.WEIGHT, OrderType.WEIGHT]
+    box.put([line(3, 1.0)])
+    assert box.ready_in_s(0.0) is None  # the first is not answered yet
+    assert box.accept(0.0, 3) is None
+    assert [o.key for o in sent(box)] == [weight_key(0, 3)]
+
+
+def test_rejected_order_is_dropped_and_the_rest_is_sent() -> None:
+    box = Outbox()
+    box.put([line(1, 1.0), line(2, 1.0), line(3, 1.0)])
+    box.next_call()
+    assert box.accept(0.0, 1) is None
+    assert [o.key.item_id for o in sent(box)] == [3, 2]  # once more, last
+    bad = box.accept(0.0, 1)
+    assert bad is not None
+    assert bad.key == weight_key(0, 2)
+    assert len(box) == 0
+
+
+def test_after_an_uncertain_call_the_newest_order_is_sent_and_never_an_older_one() -> None:
+    box = Outbox()
+    box.put([line(1, 1.0), line(2, 1.0)])
+    box.next_call()
+    box.put([line(1, 0.0), line(4, 1.0)])
+    box.repeat(0.0, maybe_applied=True)
+    assert [(o.key.item_id, json.loads(o.text)["share"]) for o in sent(box)] == [(2, 1.0), (1, 0.0), (4, 1.0)]
+    assert box.accept(0.0, 3) is None
+    assert len(box) == 0
+
+
+def test_tables_of_the_relay_resolve_an_uncertain_call() -> None:
+    cases: list[tuple[dict[int, dict[str, float]], bool]] = [
+        ({0: {"s-1": 1.0}}, False),
+        ({0: {"s-2": 1.0}}, True),
+        ({}, False),
+        ({7: {"s-9": 1.0}}, False),
+    ]
+    for stored, carried in cases:
+        box = Outbox()
+        new = added(0, 2)
+        box.put([out(9), new, removed(0, 1)])
+        box.next_call()
+        assert box.has_weights_in_flight
+        assert box.resolve(0.0, stored, complete=False) is carried
+        assert len(box) == (0 if carried else 3)
+    box = Outbox()
+    box.put([out(1)])
+    box.next_call()
+    assert not box.has_weights_in_flight
+
+
+@pytest.mark.parametrize(("whole", "carried"), [(False, False), (True, True)])
+def test_absent_weight_shows_its_removal_only_in_a_complete_snapshot(whole: bool, carried: bool) -> None:
+    box = Outbox(max_messages_per_window=1, message_window_s=10.0)
+    box.put([removed(0, 1)])
+    box.next_call()
+    assert box.resolve(0.0, {0: {}}, whole) is carried
+    assert len(box) == (0 if carried else 1)
+    assert box.ready_in_s(1.0) in (None, 9.0)  # and it may have been carried out: it counts as a message
+
+
+def test_weights_of_an_uncertain_call_are_dropped_once_their_slice_was_revoked() -> None:
+    """It may be given again with another table, which they must not be laid over."""
+    ends: list[Callable[[Outbox], Any]] = [
+        lambda box: box.repeat(0.0, maybe_applied=True),
+        lambda box: box.restore(),
+        lambda box: box.reject(),
+        lambda box: box.accept(0.0, 0),
+        lambda box: box.resolve(0.0, {5: {"s-9": 1.0}, 6: {}}, complete=True),
+    ]
+    for end in ends:
+        box = Outbox()
+        box.put(added(s, 1) for s in (5, 6))
+        box.next_call()
+        box.revoke_slice(5)
+        assert box.pending_servers(6) == {1}
+        assert not box.pending_servers(5)
+        end(box)
+        assert [o.key for o in sent(box)] == [weight_key(6, 1)]
+
+
+def test_next_step_after_each_result_of_a_call() -> None:
+    def after(how: RequestResult, body: bytes = b"", *, with_line: bool = True) -> tuple[bool, bool, int]:
+        box = Outbox()
+        box.put([added(0, 2) if with_line else out(1)])
+        box.next_call()
+        verdict = box.on_response(0.0, Response(how, 200, body))
+        return verdict.snapshot, verdict.delay_s > 0, len(box)
+
+    assert after(RequestResult.ANSWERED, b'{"accepted":1}') == (False, False, 0)
+    assert (
+        after(RequestResult.ANSWERED, b'{"error":"throttled"}')
+        == after(RequestResult.ANSWERED, b'{"error":"invalid"}')
+        == (False, True, 1)
+    )
+    assert after(RequestResult.UNREACHABLE) == (False, True, 1)  # surely not carried out
+    for how, body in (
+        (RequestResult.DISCONNECTED, b""),
+        (RequestResult.TIMED_OUT, b""),
+        (RequestResult.MALFORMED, b""),
+        (RequestResult.ANSWERED, b"{"),
+        (RequestResult.ANSWERED, b"[]"),
+    ):
+        assert after(how, body) == (True, True, 1)
+        assert after(how, body, with_line=False) == (False, True, 1)
+
+
+def test_failed_snapshots_are_repeated_a_limited_number_of_times() -> None:
+    box = Outbox()
+    box.put([added(0, 2)])
+    box.next_call()
+    verdict, looks, pauses = box.on_response(0.0, Response(RequestResult.TIMED_OUT)), 0, list[float]()
+    while verdict.snapshot:
+        looks, pauses = looks + 1, [*pauses, verdict.delay_s]
+        verdict = box.on_snapshot(0.0, None)
+    assert looks == 5
+    assert pauses == sorted(pauses)
+    assert not box.in_flight
+    assert len(box) == 1
+
+
+def test_calls_that_may_have_been_applied_count_towards_the_message_limit() -> None:
+    box = Outbox(max_messages_per_window=2, message_window_s=10.0)
+    for now, carried in ((0.0, True), (1.0, False), (2.0, True)):
+        box.put([line(1, now)])
+        assert box.ready_in_s(now) == 0.0
+        box.next_call()
+        box.repeat(now, carried)
+    assert box.ready_in_s(3.0) == 7.0  # two of three may have been carried out
+    assert box.ready_in_s(10.5) == 0.0
+
+
+def test_batch_over_the_size_limit_is_sent_in_parts_that_are_safe_by_themselves() -> None:
+    box = Outbox()
+    box.put([line(1, 0.0), *(line(k, 1.0, k, 400) for k in range(2, 302)), out(1)])
+    parts: list[list[int]] = []
+    while box.ready_in_s(0.0) is not None:
+        parts.append([o.priority for o in sent(box)])
+        box.accept(0.0, len(parts[-1]))
+    assert len(parts) > 1
+    assert parts[0][0] == 0
+    assert sum(map(len, parts)) == 302
+    assert not any(2 in part for part in parts[:-1])  # nothing is taken away before all is added
+
+
+def test_throttled_call_is_queued_again_and_an_invalid_one_blocks_nothing() -> None:
+    box = Outbox(max_messages_per_window=1)
+    box.put([line(1, 1.0)])
+    box.next_call()
+    box.restore()
+    assert box.ready_in_s(0.0) == 0.0  # no message was written
+    for _ in range(2):
+        box.next_call()
+        assert not box.reject()
+    box.next_call()
+    assert box.reject()
+    assert len(box) == 0
+
+
+def test_queued_weights_of_a_revoked_slice_are_dropped() -> None:
+    box = Outbox()
+    box.put([line(1, 1.0, 5), line(1, 1.0, 6), out(5)])
+    box.revoke_slice(5)
+    assert [o.key for o in sent(box)] == [weight_key(6, 1), withdrawal_key(5)]
+    assert box.pending_servers(6) == {1}
+    assert not box.pending_servers(5)
+
+
+@pytest.mark.parametrize(
+    ("status", "body", "accepted", "error"),
+    [
+        (200, b'{"accepted":2}', 2, ""),
+        (200, b'{"accepted":0}', 0, ""),
+        (200, b'{"accepted":4}', None, ""),
+        (200, b'{"accepted":-1}', None, ""),
+        (200, b'{"accepted":true}', None, ""),
+        (200, b'{"accepted":"2"}', None, ""),
+        (200, b"{", None, ""),
+        (200, b"[]", None, ""),
+        (200, b"", None, ""),
+        (500, b'{"accepted":2}', None, ""),
+        (429, b'{"error":"throttled"}', None, "throttled"),
+        (503, b'{"error":{"code":"throttled"}}', None, "throttled"),
+    ],
+)
+def test_answers_of_the_relay_are_parsed(status: int, body: bytes, accepted: int | None, error: str) -> None:
+    answer = parse_answer(status, body, 3)
+    assert (answer.accepted, answer.error) == (accepted, error)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -19,7 +19,7 @@
 
 from tests.peers import PORTS
 from tests.platform_peers import SIGN, Address, NodeProcess, Store, Wire, given, held, joined
-from tests.test_node_service import entry, settings
+from tests.platform_world import entry, settings
 
 pytestmark = pytest.mark.processes
 
@@ -225,7 +225,7 @@
 # The relay's news -------------------------------------------------------------------------------------
 
 
-def test_what_a_new_watch_has_not_told_yet_is_not_gone(make: Callable[..., Platform]) -> None:
+def test_state_missing_from_an_incomplete_snapshot_is_not_removed(make: Callable[..., Platform]) -> None:
     """What stands comes in two pieces, with a gap in which a server drains; a kind that is not known is no end."""
     p = make().start()
     p.news.reset()
@@ -241,7 +241,7 @@
     assert all(p.store.tables.values()) and not p.node.logged("table_differs")
 
 
-def test_what_comes_while_the_assigner_stands_still_counts_though_its_timers_come_first(
+def test_input_received_while_the_process_is_paused_counts_though_timers_fire_first(
     make: Callable[..., Platform],
 ) -> None:
     p = make().start()
@@ -260,7 +260,7 @@
     assert not p.node.logged("ownership_changed", revoked=5) and all(p.store.tables.values())
 
 
-def test_news_and_lists_told_twice_change_nothing(make: Callable[..., Platform]) -> None:
+def test_repeated_relay_messages_and_lists_change_nothing(make: Callable[..., Platform]) -> None:
     p = make().start()
     told = [joined(0), *p.store.held(), SIGN]
     p.news.lines(*told, *told)
@@ -272,7 +272,7 @@
     assert all(p.store.tables.values())
 
 
-def test_what_a_new_watch_lacks_is_gone_once_it_is_whole(make: Callable[..., Platform]) -> None:
+def test_state_missing_from_a_complete_snapshot_is_removed(make: Callable[..., Platform]) -> None:
     p = make().start()
     p.news.reset()
     p.news = p.opened(NEWS)
@@ -284,7 +284,7 @@
     wire.answer(p.store.take(body))
 
 
-def test_a_line_that_comes_after_its_table_was_passed_on_is_heard(make: Callable[..., Platform]) -> None:
+def test_weight_received_after_its_table_was_passed_on_counts(make: Callable[..., Platform]) -> None:
     p = make().start()
     p.store.tables[6] = {"s-0": 1.0, "s-1": 1.0}
     p.news.lines(given(6), held(6, "s-0"))
@@ -297,7 +297,7 @@
     assert all(p.store.tables.values())
 
 
-def test_lines_in_doubt_are_void_when_their_slice_was_taken_and_given_anew(
+def test_uncertain_weights_are_dropped_when_their_slice_was_revoked_and_granted_again(
     make: Callable[..., Platform],
 ) -> None:
     """Between the call and the look at what became of it, an heir had the slice and moved it elsewhere."""
@@ -317,7 +317,7 @@
     assert lost[0] not in p.store.received and p.store.tables[1] == {other: 1.0}
 
 
-def test_a_slice_taken_given_and_taken_in_one_piece(make: Callable[..., Platform]) -> None:
+def test_slice_revoked_granted_and_revoked_in_one_packet(make: Callable[..., Platform]) -> None:
     p = make().start()
     p.news.lines(given(1, False), given(1), held(1, "s-1"), given(1, False), held(1, "s-1"), SIGN)
     p.node.until("ownership_changed", revoked=1)
@@ -327,7 +327,7 @@
     wire.answer(p.store.take(body))
 
 
-def test_an_heir_reads_what_was_carried_out_of_a_call_that_its_sender_did_not_outlive(
+def test_successor_reads_what_was_applied_of_a_killed_senders_call(
     make: Callable[..., Platform],
 ) -> None:
     p = make().start()
@@ -352,7 +352,7 @@
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"accepted":%d}'
 
 
-def test_an_answer_cut_anywhere_makes_no_order_twice_and_loses_none(make: Callable[..., Platform]) -> None:
+def test_answer_cut_at_any_byte_repeats_and_loses_no_order(make: Callable[..., Platform]) -> None:
     """At each byte of it, closed and reset in turn; carried out and, every third time, not."""
     cuts = len(ANSWER) - 1
     p = make(servers=cuts + 2, slices=cuts + 2).start()
@@ -376,7 +376,7 @@
     assert Counter(made) == Counter(set(made)) + Counter(undone) and all(p.store.tables.values())
 
 
-def test_a_look_in_two_pieces_brings_no_order_that_was_carried_out_again(
+def test_snapshot_in_two_packets_repeats_no_applied_order(
     make: Callable[..., Platform],
 ) -> None:
     p = make().start()
@@ -397,7 +397,7 @@
 
 
 @pytest.mark.parametrize("bad", [b'{"seq":8,"whole":fal\n', b'{"whole":false,"hosts":[]}\n', b"\xff\xfe\n"])
-def test_changes_that_can_not_be_read_are_asked_for_again(make: Callable[..., Platform], bad: bytes) -> None:
+def test_malformed_list_changes_are_requested_again(make: Callable[..., Platform], bad: bytes) -> None:
     p = make().start()
     p.list.lines(bad, {"seq": 9, "whole": False, "hosts": [entry(3, share=1.5)]})  # well, and later
     p.list, target, _ = p.discovery.next(LIST)
@@ -407,7 +407,7 @@
     p.until_off("s-1")
 
 
-def test_half_a_line_and_then_silence_loses_nothing(make: Callable[..., Platform]) -> None:
+def test_half_a_line_followed_by_silence_loses_nothing(make: Callable[..., Platform]) -> None:
     p = make(constants={**PATIENT, "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1}).start()
     p.list.lines(b'{"seq":8,"whole":false,"hosts":[')
     p.list, target, _ = p.discovery.next(LIST)
@@ -417,7 +417,7 @@
     p.until_off("s-1")
 
 
-def test_an_agent_that_is_behind_brings_nobody_back(make: Callable[..., Platform]) -> None:
+def test_stale_discovery_agent_reinstates_no_server(make: Callable[..., Platform]) -> None:
     p = make().start()
     old = p.whole()
     p.drain(1)
@@ -431,7 +431,7 @@
     assert all(p.store.tables.values())
 
 
-def test_a_whole_list_in_place_of_changes(make: Callable[..., Platform]) -> None:
+def test_snapshot_of_the_list_in_place_of_a_delta(make: Callable[..., Platform]) -> None:
     p = make().start()
     p.rows[1] = entry(1, "leaving")
     del p.rows[3]
@@ -441,7 +441,7 @@
     assert all(p.store.tables.values())
 
 
-def test_names_of_tables_outlast_a_list_that_is_long_in_coming(make: Callable[..., Platform]) -> None:
+def test_host_names_in_tables_are_retained_until_a_late_list_arrives(make: Callable[..., Platform]) -> None:
     p = make(constants={**PATIENT, "platform.service.FORGET_PERIOD_S": 0.1, "platform.stats.PERIOD_S": 0.2})
     p.store.tables[0]["s-9"] = 1.0  # which the list will not have
     p.news = p.opened(NEWS)
@@ -457,7 +457,7 @@
 # Reload -----------------------------------------------------------------------------------------------
 
 
-def test_the_old_stream_is_read_until_the_new_one_has_told_something(make: Callable[..., Platform]) -> None:
+def test_old_stream_is_read_until_the_first_line_of_the_new_one(make: Callable[..., Platform]) -> None:
     """The new one gives its head and is reset: what the old one tells meanwhile counts."""
     p = make().start()
     to = Address()
@@ -479,7 +479,7 @@
     to.close()
 
 
-def test_back_again_while_the_first_move_is_being_dialled(make: Callable[..., Platform]) -> None:
+def test_second_reload_while_the_first_move_is_connecting(make: Callable[..., Platform]) -> None:
     p = make().start()
     to = Address()
     p.node.write(discovery=to.name, store={"address": to.name})
@@ -498,7 +498,7 @@
     to.close()
 
 
-def test_a_call_to_the_old_relay_is_looked_up_at_the_new_one(make: Callable[..., Platform]) -> None:
+def test_uncertain_call_to_the_old_relay_is_resolved_at_the_new_one(make: Callable[..., Platform]) -> None:
     p = make().start()
     p.drain(1)
     wire, body = p.call()
@@ -519,7 +519,7 @@
     to.close()
 
 
-def test_a_reload_takes_both_addresses_and_nothing_else(make: Callable[..., Platform]) -> None:
+def test_reload_applies_both_addresses_and_nothing_else(make: Callable[..., Platform]) -> None:
     p = make().start()
     to = Address()
     new = json.loads(json.dumps(p.node.config["settings"]))
@@ -549,7 +549,7 @@
 
 
 @pytest.mark.parametrize("pieces", [[ONE + OTHER], [ONE, OTHER], [ONE + OTHER[:9]]])
-def test_bytes_beyond_an_answer_are_not_read_as_the_next_ones(
+def test_bytes_beyond_a_response_are_not_read_as_the_next_one(
     make: Callable[..., Platform], pieces: list[bytes]
 ) -> None:
     p = make(probes=True, servers=1)
@@ -567,7 +567,9 @@
     task.close()
 
 
-def test_a_kept_connection_that_ends_under_the_next_probe_asks_anew(make: Callable[..., Platform]) -> None:
+def test_idle_connection_closed_under_the_next_health_check_is_reopened(
+    make: Callable[..., Platform],
+) -> None:
     p = make(constants={**PATIENT, "decisions.parameters.HEALTH_CHECK_PERIOD_S": 3}, probes=True, servers=1)
     task = Address()
     p.rows = [entry(0, dial=task.name)]
@@ -586,7 +588,7 @@
 # Who connects -------------------------------------------------------------------------------------------
 
 
-def test_no_sign_of_life_before_what_stands_was_told(make: Callable[..., Platform]) -> None:
+def test_pings_are_not_answered_before_the_initial_state(make: Callable[..., Platform]) -> None:
     p = make(constants={**PATIENT, "platform.service.READY_TIMEOUT_S": 60})
     news, listed = p.opened(NEWS), p.opened(LIST)
     asker = p.node.dial()
@@ -605,7 +607,7 @@
 
 
 @pytest.mark.parametrize("away", ["relay", "discovery", "both"])
-def test_it_serves_though_others_are_away_at_the_start(make: Callable[..., Platform], away: str) -> None:
+def test_it_serves_without_relay_or_discovery_at_the_start(make: Callable[..., Platform], away: str) -> None:
     p = make(
         constants={
             **PATIENT,
@@ -636,7 +638,9 @@
     assert all(p.store.tables.values())
 
 
-def test_a_flood_displaces_no_collector_and_makes_no_order_wait(make: Callable[..., Platform]) -> None:
+def test_flood_of_connections_displaces_no_collector_and_delays_no_order(
+    make: Callable[..., Platform],
+) -> None:
     p = make().start()
     before = p.node.descriptors()
     collectors = [p.node.dial() for _ in range(4)]
@@ -684,7 +688,7 @@
     assert p.node.descriptors() <= before + 6 and p.node.process.poll() is None
 
 
-def test_thirty_started_at_once_are_ready_and_hold_what_stands(tmp_path: Path) -> None:
+def test_thirty_assigners_started_at_once_are_ready_and_have_the_state(tmp_path: Path) -> None:
     """Each with a relay and a list of its own that answer when asked; ready within 10 s, nine in ten asked for."""
     count = int(os.environ.get("PUFFINTIDE_RESTARTS", "30"))
     with ExitStack() as stack:
