--- a/benchmarks/day_figures.py
+++ b/benchmarks/day_figures.py
@@ -11,28 +11,28 @@
 
 import click
 
-from puffintide.audit.records import Record, peers, read
+from puffintide.audit.records import Record, peers_by_connection, read_records
 from puffintide.config.loader import load
 from puffintide.protocol import messages as m
-from puffintide.scenarios.verdict import judge, quantile
+from puffintide.scenarios.results import evaluate, quantile
 
 
 def applied(records: list[Record], pace: float, delay_s: float) -> tuple[list[float], list[float]]:
     """For each marked order that all its proxies applied: seconds from the order to the last applied, and what the
     channel's own count (lines of all its messages at the stated pace, and the mean way) says it should take."""
-    who = peers(records)
+    who = peers_by_connection(records)
     told: dict[tuple[str, int], list[m.ProxyUpdate]] = defaultdict(list)
     waiting: dict[tuple[str, int], set[int]] = defaultdict(set)
     marks: dict[tuple[str, int], tuple[str, int]] = {}
     done: dict[tuple[str, int], float] = {}
-    for r in sorted(records, key=lambda r: (r.came, r.number)):
-        peer = who.get(r.conn)
+    for r in sorted(records, key=lambda r: (r.received_at_s, r.number)):
+        peer = who.get(r.connection_id)
         if peer is None:
             continue
         if (
             isinstance(r.message, m.ProxyUpdate)
             and r.message.checkpoint_id is not None
-            and r.went is not None
+            and r.delivered_at_s is not None
         ):
             key = (r.link, r.message.batch)
             told[key].append(r.message)
@@ -42,7 +42,7 @@
             found = marks.get((r.link, r.message.checkpoint_id))
             if found is not None:
                 waiting[found].discard(peer.id)
-                done[found] = r.came
+                done[found] = r.received_at_s
     took, stated = [], []
     for key, orders in told.items():
         if not waiting[key] and key in done:
@@ -60,23 +60,23 @@
     records: list[Record] = []
     for path in sorted(out.glob("tap*.jsonl")):
         with path.open("rb") as file:
-            records += read(file, path.name).records
+            records += read_records(file, path.name).records
     took, stated = applied(records, config.channel.lines_per_s, config.net.order_late_s)
     ratio = sorted(t / s for t, s in zip(took, stated, strict=True))
     took.sort()
     stated.sort()
     del records
-    verdict = judge(out)
-    drain = verdict.judgement.drain_s
+    verdict = evaluate(out)
+    drain = verdict.report.drain_durations_s
     grace = config.rules.drain_grace_s
     lines = ["| figure | value |", "| --- | --- |"]
-    for rule, near in verdict.judgement.nearest.items():
-        broken = sum(f.rule == rule for f in verdict.judgement.findings)
+    for rule, near in verdict.report.peak_ratios.items():
+        broken = sum(f.rule == rule for f in verdict.report.findings)
         lines.append(
             f"| {rule} | {'BROKEN ' + str(broken) if broken else 'kept'}, nearest {near:.0%} of its limit |"
         )
     lines.append(
-        f"| worth served, worst 10 s | {verdict.service.whole:.3f}, {verdict.service.worst_window:.3f} |"
+        f"| worth served, worst 10 s | {verdict.service.score:.3f}, {verdict.service.worst_window_score:.3f} |"
     )
     lines.append(
         f"| hearing of a loss to the last request, p50/p99/max s (grace {grace}) | "
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Any
 
-from puffintide.audit.records import read
+from puffintide.audit.records import read_records
 from puffintide.protocol import messages as m
 from puffintide.replication.replica import Replica
-from puffintide.scenarios.verdict import served
+from puffintide.scenarios.results import summarize_service
 from tests.deployment import START, Deployment
 
 LOAD = 95  # a second; the stand-ins can do some 125
@@ -87,15 +87,15 @@
         with tempfile.TemporaryDirectory() as folder:
             d = Deployment(Path(folder), CASES[case], steps, **changes)
             verdict = d.play()
-            assert not verdict.judgement.findings, verdict.judgement.findings[:3]
-            whole = dict(served(d.config, Path(folder)).windows).get(float(KILL_S), 0.0)
+            assert not verdict.report.findings, verdict.report.findings[:3]
+            whole = dict(summarize_service(d.config, Path(folder)).window_scores).get(float(KILL_S), 0.0)
             with (Path(folder) / "tap.jsonl").open("rb") as lines:
-                records = read(lines, "tap").records
+                records = read_records(lines, "tap").records
             text = (Path(folder) / "clients.jsonl").read_text().splitlines()
     finally:
         Replica.put = put  # type: ignore[method-assign]
     begun = START + d.day.settle_s + KILL_S
-    seen = [r for r in records if begun <= r.came < begun + AFTER_S]
+    seen = [r for r in records if begun <= r.received_at_s < begun + AFTER_S]
     hung = {2, 5} if "hang" in CASES[case] else set()
     share: defaultdict[int, list[float]] = defaultdict(list)
     for row in map(json.loads, text):
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -26,7 +26,7 @@
 
 import click
 
-from puffintide.audit.records import rows
+from puffintide.audit.records import read_json_lines
 from puffintide.config.loader import load
 from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.events import (
@@ -38,9 +38,9 @@
 )
 from puffintide.decisions.settings import Settings
 from puffintide.scenarios.faults import plan
+from puffintide.scenarios.results import evaluate
 from puffintide.scenarios.runner import DayError, Player
 from puffintide.scenarios.scenes import SCENES, script
-from puffintide.scenarios.verdict import judge
 
 WAYS = ("plan", "module", "alike")
 STEP_S = 2.0
@@ -111,13 +111,13 @@
 
 def figures(out: Path, seed: int) -> dict[str, Any]:
     config = load(str(out / "day.ini"))
-    verdict = judge(out)
+    verdict = evaluate(out)
     steps = [s for s in plan(config, seed) if s.what in ("crash", "start") and s.party == "fleet"]
     lost = min((s.at for s in steps if s.what == "crash"), default=0.0)
     back = max((s.at for s in steps if s.what == "start"), default=0.0)
     got: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     kinds = list(config.classes.values())
-    for row in rows(out / "clients.jsonl"):
+    for row in read_json_lines(out / "clients.jsonl"):
         kind = kinds[row["class"]]
         good = row["ok"] and row["took"] <= kind.aim_s
         late = row["ok"] and not good and row["took"] <= kind.deadline_s
@@ -132,11 +132,11 @@
         low = [t + STEP_S for t, v in series.items() if t >= since - STEP_S and v < SETTLED * before]
         return max(0.0, max(low, default=since) - since)
 
-    fell = sum(row["what"] == "fall" for row in rows(out / "fleet.jsonl"))
-    broken = sorted({f.rule for f in verdict.judgement.findings})
+    fell = sum(row["what"] == "fall" for row in read_json_lines(out / "fleet.jsonl"))
+    broken = sorted({f.rule for f in verdict.report.findings})
     return {
-        "worth": verdict.service.whole,
-        "worst": verdict.service.worst_window,
+        "worth": verdict.service.score,
+        "worst": verdict.service.worst_window_score,
         "lost": settled(lost),
         "back": settled(back),
         "moved": moved(out),
--- a/benchmarks/zone_loads.py
+++ b/benchmarks/zone_loads.py
@@ -14,7 +14,7 @@
 
 import click
 
-from puffintide.audit.records import read, rows
+from puffintide.audit.records import read_json_lines, read_records
 from puffintide.config.loader import load
 from puffintide.protocol.messages import AttemptRequest
 
@@ -25,20 +25,20 @@
     """Shares of capacity by server, a value a second of the day; zones by server."""
     config = load(str(folder / "day.ini"))
     assert config.day is not None
-    began = next(row["t"] for row in rows(folder / "day.jsonl") if row["what"] == "begin")
-    starts = [row for row in rows(folder / "fleet.jsonl") if row["what"] == "start"]
+    began = next(row["t"] for row in read_json_lines(folder / "day.jsonl") if row["what"] == "begin")
+    starts = [row for row in read_json_lines(folder / "fleet.jsonl") if row["what"] == "start"]
     capacity = {row["server"]: row["capacity"] for row in starts}
     zones = {row["server"]: row["zone"] for row in starts}
     with (folder / "tap.jsonl").open("rb") as lines:
-        capture = read(lines, "tap.jsonl")
+        capture = read_records(lines, "tap.jsonl")
     work: defaultdict[int, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
     for record in capture.records:
         if (
             isinstance(record.message, AttemptRequest)
-            and record.went is not None
+            and record.delivered_at_s is not None
             and record.link.startswith("try:")
         ):
-            work[int(record.link[4:])][int(record.went - began)] += record.message.work_s
+            work[int(record.link[4:])][int(record.delivered_at_s - began)] += record.message.work_s
     length = int(config.day.length_s)
     found = {}
     for server in sorted(capacity):
--- a/puffintide/audit/__init__.py
+++ b/puffintide/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules, checked from records of what passed between the parties."""
+"""The audit: whether a deployment kept its rules, worked out from records of what passed between its parties."""
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -569,7 +569,7 @@
 @click.option("--table", default="", help="A file for the table, Markdown.")
 def day_kinds(file: str, out: str, seed: int, jobs: int, only: tuple[str, ...], table: str) -> None:
     """Plays every kind of trouble alone over a day's fleet and load; one row each."""
-    from puffintide.audit.rules import RULES
+    from puffintide.audit.report import Rule
     from puffintide.scenarios.kinds import KINDS, play_all
 
     _load(file, "day", "fleet", "load")
@@ -589,14 +589,14 @@
             lines.append([name, f"not played: {verdict}", "", "", "", ""])
             worst = max(worst, 3)
             continue
-        judgement = verdict.judgement
-        broken = sorted({f.rule for f in judgement.findings})
+        report = verdict.report
+        broken = sorted({f.rule for f in report.findings})
         word = "BROKEN: " + ", ".join(broken) if broken else "unknown" if verdict.gaps else "kept"
-        near = max(RULES, key=lambda rule: judgement.nearest[rule])
-        drain = f"{judgement.drain_s[-1]:.2f}" if judgement.drain_s else ""
-        shares = f"{verdict.service.whole:.3f}", f"{verdict.service.worst_window:.3f}"
-        lines.append([name, word, f"{near} {judgement.nearest[near]:.0%}", *shares, drain])
-        worst = 1 if broken else max(worst, verdict.code)
+        near = max(Rule, key=lambda rule: report.peak_ratios[rule])
+        drain = f"{report.drain_durations_s[-1]:.2f}" if report.drain_durations_s else ""
+        shares = f"{verdict.service.score:.3f}", f"{verdict.service.worst_window_score:.3f}"
+        lines.append([name, word, f"{near} {report.peak_ratios[near]:.0%}", *shares, drain])
+        worst = 1 if broken else max(worst, verdict.exit_code)
     text = "\n".join("| " + " | ".join(row) + " |" for row in lines)
     click.echo(text)
     if table:
@@ -605,7 +605,7 @@
 
 
 def _one_line(name: str, verdict: Any) -> str:
-    return f"{name}: {verdict if isinstance(verdict, str) else f'exit {verdict.code}'}"
+    return f"{name}: {verdict if isinstance(verdict, str) else f'exit {verdict.exit_code}'}"
 
 
 @cli.command()
@@ -616,48 +616,48 @@
 
 
 def _verdict(folder: Path) -> int:
-    from puffintide.audit.records import RecordError
-    from puffintide.audit.rules import RULES
-    from puffintide.scenarios.verdict import judge, quantile
+    from puffintide.audit.errors import RecordError
+    from puffintide.audit.report import Rule
+    from puffintide.scenarios.results import evaluate, quantile
 
     try:
-        verdict = judge(folder)
+        verdict = evaluate(folder)
     except ConfigError as error:
         raise Failure(str(error)) from None
     except (RecordError, OSError) as error:
         raise Failure(str(error)) from None
-    judgement, service = verdict.judgement, verdict.service
+    report, service = verdict.report, verdict.service
     table = Table(
         "rule", "verdict", "cases", "nearest to its limit", title=f"Rules, from the records in {folder}"
     )
-    for rule in RULES:
-        broken = sum(f.rule == rule for f in judgement.findings)
-        kept = "kept" if judgement.checked[rule] else "no case"
+    for rule in Rule:
+        broken = sum(f.rule == rule for f in report.findings)
+        kept = "kept" if report.case_counts[rule] else "no case"
         word = f"BROKEN {broken}x" if broken else "unknown" if verdict.gaps else kept
-        table.add_row(rule, word, str(judgement.checked[rule]), f"{judgement.nearest[rule]:.0%}")
+        table.add_row(rule, word, str(report.case_counts[rule]), f"{report.peak_ratios[rule]:.0%}")
     out_console.print(table)
     table = Table("class", "worth served", "p50 s", "p99 s", title="Service, as clients saw it (stand-ins)")
-    for name, share in service.by_class.items():
-        times = service.times.get(name, [])
+    for name, share in service.score_by_class.items():
+        times = service.latencies_s.get(name, [])
         table.add_row(name, f"{share:.3f}", f"{quantile(times, 0.5):.3f}", f"{quantile(times, 0.99):.3f}")
-    table.add_row("all", f"{service.whole:.3f}", "", "")
-    table.add_row("worst 10 s", f"{service.worst_window:.3f}", "", "")
+    table.add_row("all", f"{service.score:.3f}", "", "")
+    table.add_row("worst 10 s", f"{service.worst_window_score:.3f}", "", "")
     out_console.print(table)
-    drain = judgement.drain_s
+    drain = report.drain_durations_s
     out_console.print(
-        f"{service.asked} requests; not served: "
-        + (", ".join(f"{why} {n}" for why, n in sorted(service.reasons.items())) or "none")
+        f"{service.request_count} requests; not served: "
+        + (", ".join(f"{why} {n}" for why, n in sorted(service.failure_reasons.items())) or "none")
     )
     if drain:
         out_console.print(
             f"from hearing that a server drains or is gone to the last request sent there: "
             f"p50 {quantile(drain, 0.5):.2f} s, p99 {quantile(drain, 0.99):.2f} s, max {drain[-1]:.2f} s"
         )
-    for finding in judgement.findings[:20]:
+    for finding in report.findings[:20]:
         out_console.print(
-            f"{finding.rule}: at {finding.at:.3f}, {finding.who}: {finding.value:.3g} beside "
+            f"{finding.rule}: at {finding.at_s:.3f}, {finding.subject}: {finding.value:.3g} beside "
             f"{finding.limit:.3g}, records {list(finding.records)}"
         )
     for gap in verdict.gaps[:10]:
         out_console.print(f"can't tell: {gap}")
-    return verdict.code
+    return verdict.exit_code
--- a/puffintide/config/schema.py
+++ b/puffintide/config/schema.py
@@ -6,6 +6,8 @@
 
 from pydantic import AfterValidator, BaseModel, BeforeValidator, ConfigDict, Field, model_validator
 
+from puffintide.decisions.settings import RepeatSafety
+
 
 def _words(value: object) -> object:
     return [w.strip() for w in value.split(",") if w.strip()] if isinstance(value, str) else value
@@ -152,7 +154,7 @@
 
 class ClassSection(Section):
     share: Share = 1.0
-    effect: Literal["repeatable", "by_key", "once"] = "repeatable"
+    effect: RepeatSafety = RepeatSafety.IDEMPOTENT
     group: Literal["all", "zone", "cell"] = "all"
     window_s: Amount = 0.0
     aim_s: Positive
--- a/puffintide/proxy/settings.py
+++ b/puffintide/proxy/settings.py
@@ -6,7 +6,7 @@
 
 from puffintide.config.loader import Config
 from puffintide.config.schema import ProxyProcess
-from puffintide.decisions.settings import AdmissionMode, RepeatSafety
+from puffintide.decisions.settings import AdmissionMode
 from puffintide.proxy.retry_policy import DeduplicationScope, RequestClassPolicy
 
 
@@ -41,7 +41,7 @@
         slice_count=deployment.slices,
         request_classes=tuple(
             RequestClassPolicy(
-                RepeatSafety(section.effect),
+                section.effect,
                 DeduplicationScope(section.group),
                 section.window_s,
                 section.aim_s,
--- a/puffintide/scenarios/kinds.py
+++ b/puffintide/scenarios/kinds.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from puffintide.config.loader import check
+from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.runner import DayError, Player
-from puffintide.scenarios.verdict import Verdict, judge
 
 # What each kind is played with. at 8 s, so that all is at rest before; long enough to hurt.
 KINDS: dict[str, dict[str, str]] = {
@@ -72,11 +72,16 @@
 
 
 def play_all(
-    base: str, out: Path, names: list[str], seed: int, jobs: int, tell: Callable[[str, Verdict | str], None]
-) -> dict[str, Verdict | str]:
+    base: str,
+    out: Path,
+    names: list[str],
+    seed: int,
+    jobs: int,
+    tell: Callable[[str, ScenarioResult | str], None],
+) -> dict[str, ScenarioResult | str]:
     """Plays each kind; a day that could not be played gives its reason instead of a verdict."""
 
-    def one(name: str) -> tuple[str, Verdict | str]:
+    def one(name: str) -> tuple[str, ScenarioResult | str]:
         text = script(base, name)
         folder = out / name.replace(" ", "-")
         sections = configparser.ConfigParser(interpolation=None)
@@ -84,10 +89,10 @@
         config = check(
             name, {s: dict(sections.items(s)) for s in sections.sections()}, ("day", "fleet", "load")
         )
-        found: Verdict | str
+        found: ScenarioResult | str
         try:
             Player(config, text, folder, seed, port_start=names.index(name) * 400).play()
-            found = judge(folder)
+            found = evaluate(folder)
         except DayError as error:
             found = str(error)
         tell(name, found)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -28,8 +28,8 @@
 from puffintide.replication.table_restore import FENCING_TOKEN_GAP, TableRestore
 from puffintide.scenarios.faults import Step, plan
 from puffintide.scenarios.place import Place, at
+from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.tap import Bend, Link, Tap
-from puffintide.scenarios.verdict import Verdict, judge
 from puffintide.store.engine import Commit, StoreSnapshot
 from puffintide.store.errors import StoreError
 from puffintide.store.ownership import OwnershipLedger
@@ -491,7 +491,7 @@
 
     # The day --------------------------------------------------------------------------------------
 
-    def play(self, more_s: float = 6.0) -> Verdict:
+    def play(self, more_s: float = 6.0) -> ScenarioResult:
         """All of the day, and a while for what is under way to end; judged by the audit."""
         begun = START + self.day.settle_s
         self.net.until(begun)
@@ -510,7 +510,7 @@
             file.close()
         rows = "".join(json.dumps(row) + "\n" for row in self.notes)
         (self.out / "day.jsonl").write_text(rows, encoding="utf-8")
-        return judge(self.out)
+        return evaluate(self.out)
 
     def astray(self) -> list[str]:
         """Slices whose table or level differs between the module in charge, the store and a proxy."""
--- a/tests/records.py
+++ b/tests/records.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from puffintide.audit.audit import audit
+from puffintide.audit.ground_truth import GroundTruth, ServerRun
 from puffintide.audit.records import Record
-from puffintide.audit.rules import Audit, Judgement, Life, World
+from puffintide.audit.report import AuditReport, Rule
 from puffintide.config.loader import Config, check
 from puffintide.protocol import messages as m
 
@@ -34,7 +36,7 @@
     def __init__(self, begin: float = 100.0, **changes: dict[str, str]) -> None:
         self.config = config(**changes)
         self.rows: list[Record] = []
-        self.world = World(lives=[Life(s, 0.0, 1e9, True, 2.0, 0.3, 8.0) for s in range(4)])
+        self.truth = GroundTruth(server_runs=[ServerRun(s, 0.0, 1e9, True, 2.0, 0.3, 8.0) for s in range(4)])
         self.conns: dict[tuple[str, str, int], int] = {}
         self.requests = 0
         self.batch = 0
@@ -136,9 +138,9 @@
             )
         return request
 
-    def judge(self) -> Judgement:
-        return Audit(self.config, self.rows, self.world).run()
+    def evaluate(self) -> AuditReport:
+        return audit(self.config, self.rows, self.truth)
 
 
-def broken(judgement: Judgement) -> set[str]:
-    return {f.rule for f in judgement.findings}
+def broken(report: AuditReport) -> set[Rule]:
+    return {f.rule for f in report.findings}
--- a/tests/store_histories.py
+++ b/tests/store_histories.py
@@ -22,7 +22,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from puffintide.audit.history import GIVE, READ, WRITE, Operation, linearizable
+from puffintide.audit.linearizability import Operation, OperationType, is_linearizable
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 from puffintide.store.engine import Commit, StoreSnapshot
@@ -209,7 +209,7 @@
 
     def finish(self) -> dict[int, list[Operation]]:
         for (slice_id, token), observed_s in self.granted_at_s.items():
-            self.history[slice_id].append(Operation(GIVE, token, 0, 0.0, observed_s))
+            self.history[slice_id].append(Operation(OperationType.GIVE, token, 0, 0.0, observed_s))
         return dict(self.history)
 
 
@@ -269,7 +269,7 @@
 
     def _record(self, writes: list[PendingWrite], answered_s: float) -> None:
         for w in writes:
-            operation = Operation(WRITE, w.token, w.value, w.sent_s, answered_s)
+            operation = Operation(OperationType.WRITE, w.token, w.value, w.sent_s, answered_s)
             self.world.history[w.slice_id].append(operation)
 
     def write(self) -> None:
@@ -337,7 +337,7 @@
         self.world.observe_grant(ownership)
         value = round(ownership.entries[0].weight) if ownership.entries else 0
         answered_s = self.world.clock.seconds()
-        operation = Operation(READ, ownership.fencing_token, value, self.sent_s, answered_s)
+        operation = Operation(OperationType.READ, ownership.fencing_token, value, self.sent_s, answered_s)
         self.world.history[ownership.slice_id].append(operation)
 
     def forget_connection(self) -> None:
@@ -427,6 +427,6 @@
     for seed in range(first, end):
         history = play(seed, fault=fault)
         operation_count += sum(map(len, history.values()))
-        if not all(linearizable(operations) for operations in history.values()):
+        if not all(is_linearizable(operations) for operations in history.values()):
             failing.append(seed)
     return failing, operation_count
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -7,19 +7,20 @@
 
 import pytest
 
-from puffintide.audit.records import read
-from puffintide.audit.rules import Life
+from puffintide.audit.ground_truth import ServerRun
+from puffintide.audit.records import read_records
+from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 from tests.records import KEYED, ONCE, READ, Tape, broken
 
 Bend = Callable[[], Tape]
 NOBODY, TWICE, DRAIN, COLD, QUEUE, OWNER = (
-    "nobody left",
-    "no effect twice",
-    "drains kept",
-    "cold not pushed over",
-    "short queue",
-    "one owner",
+    Rule.AVAILABLE_SERVERS,
+    Rule.NO_DUPLICATE_EXECUTION,
+    Rule.GRACEFUL_DRAINING,
+    Rule.SLOW_START,
+    Rule.CHANNEL_CAPACITY,
+    Rule.SINGLE_OWNER,
 )
 
 
@@ -41,21 +42,21 @@
     for p in range(3):
         t.order(121, 1, p, (1, 1, 0.0))  # bare from here, filled within the limit
         t.order(123.5, 1, p, (1, 3, 1.0))
-    t.world.lives[2] = Life(2, 130.0, 1e9, False, 2.0, 0.5, 8.0)
+    t.truth.server_runs[2] = ServerRun(2, 130.0, 1e9, False, 2.0, 0.5, 8.0)
     for a in (0, 1):
         t.news(130.5, a, t.entry(2, life=2, age=0.5))
     for k in range(12):
         t.request(131 + k * 0.3, 2, number=2, work=0.7)
     t.news(135, 0, t.entry(0))
-    t.rows.sort(key=lambda r: (r.came, r.number))
+    t.rows.sort(key=lambda r: (r.received_at_s, r.number))
     return t
 
 
 def test_a_kept_day_is_not_flagged() -> None:
-    judgement = eventful().judge()
-    assert judgement.findings == []
-    assert all(judgement.checked[rule] for rule in (NOBODY, TWICE, DRAIN, COLD, QUEUE))
-    assert 0.9 < judgement.nearest[DRAIN] <= 1 and 0.5 < judgement.nearest[COLD] <= 1
+    report = eventful().evaluate()
+    assert report.findings == []
+    assert all(report.case_counts[rule] for rule in (NOBODY, TWICE, DRAIN, COLD, QUEUE))
+    assert 0.9 < report.peak_ratios[DRAIN] <= 1 and 0.5 < report.peak_ratios[COLD] <= 1
 
 
 # Rule 1 ---------------------------------------------------------------------------------------------------
@@ -205,7 +206,7 @@
 ) -> Tape:
     """Server 1 starts cold at 150 and is told of at 150.2; then work comes."""
     t = eventful()
-    t.world.lives[server] = Life(server, 150.0, 1e9, False, 2.0, 0.5, 8.0)
+    t.truth.server_runs[server] = ServerRun(server, 150.0, 1e9, False, 2.0, 0.5, 8.0)
     for a in (0, 1):
         t.news(150.2, a, t.entry(server, life=2, age=0.2))
     if ordered:
@@ -296,10 +297,10 @@
 
 
 @pytest.mark.parametrize("rule, form", FORMS)
-def test_a_day_with_one_rule_broken_is_flagged_for_that_rule_alone(rule: str, form: Bend) -> None:
-    judgement = form().judge()
-    assert broken(judgement) == {rule}
-    assert all(f.records for f in judgement.findings) and judgement.nearest[rule] >= 1
+def test_a_day_with_one_rule_broken_is_flagged_for_that_rule_alone(rule: Rule, form: Bend) -> None:
+    report = form().evaluate()
+    assert broken(report) == {rule}
+    assert all(f.records for f in report.findings) and report.peak_ratios[rule] >= 1
 
 
 ALMOST: list[Bend] = [
@@ -320,27 +321,27 @@
 
 @pytest.mark.parametrize("form", ALMOST)
 def test_a_day_just_within_its_limits_is_not_flagged(form: Bend) -> None:
-    assert broken(form().judge()) == set()
+    assert broken(form().evaluate()) == set()
 
 
 def test_nobody_is_blamed_for_bare_slices_while_no_warm_server_is_listed() -> None:
     t = bare()
     t.news(139, 0, *[t.entry(s, state=0) for s in range(4)])
-    assert NOBODY not in broken(t.judge())
+    assert NOBODY not in broken(t.evaluate())
 
 
 def test_what_a_killed_assigner_held_is_no_longer_its_duty() -> None:
     t = late(after=5.0)
-    t.world.killed[0] = [140.5]
-    assert broken(t.judge()) == set()
+    t.truth.kills[0] = [140.5]
+    assert broken(t.evaluate()) == set()
 
 
 def test_a_stopped_assigner_hears_when_it_wakes() -> None:
     t = late(after=5.0)
-    t.world.stopped[0] = [(139.0, 143.5)]
-    assert broken(t.judge()) == set()
-    t.world.stopped[0] = [(139.0, 142.5)]
-    assert broken(t.judge()) == {DRAIN}
+    t.truth.pauses[0] = [(139.0, 143.5)]
+    assert broken(t.evaluate()) == set()
+    t.truth.pauses[0] = [(139.0, 142.5)]
+    assert broken(t.evaluate()) == {DRAIN}
 
 
 def owned(*writes: tuple[float, int, float], epochs: tuple[tuple[float, int], ...] = ()) -> Tape:
@@ -350,7 +351,7 @@
         t.add(at, "store", "assigner", 0, m.WriteRequest(int(at), [m.WeightEntry(0, server, 1.0, 1)]))
     for at, server, took in writes:
         t.request(at, server, kind=KEYED, answered=took)
-    t.rows.sort(key=lambda r: (r.came, r.number))
+    t.rows.sort(key=lambda r: (r.received_at_s, r.number))
     return t
 
 
@@ -368,7 +369,7 @@
     ],
 )
 def test_single_ownership(tape: Bend, kept: bool) -> None:
-    assert (OWNER not in broken(tape().judge())) == kept
+    assert (OWNER not in broken(tape().evaluate())) == kept
 
 
 def test_a_server_that_is_gone_has_no_write_in_hand() -> None:
@@ -379,10 +380,10 @@
         t.request(113, 1, kind=KEYED)
         return t
 
-    assert broken(tape().judge()) == {OWNER}
+    assert broken(tape().evaluate()) == {OWNER}
     gone = tape()
-    gone.world.lives[0] = Life(0, 0.0, 111.0, True, 2.0, 0.3, 8.0)
-    assert broken(gone.judge()) == set()
+    gone.truth.server_runs[0] = ServerRun(0, 0.0, 111.0, True, 2.0, 0.3, 8.0)
+    assert broken(gone.evaluate()) == set()
 
 
 def lines(count: int) -> list[bytes]:
@@ -394,9 +395,9 @@
 
 
 def test_a_whole_file_has_no_gap() -> None:
-    capture = read(lines(5), "tap.jsonl")
+    capture = read_records(lines(5), "tap.jsonl")
     assert len(capture.records) == 5 and capture.gaps == []
-    assert capture.records[2].message == m.CancelAttempt(3) and capture.records[2].went is None
+    assert capture.records[2].message == m.CancelAttempt(3) and capture.records[2].delivered_at_s is None
 
 
 @pytest.mark.parametrize(
@@ -411,7 +412,7 @@
     ],
 )
 def test_gaps_are_told(bend: Callable[[list[bytes]], list[bytes]], words: str) -> None:
-    assert any(words in gap for gap in read(bend(lines(5)), "tap.jsonl").gaps)
+    assert any(words in gap for gap in read_records(bend(lines(5)), "tap.jsonl").gaps)
 
 
 def test_withdrawals_end_for_a_proxy_that_joins_anew() -> None:
@@ -423,7 +424,7 @@
         if anew:
             t.add(111, "order:0", "proxy", 0, m.Welcome(m.PROTOCOL_VERSION, "assigner", 0), back=True)
         t.request(140, 1, proxy=1, number=1)
-        bare[anew] = {f.who for f in t.judge().findings if f.rule == "nobody left"}
+        bare[anew] = {f.subject for f in t.evaluate().findings if f.rule == NOBODY}
     assert {"proxy 0, slice 0, assigner 0", "proxy 0, slice 1, assigner 1"} <= bare[False]
     assert "proxy 0, slice 1, assigner 1" in bare[True] and not any("assigner 0" in who for who in bare[True])
 
@@ -434,5 +435,5 @@
         t = Tape()
         t.news(110, 0, *[t.entry(s, state=0) for s in entries])
         t.request(120, 0, number=0)
-        found[len(entries)] = broken(t.judge())
-    assert found == {1: {"drains kept"}, 2: set()}
+        found[len(entries)] = broken(t.evaluate())
+    assert found == {1: {DRAIN}, 2: set()}
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -46,7 +46,7 @@
     changes = {"day": {"length_s": 8}, "deployment": SECTIONS["deployment"] | levels}
     deployment = Deployment(tmp_path, steps=[(4, put)], **changes)
     verdict = deployment.play()
-    assert not verdict.judgement.findings and verdict.service.whole > 0.8
+    assert not verdict.report.findings and verdict.service.score > 0.8
     assert not deployment.astray()
     for assigner in deployment.assigners.values():  # its rounds went on to the end
         assert assigner.runtime.director.director.fleet.now_s > deployment.net.seconds() - 1  # type: ignore[attr-defined]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 from puffintide.replication import conflict_resolution
 from puffintide.scenarios.tap import Bend, Conn, Link
@@ -42,8 +43,8 @@
 
 def kept(d: Deployment) -> None:
     verdict = d.play()
-    assert verdict.judgement.findings == [] and not verdict.gaps
-    assert verdict.judgement.checked["copies agree"] >= 16
+    assert verdict.report.findings == [] and not verdict.gaps
+    assert verdict.report.case_counts[Rule.REPLICA_AGREEMENT] >= 16
     assert differing(d) == []
     refused = [row for name, log in d.log.items() for row in log.rows if row[0] == "replica_row_rejected"]
     assert not refused, refused[:3]
@@ -171,7 +172,7 @@
 
     d = Deployment(tmp_path, steps=[(5.0, lie)], **PEERS)
     verdict = d.play()
-    assert verdict.judgement.findings == [] and differing(d) == []
+    assert verdict.report.findings == [] and differing(d) == []
     refused = [what for event, what in d.log["assigner:0"].rows if event == "replica_row_rejected"]
     assert [(what["origin_id"], what["sender_id"]) for what in refused] == [(1, 1)]
     assert any(event == "incarnation_conflict" for event, _ in d.log["assigner:1"].rows)
@@ -205,7 +206,7 @@
     if not copies:
         assert seen[8.9]  # nothing told it: its slices lie on a server that is about to stop
     else:
-        assert verdict.judgement.findings == [] and not seen[7.5] and not seen[8.9], seen
+        assert verdict.report.findings == [] and not seen[7.5] and not seen[8.9], seen
         assert not d.assigners[1].runtime.director.director.fleet.is_ready(1)  # type: ignore[attr-defined]
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,10 +11,11 @@
 
 import pytest
 
+from puffintide.audit.report import Rule
 from tests.deployment import SECTIONS, Deployment
 
-ALWAYS = ("nobody left", "no effect twice", "short queue")
-DRAIN, COLD, OWNER = "drains kept", "cold not pushed over", "one owner"
+ALWAYS = (Rule.AVAILABLE_SERVERS, Rule.NO_DUPLICATE_EXECUTION, Rule.CHANNEL_CAPACITY)
+DRAIN, COLD, OWNER = Rule.GRACEFUL_DRAINING, Rule.SLOW_START, Rule.SINGLE_OWNER
 ODD = [1, 3, 5, 7]  # the servers of zone 1
 
 
@@ -25,7 +26,7 @@
     faults: dict[str, dict[str, Any]] = field(default_factory=dict)
     steps: list[tuple[float, Any]] = field(default_factory=list)
     changes: dict[str, dict[str, Any]] = field(default_factory=dict)
-    needs: tuple[str, ...] = ()
+    needs: tuple[Rule, ...] = ()
     least: float = 0.8
 
 
@@ -33,11 +34,11 @@
     return {"kind": kind, "at_s": at, "for_s": last} | more
 
 
-def one(kind: str, *needs: str, least: float = 0.8, **more: Any) -> Case:
+def one(kind: str, *needs: Rule, least: float = 0.8, **more: Any) -> Case:
     return Case({"f": fault(kind, **more)}, needs=needs, least=least)
 
 
-def pair(a: dict[str, Any], b: dict[str, Any], *needs: str, least: float = 0.7, **changes: Any) -> Case:
+def pair(a: dict[str, Any], b: dict[str, Any], *needs: Rule, least: float = 0.7, **changes: Any) -> Case:
     return Case({"a": a, "b": b}, changes=changes, needs=needs, least=least)
 
 
@@ -207,10 +208,10 @@
     deployment = Deployment(tmp_path, case.faults, case.steps, **case.changes)
     verdict = deployment.play()
     assert not verdict.gaps
-    assert not verdict.judgement.findings
+    assert not verdict.report.findings
     for rule in (*ALWAYS, *case.needs):
-        assert verdict.judgement.checked[rule] > 0, rule
+        assert verdict.report.case_counts[rule] > 0, rule
     assert not deployment.astray()
     assert deployment.clients.done()
     assert not any(proxy.engine.requests for proxy in deployment.proxies.values())
-    assert verdict.service.whole >= case.least
+    assert verdict.service.score >= case.least
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -6,39 +6,96 @@
 
 import pytest
 
-from puffintide.audit.history import GIVE, READ, WRITE, Operation, linearizable
+from puffintide.audit.linearizability import Operation, OperationType, is_linearizable
 from puffintide.protocol import messages as m
 from puffintide.store.ownership import OwnershipLedger
 from tests.store_histories import NEVER, World, failing_seeds
 
 
-def op(kind: str, token: int, value: int, sent_s: float, answered_s: float) -> Operation:
+def op(kind: OperationType, token: int, value: int, sent_s: float, answered_s: float) -> Operation:
     return Operation(kind, token, value, sent_s, answered_s)
 
 
 @pytest.mark.parametrize(
     ("history", "expected"),
     [
-        ([op(GIVE, 1, 0, 0, 1), op(WRITE, 1, 5, 2, 3), op(READ, 1, 5, 4, 5)], True),
-        ([op(GIVE, 1, 0, 0, 1), op(WRITE, 1, 5, 2, 3), op(READ, 1, 0, 4, 5)], False),  # lost
         (
-            [op(GIVE, 1, 0, 0, 1), op(WRITE, 1, 5, 2, NEVER), op(READ, 1, 0, 4, 5), op(READ, 1, 5, 6, 7)],
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.WRITE, 1, 5, 2, 3),
+                op(OperationType.READ, 1, 5, 4, 5),
+            ],
             True,
         ),
         (
-            [op(GIVE, 1, 0, 0, 1), op(WRITE, 1, 5, 2, NEVER), op(READ, 1, 5, 4, 5), op(READ, 1, 0, 6, 7)],
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.WRITE, 1, 5, 2, 3),
+                op(OperationType.READ, 1, 0, 4, 5),
+            ],
+            False,
+        ),  # lost
+        (
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.WRITE, 1, 5, 2, NEVER),
+                op(OperationType.READ, 1, 0, 4, 5),
+                op(OperationType.READ, 1, 5, 6, 7),
+            ],
+            True,
+        ),
+        (
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.WRITE, 1, 5, 2, NEVER),
+                op(OperationType.READ, 1, 5, 4, 5),
+                op(OperationType.READ, 1, 0, 6, 7),
+            ],
             False,
         ),
         # A former owner's write after the next owner has been notified.
-        ([op(GIVE, 1, 0, 0, 1), op(GIVE, 2, 0, 2, 3), op(WRITE, 1, 5, 4, 5)], False),
-        ([op(GIVE, 1, 0, 0, 1), op(GIVE, 2, 0, 2, 6), op(WRITE, 1, 5, 4, 5)], True),
-        ([op(GIVE, 2, 0, 0, 1), op(GIVE, 1, 0, 2, 3)], False),  # a token that comes again
-        ([op(GIVE, 1, 0, 0, 1), op(WRITE, 1, 5, 2, 9), op(WRITE, 1, 6, 2, 9), op(READ, 1, 5, 10, 11)], True),
-        ([op(GIVE, 1, 0, 0, 1), op(WRITE, 1, 5, 2, 3), op(WRITE, 1, 6, 4, 5), op(READ, 1, 5, 6, 7)], False),
+        (
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GIVE, 2, 0, 2, 3),
+                op(OperationType.WRITE, 1, 5, 4, 5),
+            ],
+            False,
+        ),
+        (
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GIVE, 2, 0, 2, 6),
+                op(OperationType.WRITE, 1, 5, 4, 5),
+            ],
+            True,
+        ),
+        (
+            [op(OperationType.GIVE, 2, 0, 0, 1), op(OperationType.GIVE, 1, 0, 2, 3)],
+            False,
+        ),  # a token that comes again
+        (
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.WRITE, 1, 5, 2, 9),
+                op(OperationType.WRITE, 1, 6, 2, 9),
+                op(OperationType.READ, 1, 5, 10, 11),
+            ],
+            True,
+        ),
+        (
+            [
+                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.WRITE, 1, 5, 2, 3),
+                op(OperationType.WRITE, 1, 6, 4, 5),
+                op(OperationType.READ, 1, 5, 6, 7),
+            ],
+            False,
+        ),
     ],
 )
 def test_checker_recognizes_linearizable_histories(history: list[Operation], expected: bool) -> None:
-    assert linearizable(history) is expected
+    assert is_linearizable(history) is expected
 
 
 def test_histories_of_the_store_are_linearizable() -> None:
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -11,7 +11,8 @@
 import pytest
 
 from puffintide.assigner.runtime import Runtime
-from puffintide.audit.records import read
+from puffintide.audit.records import read_records
+from puffintide.audit.report import Rule
 from puffintide.decisions import director, observations
 from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.director import Director
@@ -81,17 +82,17 @@
     patch.setattr(Director, "_run_round", often)
 
 
-PLANTED: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], dict[str, Any]]] = {
-    "nobody left": (drop_lines, {"f": fault("crash", 2, 9, servers="1, 2")}),
-    "no effect twice": (repeat_all, {"f": fault("hang", 2, 6, servers="1, 2")}),
-    "drains kept": (deaf, {"f": fault("deploy", 2, 1, servers="1, 2", size=2, extra=7)}),
-    "cold not pushed over": (all_warm, {"f": fault("mass_restart", 2, 1, servers=2, extra=1)}),
-    "short queue": (chatter, {}),
+PLANTED: dict[Rule, tuple[Callable[[pytest.MonkeyPatch], None], dict[str, Any]]] = {
+    Rule.AVAILABLE_SERVERS: (drop_lines, {"f": fault("crash", 2, 9, servers="1, 2")}),
+    Rule.NO_DUPLICATE_EXECUTION: (repeat_all, {"f": fault("hang", 2, 6, servers="1, 2")}),
+    Rule.GRACEFUL_DRAINING: (deaf, {"f": fault("deploy", 2, 1, servers="1, 2", size=2, extra=7)}),
+    Rule.SLOW_START: (all_warm, {"f": fault("mass_restart", 2, 1, servers=2, extra=1)}),
+    Rule.CHANNEL_CAPACITY: (chatter, {}),
 }
 
 
 @pytest.mark.parametrize("rule", PLANTED)
-def test_a_planted_breach_is_found(rule: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_planted_breach_is_found(rule: Rule, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     plant, faults = PLANTED[rule]
     plant(monkeypatch)
     changes: dict[str, Any] = {
@@ -99,10 +100,10 @@
         "load": {"requests_per_s": 60},
         "rules": {"cold_from": 0.1},
     }
-    if rule == "cold not pushed over":
+    if rule == Rule.SLOW_START:
         changes |= {"fleet": {"cold_from": 0.1, "warm_s": 8, "add_s": 0.05}, "load": {"requests_per_s": 120}}
     verdict = Deployment(tmp_path, faults, **changes).play(2.0)
-    assert rule in {f.rule for f in verdict.judgement.findings}
+    assert rule in {f.rule for f in verdict.report.findings}
 
 
 # Second attempts --------------------------------------------------------------------------------------------
@@ -112,9 +113,9 @@
 
 def sends(out: Path) -> Iterator[tuple[tuple[int, int], m.AttemptRequest, int]]:
     with (out / "tap.jsonl").open("rb") as lines:
-        records = read(lines, "tap").records
+        records = read_records(lines, "tap").records
     answers = {
-        (r.conn, r.message.attempt_id): r.message.status
+        (r.connection_id, r.message.attempt_id): r.message.status
         for r in records
         if isinstance(r.message, m.AttemptResponse)
     }
@@ -123,7 +124,7 @@
             yield (
                 (r.message.proxy_id, r.message.request_id),
                 r.message,
-                answers.get((r.conn, r.message.attempt_id), -1),
+                answers.get((r.connection_id, r.message.attempt_id), -1),
             )
 
 
@@ -148,7 +149,7 @@
         load={"retries": 1, "requests_per_s": 50},
     )
     verdict = deployment.play()
-    assert not verdict.judgement.findings
+    assert not verdict.report.findings
     tries: Counter[tuple[int, int]] = Counter()
     ran: dict[tuple[int, int], int] = defaultdict(int)
     for who, made, status in sends(tmp_path):
@@ -156,7 +157,7 @@
         ran[who] += made.class_index == 2 and status != m.AttemptStatus.SATURATED  # once: it may have run
     assert tries and max(tries.values()) <= 1 + FURTHER[mode]
     assert max(ran.values()) <= 1
-    asked = verdict.service.asked
+    asked = verdict.service.request_count
     assert sum(tries.values()) <= 2 * (1 + FURTHER[mode]) * asked
     assert deployment.clients.next_ask <= 2 * asked
     connects = sum(
