--- a/puffintide/__main__.py
+++ b/puffintide/__main__.py
@@ -1,4 +1,4 @@
-"""python -m puffintide"""
+"""Runs the command line: python -m puffintide."""
 
 from puffintide.cli.main import cli
 
--- /dev/null
+++ b/puffintide/cli/emulator_processes.py
@@ -0,0 +1,155 @@
+"""Starts the emulators of a scenario. The runner controls them by JSON lines on standard input."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+from twisted.internet.error import CannotListenError
+from twisted.internet.protocol import connectionDone
+from twisted.internet.stdio import StandardIO
+from twisted.protocols.basic import LineOnlyReceiver
+from twisted.python.failure import Failure
+
+from puffintide.cli.process_runtime import exit_with_error, listen, run_reactor
+from puffintide.config.loader import Config, load
+from puffintide.logs import setup
+from puffintide.protocol.clock import monotonic_reactor
+from puffintide.scenarios.place import Place
+
+MAX_CLIENTS_PER_PROXY = 10
+COMPLETION_CHECK_INTERVAL_S = 0.2
+LAST_RESPONSES_S = 0.5  # between the last request's end and that of the process
+
+Command = Callable[[str, dict[str, Any]], object]  # operation and arguments
+
+
+class _ControlReceiver(LineOnlyReceiver):
+    """Commands of the runner; the end of the input ends the process."""
+
+    delimiter = b"\n"
+
+    def __init__(self, reactor: Any, execute: Command) -> None:
+        self.reactor = reactor
+        self.execute = execute
+
+    def lineReceived(self, line: bytes) -> None:
+        """Execute one command."""
+        row = json.loads(line)
+        self.execute(row["what"], row["args"])
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002
+        """The runner has ended."""
+        if self.reactor.running:
+            self.reactor.stop()
+
+
+def _run_controlled(reactor: Any, execute: Command) -> None:
+    StandardIO(_ControlReceiver(reactor, execute), reactor=reactor)  # type: ignore[no-untyped-call]
+    run_reactor(reactor)
+
+
+@contextlib.contextmanager
+def _ports_required() -> Iterator[None]:
+    """A port that is in use ends the process with one line."""
+    try:
+        yield
+    except CannotListenError as error:
+        exit_with_error(f"can't listen on {error.interface}:{error.port}: {error.socketError}")
+
+
+def _read_scenario(folder: Path) -> tuple[Config, Place]:
+    config = load(str(folder / "day.ini"), ("day", "fleet", "load"))
+    return config, Place.read(folder / "place.json")
+
+
+def run_fleet(folder: Path) -> None:
+    """Run the emulated servers and the endpoint list."""
+    from puffintide.emulators.fleet import FleetService
+
+    reactor = monotonic_reactor()
+    config, place = _read_scenario(folder)
+    addresses = [place.tapped(f"try:{server_id}") for server_id in range(len(place.servers))]
+    with (folder / "fleet.jsonl").open("w", encoding="utf-8") as record:
+        service = FleetService(reactor, config, place.servers, addresses, record)
+        with _ports_required():
+            service.begin(place.news)
+        _run_controlled(reactor, service.control)
+
+
+def run_tap(folder: Path) -> None:
+    """Run the recording proxy."""
+    from puffintide.scenarios.tap import Bend, Tap
+
+    reactor = monotonic_reactor()
+    config, place = _read_scenario(folder)
+    assert config.day is not None
+
+    def execute(operation: str, arguments: dict[str, Any]) -> None:
+        name = str(arguments.pop("name"))
+        if operation == "straighten":
+            tap.bend(name, None)
+            return
+        arguments["kinds"] = tuple(arguments["kinds"])
+        arguments["words"] = tuple(word.encode() for word in arguments.get("words", []))
+        for key in ("proxies", "parties", "facing", "senders"):
+            arguments[key] = frozenset(arguments.get(key, []))
+        tap.bend(name, Bend(**arguments))
+
+    with (folder / "tap.jsonl").open("wb", buffering=1 << 16) as sink:
+        tap = Tap(reactor, place.links, config.net.model_dump(), config.day.seed, sink)
+        with _ports_required():
+            tap.listen()
+        _run_controlled(reactor, execute)
+        tap.close()
+
+
+def run_proxies(folder: Path, first: int, last: int) -> None:
+    """Run proxies, numbered from first up to last, in one process."""
+    from puffintide.config.schema import ProxyProcess
+    from puffintide.proxy.service import ProxyService
+
+    reactor = monotonic_reactor()
+    config, place = _read_scenario(folder)
+    log = setup(f"proxies-{first}")
+    zone_count = len(config.deployment.zones)
+    assigners = [place.tapped(f"order:{assigner_id}") for assigner_id in range(len(place.assigners))]
+    for proxy_id in range(first, last):
+        process = ProxyProcess(
+            id=proxy_id,
+            zone=proxy_id % zone_count,
+            listen=f"127.0.0.1:{place.fronts[proxy_id]}",
+            assigners=assigners,
+            store=place.tapped("store"),
+            clients_most=MAX_CLIENTS_PER_PROXY,
+        )
+        service = ProxyService(reactor, config, process, log)
+        listen(reactor, process.listen, service.factory())
+        service.start()
+    _run_controlled(reactor, lambda _operation, _arguments: None)
+
+
+def run_clients(folder: Path) -> None:
+    """Run the clients, until their last request has ended."""
+    from puffintide.emulators.clients import Clients
+
+    reactor = monotonic_reactor()
+    config, place = _read_scenario(folder)
+
+    def stop_when_done() -> None:
+        if clients.done():
+            reactor.callLater(LAST_RESPONSES_S, reactor.stop)
+        else:
+            reactor.callLater(COMPLETION_CHECK_INTERVAL_S, stop_when_done)
+
+    def execute(_operation: str, _arguments: dict[str, Any]) -> None:
+        clients.start()
+        stop_when_done()
+
+    with (folder / "clients.jsonl").open("w", encoding="utf-8") as record:
+        proxies = [f"127.0.0.1:{port}" for port in place.fronts]
+        clients = Clients(reactor, config, proxies, record)
+        _run_controlled(reactor, execute)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -136,7 +136,7 @@
     )  # a bad one: the last good stays, and it is told
     third = dial(port, keys, party("proxy", 3, "t"))
     assert shown(third) == shown(second)
-    assert "certificate_unread" in (tmp_path / "store.log").read_text()
+    assert "certificate_load_failed" in (tmp_path / "store.log").read_text()
     first.sendall(encode(m.ReadRequest()) + b"\n")
     end = time.monotonic() + 5
     data = b""
