--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -175,7 +175,7 @@
         else maybeDeferred,
         max_streams=me.streams_most,
         backup_path=(lambda name: _name(me.backups, name)) if me.file and me.backups else None,
-        refill=TableRestore(d.slices, d.assigners, me.refill_wait_s) if me.refill else None,
+        table_restore=TableRestore(d.slices, d.assigners, me.refill_wait_s) if me.refill else None,
     )
     _listen(reactor, me.listen, service.factory(), _tls(config, log))
     log.info(
--- a/puffintide/store/restoration.py
+++ b/puffintide/store/restoration.py
@@ -24,7 +24,7 @@
         ledger: Takes the tables.
         sessions: The peers.
         commits: Makes the tables durable.
-        refill: Gathers the replicas; None if nothing is to be restored.
+        table_restore: Gathers the replicas; None if nothing is to be restored.
         log: Of the store.
     """
 
@@ -34,65 +34,65 @@
         ledger: OwnershipLedger,
         sessions: Sessions,
         commits: CommitQueue,
-        refill: TableRestore | None,
+        table_restore: TableRestore | None,
         log: Any,
     ) -> None:
         self.clock = clock
         self.ledger = ledger
         self.sessions = sessions
         self.commits = commits
-        self.refill = refill
+        self.table_restore = table_restore
         self.log = log
 
     @property
     def pending(self) -> bool:
         """Whether the store still waits for replicas."""
-        return self.refill is not None
+        return self.table_restore is not None
 
     def handle_delta(self, stream: Stream, delta: m.ReplicationDelta) -> None:
         """Takes a part of an assigner's replica."""
-        if self.refill is None:
+        if self.table_restore is None:
             return
-        reasons = self.refill.on_delta(self.clock.seconds(), stream.peer.id, delta)
+        reasons = self.table_restore.on_delta(self.clock.seconds(), stream.peer.id, delta)
         for reason in reasons[:MAX_LOGGED_REASONS]:
             self.log.warning("replica_row_rejected", assigner_id=stream.peer.id, reason=reason)
 
     def handle_command(self, stream: Stream, command: m.RestoreFromReplicas) -> None:
         """Goes on with the replicas received so far, on an operator's command, or rejects the operator."""
-        if self.refill is None:
+        if self.table_restore is None:
             stream.reject("it is not empty, or may not be refilled")
             return
-        if not self.refill.complete_assigners:
+        if not self.table_restore.complete_assigners:
             stream.reject("no assigner has answered yet")
             return
         self.commits.add_operator(stream)
-        self._complete(self.refill, command.operator[:MAX_OPERATOR_CHARS])
+        self._complete(self.table_restore, command.operator[:MAX_OPERATOR_CHARS])
 
     def check(self) -> None:
         """Goes on once enough replicas are complete."""
-        if self.refill is not None and self.refill.is_ready(self.clock.seconds()):
-            self._complete(self.refill, "itself")
+        if self.table_restore is not None and self.table_restore.is_ready(self.clock.seconds()):
+            self._complete(self.table_restore, "itself")
 
     def assigner_disconnected(self, assigner_id: int) -> None:
         """An assigner's stream is lost, with what it had not sent in full."""
-        if self.refill is not None:
-            self.refill.on_assigner_disconnected(assigner_id)
+        if self.table_restore is not None:
+            self.table_restore.on_assigner_disconnected(assigner_id)
 
-    def _complete(self, refill: TableRestore, operator: str) -> None:
+    def _complete(self, table_restore: TableRestore, operator: str) -> None:
         """Takes the tables over, and grants slices to the connected assigners.
 
         Fencing tokens go on far above any that was seen, so that nothing granted before counts any more. Proxies
         keep the weights that they have until they are notified.
         """
         now_s = self.clock.seconds()
-        self.refill = None
-        tables = refill.tables()
+        self.table_restore = None
+        tables = table_restore.tables()
         self.ledger.load_tables(tables)
-        self.ledger.highest_token = refill.first_fencing_token(self.ledger.highest_token)
+        self.ledger.highest_token = table_restore.first_fencing_token(self.ledger.highest_token)
         self.log.warning(
             "restored_from_replicas",
             tables=len(tables),
-            assigner_ids=sorted(refill.complete_assigners),
+            assigner_ids=sorted(table_restore.complete_assigners),
             highest_token=self.ledger.highest_token,
             operator=operator,
         )
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -47,7 +47,7 @@
         run: Carries out an engine's call, in a thread of its own where that may take long.
         max_streams: Beyond which proxies are rejected.
         backup_path: Returns the path for a backup's name, or raises ValueError; None where there are no backups.
-        refill: Gathers replicas if the store is empty; None where it is not to be restored from them.
+        table_restore: Gathers replicas if the store is empty; None where it is not to be restored from them.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         run: EngineRunner = maybeDeferred,
         max_streams: int = MAX_STREAMS,
         backup_path: Callable[[str], str] | None = None,
-        refill: TableRestore | None = None,
+        table_restore: TableRestore | None = None,
     ) -> None:
         self.reactor = reactor
         self.ledger = ledger
@@ -85,7 +85,7 @@
         self.migrations = MigrationHandler(reactor, ledger, self.commits, log)
         self.backups = BackupHandler(engine, run, backup_path, log)
         self.restoration = Restoration(
-            reactor, ledger, self.sessions, self.commits, refill if is_empty else None, log
+            reactor, ledger, self.sessions, self.commits, table_restore if is_empty else None, log
         )
 
     def factory(self) -> StreamServerFactory:
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -425,7 +425,9 @@
             book = OwnershipLedger(d.slices, d.assigners, charge.takeover_s, d.single_writer, opened_at_s=now)
             book.restore(image)
             refill = TableRestore(d.slices, d.assigners, 5.0) if self.config.peers is not None else None
-            self.store = StoreService(party, book, d.name, log, self.engine, image, zones, refill=refill)
+            self.store = StoreService(
+                party, book, d.name, log, self.engine, image, zones, table_restore=refill
+            )
             party.listenTCP(self.place.store, self.store.factory())
             self.store.start()
         elif kind == "assigner":
