--- a/puffintide/protocol/messages/__init__.py
+++ b/puffintide/protocol/messages/__init__.py
@@ -14,7 +14,7 @@
     WatchEvent,
     WatchRequest,
 )
-from puffintide.protocol.messages.handshake import ConnectionRejected, Hello, Ping, Pong, Welcome
+from puffintide.protocol.messages.handshake import ConnectionRejected, Hello, PeerRole, Ping, Pong, Welcome
 from puffintide.protocol.messages.proxy_channel import (
     AdmissionLevel,
     CheckpointReply,
@@ -132,6 +132,7 @@
     "Message",
     "MigrateSlices",
     "OwnershipRevoked",
+    "PeerRole",
     "Ping",
     "Pong",
     "ProxyUpdate",
--- a/puffintide/protocol/messages/handshake.py
+++ b/puffintide/protocol/messages/handshake.py
@@ -2,9 +2,26 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 from puffintide.protocol.messages.base import Message
 
 
+class PeerRole(StrEnum):
+    """What a party of the protocol is.
+
+    The fields of messages stay plain strings, so that a role which is not known here is rejected with a reason.
+    """
+
+    ASSIGNER = "assigner"
+    PROXY = "proxy"
+    STORE = "store"
+    SERVER = "server"
+    ENDPOINT_LIST = "list"
+    CLIENT = "client"
+    OPERATOR = "operator"
+
+
 class Hello(
     Message,
     tag="hello",
@@ -14,7 +31,7 @@
     """First message of the party that connected: who it is."""
 
     version: int  # of the protocol
-    role: str  # "assigner", "proxy", "client", "operator" or "control"
+    role: str  # a PeerRole
     id: int  # number of the party within its role
     zone: int = 0
     deployment: str = ""  # name of the deployment that the party belongs to
@@ -27,7 +44,7 @@
     """First message of the party that was connected to; nothing else is sent to that party before."""
 
     version: int  # of the protocol
-    role: str  # "assigner", "proxy", "store", "server" or "list"
+    role: str  # a PeerRole
     id: int  # number of the party within its role
     incarnation: int = 0  # rises at each start of the process
 
--- a/puffintide/protocol/stream.py
+++ b/puffintide/protocol/stream.py
@@ -13,7 +13,7 @@
 from puffintide.protocol.clock import Clock, Timer
 from puffintide.protocol.codec import MAX_LINE_BYTES, encode
 from puffintide.protocol.errors import PeerRejectedError, ProtocolError
-from puffintide.protocol.messages import AnyMessage, ConnectionRejected, Hello, Message, Welcome
+from puffintide.protocol.messages import AnyMessage, ConnectionRejected, Hello, Message, PeerRole, Welcome
 from puffintide.protocol.session import Greeting, PeerCheck, Session, accept_any_peer
 from puffintide.tls.context import names
 from puffintide.tls.keys import party
@@ -107,7 +107,7 @@
         if certificate_names is None or not messages:
             return None
         greeting = messages[0]
-        if not isinstance(greeting, Hello | Welcome) or greeting.role == "client":
+        if not isinstance(greeting, Hello | Welcome) or greeting.role == PeerRole.CLIENT:
             return None
         own = self.session.greeting
         deployment = own.deployment if isinstance(own, Hello) else getattr(greeting, "deployment", "")
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -25,7 +25,7 @@
 from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.reads import Reads
 from puffintide.store.restoration import Restoration
-from puffintide.store.sessions import ASSIGNER, OPERATOR, Sessions
+from puffintide.store.sessions import Sessions
 
 REASSIGN_INTERVAL_S = 0.1
 KEEP_ALIVE_INTERVAL_S = 1.0
@@ -92,7 +92,7 @@
         """The factory for the listening port."""
         return StreamServerFactory(
             self.reactor,
-            lambda: m.Welcome(m.PROTOCOL_VERSION, "store", 0),
+            lambda: m.Welcome(m.PROTOCOL_VERSION, m.PeerRole.STORE, 0),
             self._handle_message,
             self._handle_lost,
             self.sessions.rejection_reason,
@@ -167,9 +167,9 @@
                 self._handle_hello(stream, message)
             case m.ReadRequest():
                 self.reads.send(stream, message)
-            case _ if stream.peer.role == ASSIGNER:
+            case _ if stream.peer.role == m.PeerRole.ASSIGNER:
                 self._handle_assigner_message(stream, message)
-            case _ if stream.peer.role == OPERATOR:
+            case _ if stream.peer.role == m.PeerRole.OPERATOR:
                 self._handle_operator_message(stream, message)
             case _:
                 self._reject(stream, message)
@@ -204,7 +204,7 @@
         if not self.restoration.pending:
             self._check_highest_token(hello)
         self.sessions.add(stream, PeerIdentity(hello.role, hello.id))
-        if hello.role == ASSIGNER:
+        if hello.role == m.PeerRole.ASSIGNER:
             self._handle_assigner_hello(stream, hello)
 
     def _check_highest_token(self, hello: m.Hello) -> None:
--- a/puffintide/store/sessions.py
+++ b/puffintide/store/sessions.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 from puffintide.protocol import messages as m
+from puffintide.protocol.messages import PeerRole
 from puffintide.protocol.session import Greeting
 from puffintide.protocol.stream import PeerIdentity, Stream
 
-ASSIGNER = "assigner"
-PROXY = "proxy"
-OPERATOR = "operator"
-ROLES = (ASSIGNER, PROXY, OPERATOR)
+SERVED_ROLES = (PeerRole.ASSIGNER, PeerRole.PROXY, PeerRole.OPERATOR)
 
 
 class Sessions:
@@ -32,13 +30,13 @@
 
     def rejection_reason(self, greeting: Greeting) -> str | None:
         """Why a peer is rejected, if it is."""
-        if greeting.role not in ROLES:
+        if greeting.role not in SERVED_ROLES:
             return f"role {greeting.role!r} is not served by the store"
         if isinstance(greeting, m.Hello) and greeting.deployment != self.deployment:
             return f"deployment {greeting.deployment!r} is not {self.deployment!r}, which this store holds"
-        if greeting.role == ASSIGNER and not 0 <= greeting.id < self.assigner_count:
+        if greeting.role == PeerRole.ASSIGNER and not 0 <= greeting.id < self.assigner_count:
             return f"assigner {greeting.id} is not among the {self.assigner_count} of this deployment"
-        if self.stream_count >= self.max_streams and greeting.role == PROXY:
+        if self.stream_count >= self.max_streams and greeting.role == PeerRole.PROXY:
             return f"{self.max_streams} streams are here already"
         return None
 
@@ -46,7 +44,7 @@
         """Takes a stream whose handshake is complete."""
         self.stream_count += 1
         stream.peer = peer
-        if peer.role == PROXY:
+        if peer.role == PeerRole.PROXY:
             self.proxies.add(stream)
 
     def add_assigner(self, stream: Stream, assigner_id: int, incarnation: int) -> None:
@@ -61,7 +59,7 @@
         """Forgets a stream that was closed; returns whether it was the current one of an assigner."""
         self.stream_count -= 1
         self.proxies.discard(stream)
-        is_current = stream.peer.role == ASSIGNER and self.assigners.get(stream.peer.id) is stream
+        is_current = stream.peer.role == PeerRole.ASSIGNER and self.assigners.get(stream.peer.id) is stream
         if is_current:
             del self.assigners[stream.peer.id]
         return is_current
