--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -1,10 +1,10 @@
-"""What keeping tables costs: commits, sizes on disk, recovery, backups, readers; the engines beside bare syncs.
+"""Cost of storing tables: commits, sizes on disk, recovery, backups, reads; the engines beside bare syncs.
 
     python -m benchmarks.store_cost [--commits 300] [--table FILE] [--plot FILE] [--folder DIR]
 
 All on one disk in one run, so read the ratios. Engines: SQLite through apsw as the store uses it, LMDB with its own
 sync, and bare fdatasync of as many bytes. Sizes: 500 slices of 77 servers, 10,000 of 300, 100,000 of 1,000, two
-lines each. Group commit: 64 writers whose changes come at once, kept together or one by one.
+entries each. Group commit: 64 writers whose changes come at once, committed together or one by one.
 """
 
 from __future__ import annotations
@@ -22,49 +22,54 @@
 import msgspec
 
 from puffintide.protocol import messages as m
-from puffintide.protocol.codec import encode
+from puffintide.store.durable_state import ownership_message
 from puffintide.store.engine import Commit, StoredSlice
+from puffintide.store.reads import encode_ownerships
 from puffintide.store.sqlite import SqliteEngine
 
 SIZES = ((500, 77), (10_000, 300), (100_000, 1000))
 
 
-def state(number: int, servers: int, token: int, rng: random.Random) -> StoredSlice:
-    held = [
-        m.TableEntry(rng.randrange(servers), w, f"127.0.0.1:{20000 + rng.randrange(servers)}", 0)
-        for w in (1.0, 0.004)
+def random_slice(slice_id: int, servers: int, token: int, rng: random.Random) -> StoredSlice:
+    """A slice with two entries of random servers."""
+    entries = [
+        m.TableEntry(rng.randrange(servers), weight, f"127.0.0.1:{20000 + rng.randrange(servers)}", 0)
+        for weight in (1.0, 0.004)
     ]
-    return StoredSlice(number, number % 3, token, token, held, -1, token, 1)
+    return StoredSlice(slice_id, slice_id % 3, token, token, entries, -1, token, 1)
 
 
 def timed(call: Callable[[int], None], count: int) -> list[float]:
-    """Milliseconds, sorted."""
-    found = []
+    """Milliseconds of each of so many calls, sorted."""
+    times_ms = []
     for k in range(count):
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         call(k)
-        found.append((time.perf_counter() - began) * 1000)
-    return sorted(found)
+        times_ms.append((time.perf_counter() - started_s) * 1000)
+    return sorted(times_ms)
 
 
-def shown(times: list[float]) -> str:
+def format_percentiles(times: list[float]) -> str:
+    """The 50th and 99th percentile as two cells of a table."""
     return f"{times[len(times) // 2]:.2f} | {times[min(len(times) - 1, int(len(times) * 0.99))]:.2f}"
 
 
-def engines(folder: Path, commits: int, rows: int) -> list[str]:
-    """One size of commit in each engine; 10,000 slices kept."""
+def measure_engines(folder: Path, commits: int, rows: int) -> list[str]:
+    """Rows of the table for one size of commit in each engine, which store 10,000 slices."""
     rng = random.Random(1)
-    states = [state(n, 300, 1, rng) for n in range(10_000)]
+    states = [random_slice(n, 300, 1, rng) for n in range(10_000)]
     bodies = [msgspec.json.encode(s) for s in states]
     lines = []
 
     sqlite = SqliteEngine(str(folder / f"engine-{rows}.db"))
     sqlite.commit(Commit(1, 1, tuple(states)))
 
-    def by_sqlite(k: int) -> None:
-        sqlite.commit(Commit(k + 2, k, tuple(state(rng.randrange(10_000), 300, k, rng) for _ in range(rows))))
+    def commit_to_sqlite(k: int) -> None:
+        sqlite.commit(
+            Commit(k + 2, k, tuple(random_slice(rng.randrange(10_000), 300, k, rng) for _ in range(rows)))
+        )
 
-    lines.append(f"| SQLite as used | {rows} | {shown(timed(by_sqlite, commits))} |")
+    lines.append(f"| SQLite as used | {rows} | {format_percentiles(timed(commit_to_sqlite, commits))} |")
     sqlite.close()
 
     env = lmdb.open(str(folder / f"lmdb-{rows}"), map_size=1 << 30)
@@ -72,83 +77,90 @@
         for n, body in enumerate(bodies):
             work.put(b"%08d" % n, body)
 
-    def by_lmdb(k: int) -> None:
+    def commit_to_lmdb(k: int) -> None:
         with env.begin(write=True) as work:
             for _ in range(rows):
-                made = state(rng.randrange(10_000), 300, k, rng)
-                work.put(b"%08d" % made.slice_id, msgspec.json.encode(made))
+                stored = random_slice(rng.randrange(10_000), 300, k, rng)
+                work.put(b"%08d" % stored.slice_id, msgspec.json.encode(stored))
 
-    lines.append(f"| LMDB | {rows} | {shown(timed(by_lmdb, commits))} |")
+    lines.append(f"| LMDB | {rows} | {format_percentiles(timed(commit_to_lmdb, commits))} |")
     env.close()
 
     handle = os.open(folder / f"bare-{rows}", os.O_CREAT | os.O_RDWR)
 
-    def bare(k: int) -> None:
-        data = b"".join(msgspec.json.encode(state(rng.randrange(10_000), 300, k, rng)) for _ in range(rows))
+    def write_and_sync(k: int) -> None:
+        data = b"".join(
+            msgspec.json.encode(random_slice(rng.randrange(10_000), 300, k, rng)) for _ in range(rows)
+        )
         os.write(handle, data)
         os.fdatasync(handle)
 
-    lines.append(f"| bare fdatasync | {rows} | {shown(timed(bare, commits))} |")
+    lines.append(f"| bare fdatasync | {rows} | {format_percentiles(timed(write_and_sync, commits))} |")
     os.close(handle)
     return lines
 
 
-def group(folder: Path, rounds: int) -> str:
-    """64 changes that come at once: one commit, or one each."""
+def measure_group_commit(folder: Path, rounds: int) -> str:
+    """A sentence on 64 changes that come at once: one commit, or one each."""
     rng = random.Random(2)
     engine = SqliteEngine(str(folder / "group.db"))
-    engine.commit(Commit(1, 1, tuple(state(n, 300, 1, rng) for n in range(10_000))))
+    engine.commit(Commit(1, 1, tuple(random_slice(n, 300, 1, rng) for n in range(10_000))))
     revision = 1
     times = {"together": 0.0, "one by one": 0.0}
     for _ in range(rounds):
-        rows = [state(n, 300, revision, rng) for n in rng.sample(range(10_000), 64)]
-        began = time.perf_counter()
+        rows = [random_slice(n, 300, revision, rng) for n in rng.sample(range(10_000), 64)]
+        started_s = time.perf_counter()
         revision += 1
         engine.commit(Commit(revision, revision, tuple(rows)))
-        times["together"] += time.perf_counter() - began
-        began = time.perf_counter()
+        times["together"] += time.perf_counter() - started_s
+        started_s = time.perf_counter()
         for row in rows:
             revision += 1
             engine.commit(Commit(revision, revision, (row,)))
-        times["one by one"] += time.perf_counter() - began
+        times["one by one"] += time.perf_counter() - started_s
     engine.close()
-    together, alone = times["together"] / rounds * 1000, times["one by one"] / rounds * 1000
+    together = times["together"] / rounds * 1000
+    alone = times["one by one"] / rounds * 1000
     times_as_long = f"{alone / together:.1f} times as long"
     return f"64 changes kept together: {together:.2f} ms; one by one: {alone:.2f} ms, {times_as_long}."
 
 
-def size(folder: Path, slices: int, servers: int, commits: int) -> tuple[str, list[float]]:
+def measure_size(folder: Path, slices: int, servers: int, commits: int) -> tuple[str, list[float]]:
+    """The table's row for a store of one size, and the milliseconds of its commits, sorted."""
     rng = random.Random(3)
     path = folder / f"size-{slices}.db"
     engine = SqliteEngine(str(path))
-    engine.commit(Commit(1, 1, tuple(state(n, servers, 1, rng) for n in range(slices))))
+    engine.commit(Commit(1, 1, tuple(random_slice(n, servers, 1, rng) for n in range(slices))))
 
     def write(k: int) -> None:
-        rows = {n: state(n, servers, k, rng) for n in (rng.randrange(slices) for _ in range(20))}
+        rows = {n: random_slice(n, servers, k, rng) for n in (rng.randrange(slices) for _ in range(20))}
         engine.commit(Commit(k + 2, k, tuple(rows.values())))
 
     times = timed(write, commits)
     grown = sum(p.stat().st_size for p in folder.glob(f"size-{slices}.db*"))
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     engine.backup(str(folder / f"size-{slices}.copy"))
-    backup = time.perf_counter() - began
+    backup = time.perf_counter() - started_s
     engine.close()
-    began = time.perf_counter()
-    again = SqliteEngine(str(path))
-    image = again.load()
-    recover = time.perf_counter() - began
-    again.close()
-    began = time.perf_counter()
-    rows = [
-        m.SliceOwnership(s.slice_id, s.fencing_token, s.owner_id, s.entries, s.batch, s.tenure_token)
-        for s in image.slices.values()
+    started_s = time.perf_counter()
+    engine = SqliteEngine(str(path))
+    snapshot = engine.load()
+    recover = time.perf_counter() - started_s
+    engine.close()
+    started_s = time.perf_counter()
+    lines = encode_ownerships([ownership_message(stored) for stored in snapshot.slices.values()])
+    reading = time.perf_counter() - started_s
+    cells = [
+        str(slices),
+        str(servers),
+        format_percentiles(times),
+        f"{grown / 1e6:.1f}",
+        f"{recover * 1000:.0f}",
+        f"{backup * 1000:.0f}",
+        f"{reading * 1000:.0f}",
+        f"{sum(map(len, lines)) / 1e6:.2f}",
     ]
-    out = [encode(m.SliceOwnerships(rows[k : k + 1000])) for k in range(0, len(rows), 1000)]
-    reading = time.perf_counter() - began
-    text = (
-        f"| {slices} | {servers} | {shown(times)} | {grown / 1e6:.1f} | {recover * 1000:.0f} | {backup * 1000:.0f} "
-        f"| {reading * 1000:.0f} | {sum(map(len, out)) / 1e6:.2f} |"
-    )
+    text = f"| {' | '.join(cells)} |"
     return text, times
 
 
@@ -158,12 +170,13 @@
 @click.option("--table", default="")
 @click.option("--plot", default="")
 def main(commits: int, folder: str, table: str, plot: str) -> None:
+    """Measures on a new folder, which is removed afterwards."""
     where = Path(tempfile.mkdtemp(dir=folder, prefix="store-cost-"))
     try:
         lines = ["| engine | slices in a commit | p50 ms | p99 ms |", "| --- | --- | --- | --- |"]
         for rows in (1, 20, 500):
-            lines += engines(where, commits, rows)
-        lines += ["", group(where, max(5, commits // 20)), ""]
+            lines += measure_engines(where, commits, rows)
+        lines += ["", measure_group_commit(where, max(5, commits // 20)), ""]
         lines += [
             "| slices | servers | commit of 20: p50 ms | p99 ms | MB on disk | to recover ms | to back up ms "
             "| a full reading ms | MB |",
@@ -171,15 +184,15 @@
         ]
         series = []
         for slices, servers in SIZES:
-            text, times = size(where, slices, servers, commits)
+            text, times = measure_size(where, slices, servers, commits)
             lines.append(text)
             series.append((slices, times))
     finally:
         shutil.rmtree(where)
-    made = "\n".join(lines)
-    click.echo(made)
+    text = "\n".join(lines)
+    click.echo(text)
     if table:
-        Path(table).write_text(made + "\n", encoding="utf-8")
+        Path(table).write_text(text + "\n", encoding="utf-8")
     if plot:
         _plot(series, plot)
 
