--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -123,7 +123,7 @@
         run=partial(deferToThreadPool, reactor, pool) if process.file or process.etcd else maybeDeferred,
         max_streams=process.streams_most,
         backup_path=partial(_backup_path, process.backups) if process.file and process.backups else None,
-        refill=TableRestore(deployment.slices, deployment.assigners, process.refill_wait_s)
+        table_restore=TableRestore(deployment.slices, deployment.assigners, process.refill_wait_s)
         if process.refill
         else None,
     )
