--- a/puffintide/platform/endpoint_watch.py
+++ b/puffintide/platform/endpoint_watch.py
@@ -82,7 +82,7 @@
             message = self._decode(line)
         except (InvalidMessageError, MalformedMessageError) as error:
             self.log("endpoint_list_rejected", reason=str(error))
-            raise StreamError("unreadable endpoint list") from error
+            raise StreamError("malformed endpoint list") from error
         self._handle(message)
 
     def _use_known(self, known: dict[str, Any]) -> None:
--- a/puffintide/platform/relay_watch.py
+++ b/puffintide/platform/relay_watch.py
@@ -75,7 +75,7 @@
             message = decode_relay_message(line)
         except (InvalidMessageError, MalformedMessageError) as error:
             self.log("relay_message_rejected", reason=str(error))
-            raise StreamError("unreadable relay message") from error
+            raise StreamError("malformed relay message") from error
         if isinstance(message, Heartbeat):
             self._flush(at_heartbeat=True)
             return
