--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -74,5 +74,5 @@
     from tests.platform_world import Platform
 
     made = Platform(tmp_path)
-    made.go(1.0)
+    made.advance(1.0)
     return made
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -18,7 +18,7 @@
 LISTEN = 3000
 DISCOVERY = 8500
 RELAY = 6400
-TASKS = 7000  # and up
+FIRST_SERVER_PORT = 7000  # and up
 
 
 SERVERS = 4
@@ -28,7 +28,7 @@
 def entry(k: int, health: str = "active", **changes: Any) -> dict[str, Any]:
     row = {
         "host": f"s-{k}",
-        "dial": f"127.0.0.1:{TASKS + k}",
+        "dial": f"127.0.0.1:{FIRST_SERVER_PORT + k}",
         "site": "a",
         "class": "m1",
         "block": 0,
@@ -50,17 +50,17 @@
     }
 
 
-class Http(Protocol):
+class ServerConnection(Protocol):
     """A server's end: each request goes to the owner's answer(connection, method, target, body)."""
 
     transport: Any
 
-    def __init__(self, owner: Any) -> None:
-        self.owner, self.http = owner, h11.Connection(h11.SERVER)
+    def __init__(self, server: Any) -> None:
+        self.server, self.http = server, h11.Connection(h11.SERVER)
         self.target, self.open = "", True
 
     def connectionMade(self) -> None:
-        self.owner.connections.append(self)
+        self.server.connections.append(self)
 
     def connectionLost(self, _reason: Any = None) -> None:
         self.open = False
@@ -75,186 +75,192 @@
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self.owner.answer(self, method, self.target, body)
+                self.server.answer(self, method, self.target, body)
             else:
                 return
 
-    def reply(self, status: int, body: bytes) -> None:
+    def send_response(self, status: int, body: bytes) -> None:
         head = [("Content-Length", str(len(body)))]
         out = self.http.send(h11.Response(status_code=status, headers=head))
         self.transport.write(out + self.http.send(h11.Data(data=body)) + self.http.send(h11.EndOfMessage()))
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
 
-    def begin(self) -> None:
+    def begin_response(self) -> None:
         head = [("Transfer-Encoding", "chunked")]
         self.transport.write(self.http.send(h11.Response(status_code=200, headers=head)))
 
-    def line(self, row: Any) -> None:
+    def send_line(self, row: Any) -> None:
         text = b"" if row is None else json.dumps(row).encode()
         self.transport.write(self.http.send(h11.Data(data=text + b"\n")))
 
 
-class Place(Factory):
+class FakeServer(Factory):
     """An address of the platform."""
 
     noisy = False
 
     def __init__(self, net: Reactor, port: int) -> None:
         self.party, self.connections = Party(net), list[Any]()
-        self.beat_s, self.silent = 1.0, False
+        self.heartbeat_period_s, self.unresponsive = 1.0, False
         self.party.listenTCP(port, self)
-        self.party.callLater(0.0, self.beat)
+        self.party.callLater(0.0, self._send_heartbeats)
 
-    def buildProtocol(self, _address: Any) -> Http:
-        return Http(self)
+    def buildProtocol(self, _address: Any) -> ServerConnection:
+        return ServerConnection(self)
 
-    def watchers(self) -> list[Http]:
+    def watches(self) -> list[ServerConnection]:
         return [c for c in self.connections if c.open and ("watch" in c.target or "follow" in c.target)]
 
-    def beat(self) -> None:
-        self.party.callLater(self.beat_s, self.beat)
-        for c in self.watchers() if not self.silent else []:
-            self.sign(c)
+    def _send_heartbeats(self) -> None:
+        self.party.callLater(self.heartbeat_period_s, self._send_heartbeats)
+        for c in self.watches() if not self.unresponsive else []:
+            self.send_heartbeat(c)
 
-    def sign(self, connection: Http) -> None:
-        connection.line({})
+    def send_heartbeat(self, connection: ServerConnection) -> None:
+        connection.send_line({})
 
-    def tell(self, row: Any) -> None:
-        for c in self.watchers():
-            c.line(row)
+    def broadcast(self, row: Any) -> None:
+        for c in self.watches():
+            c.send_line(row)
 
 
-class Relay(Place):
+class FakeRelay(FakeServer):
     """Keeps tables; `fates` says what becomes of the next calls, "" is answered as it should be."""
 
     def __init__(self, net: Reactor, port: int = RELAY) -> None:
         super().__init__(net, port)
         self.calls: list[tuple[float, list[dict[str, Any]]]] = []
-        self.fates: list[str] = []
+        self.call_results: list[str] = []
         self.proxies = [0, 1, 2]
         self.tables: dict[int, dict[str, float]] = {s: {f"s-{s % SERVERS}": 1.0} for s in range(SLICES)}
-        self.out: set[str] = set()
-        self.fresh = set(self.proxies)  # hold no table that was ordered
+        self.withdrawn_hosts: set[str] = set()
+        self.first_connections = set(self.proxies)  # hold no table that was ordered
 
-    def answer(self, c: Http, method: str, _target: str, body: bytes) -> None:
+    def answer(self, c: ServerConnection, method: str, _target: str, body: bytes) -> None:
         if method == "GET":
-            c.begin()
-            self.standing(c)
+            c.begin_response()
+            self.send_snapshot(c)
             return
-        fate = self.fates.pop(0) if self.fates else ""
+        result = self.call_results.pop(0) if self.call_results else ""
         rows = json.loads(body)["orders"]
-        if fate in ("lost", "reset", "throttled"):
+        if result in ("lost", "reset", "throttled"):
             rows = []
         else:
             self.calls.append((self.party.seconds(), rows))
-        taken = len(rows)
+        accepted = len(rows)
         for k, row in enumerate(rows):
-            if fate == f"bad {k}":
-                taken = k
+            if result == f"bad {k}":
+                accepted = k
                 break
-            self.carry_out(row)
-        match fate:
+            self.apply(row)
+        match result:
             case "lost" | "carried":
                 return  # nothing ever comes
             case "reset" | "carried, reset":
                 c.transport.abortConnection()
             case "throttled":
-                c.reply(429, b'{"error":"throttled"}')
+                c.send_response(429, b'{"error":"throttled"}')
             case "spoilt":
-                c.reply(200, b'{"accepted":"many')
+                c.send_response(200, b'{"accepted":"many')
             case _:
-                c.reply(200, json.dumps({"accepted": taken}).encode())
+                c.send_response(200, json.dumps({"accepted": accepted}).encode())
 
-    def standing(self, c: Http) -> None:
+    def send_snapshot(self, c: ServerConnection) -> None:
         for p in self.proxies:
-            row = {"sidecar": p, "az": "a", "share": 5.0, "standing": p in self.fresh}
-            c.line({"type": "joined", "object": row})
-        self.fresh = set()
+            row = {"sidecar": p, "az": "a", "share": 5.0, "standing": p in self.first_connections}
+            c.send_line({"type": "joined", "object": row})
+        self.first_connections = set()
         for s, table in self.tables.items():
-            c.line({"type": "given", "object": {"partition": s, "yes": True}})
+            c.send_line({"type": "given", "object": {"partition": s, "yes": True}})
             for host, share in table.items():
-                c.line({"type": "held", "object": {"partition": s, "host": host, "share": share}})
+                c.send_line({"type": "held", "object": {"partition": s, "host": host, "share": share}})
 
-    def carry_out(self, row: dict[str, Any]) -> None:
+    def apply(self, row: dict[str, Any]) -> None:
         match row["do"]:
             case "SET" if row["share"] > 0:
                 self.tables[row["group"]][row["host"]] = row["share"]
             case "SET":
                 self.tables[row["group"]].pop(row["host"], None)
             case "OUT":
-                self.out.add(row["host"])
+                self.withdrawn_hosts.add(row["host"])
             case "IN":
-                self.out.discard(row["host"])
+                self.withdrawn_hosts.discard(row["host"])
             case "SYNC":
                 for p in self.proxies:
-                    self.tell(
+                    self.broadcast(
                         {"type": "applied", "object": {"sidecar": p, "version": row["stamp"], "lag_ms": 9.0}}
                     )
 
-    def named(self) -> set[str]:
+    def routable_hosts(self) -> set[str]:
         """Hosts that a proxy may still send to."""
-        return {host for table in self.tables.values() for host in table} - self.out
+        return {host for table in self.tables.values() for host in table} - self.withdrawn_hosts
 
 
-class Discovery(Place):
+class FakeDiscovery(FakeServer):
     def __init__(self, net: Reactor, port: int = DISCOVERY) -> None:
         super().__init__(net, port)
-        self.seq = 7
+        self.version = 7
         self.rows = [entry(k) for k in range(SERVERS)]
-        self.whole = True
+        self.sends_snapshot = True
 
-    def answer(self, c: Http, _method: str, _target: str, _body: bytes) -> None:
-        c.begin()
-        c.line({"seq": self.seq, "whole": self.whole, "hosts": self.rows if self.whole else []})
+    def answer(self, c: ServerConnection, _method: str, _target: str, _body: bytes) -> None:
+        c.begin_response()
+        c.send_line(
+            {
+                "seq": self.version,
+                "whole": self.sends_snapshot,
+                "hosts": self.rows if self.sends_snapshot else [],
+            }
+        )
 
-    def sign(self, connection: Http) -> None:
-        connection.line(None)
+    def send_heartbeat(self, connection: ServerConnection) -> None:
+        connection.send_line(None)
 
     def change(self, *rows: dict[str, Any]) -> None:
-        self.seq += 1
-        self.tell({"seq": self.seq, "whole": False, "hosts": list(rows)})
+        self.version += 1
+        self.broadcast({"seq": self.version, "whole": False, "hosts": list(rows)})
 
 
-class Task(Place):
+class CheckedServer(FakeServer):
     def __init__(self, net: Reactor, port: int) -> None:
         super().__init__(net, port)
-        self.mode, self.probes = "well", 0
+        self.mode, self.checks = "well", 0
 
-    def answer(self, c: Http, _method: str, target: str, _body: bytes) -> None:
-        self.probes += 1
+    def answer(self, c: ServerConnection, _method: str, target: str, _body: bytes) -> None:
+        self.checks += 1
         assert target == "/_load"
         if self.mode == "well":
-            self.party.callLater(0.004, c.reply, 200, b"TEXT inflight=2")
+            self.party.callLater(0.004, c.send_response, 200, b"TEXT inflight=2")
         elif self.mode == "full":
-            c.reply(503, b"")
+            c.send_response(503, b"")
         elif self.mode == "late 503":
-            self.party.callLater(0.3, c.reply, 503, b"")
+            self.party.callLater(0.3, c.send_response, 503, b"")
         elif self.mode == "odd":
             c.transport.write(b"no answer\r\n\r\n")
         elif self.mode == "reset":
             c.transport.abortConnection()
 
 
-class Peer(Protocol):
+class Client(Protocol):
     """Connects to the node's address."""
 
     transport: Any
 
     def __init__(self, platform: Platform, port: int = LISTEN) -> None:
-        self.got, self.open = b"", True
+        self.received, self.open = b"", True
         factory: Any = Factory.forProtocol(lambda: self)
         factory.noisy = False
         factory.clientConnectionFailed = lambda *_: setattr(self, "open", False)
-        platform.outside.connectTCP("127.0.0.1", port, factory)
-        platform.go(0.01)
+        platform.clients.connectTCP("127.0.0.1", port, factory)
+        platform.advance(0.01)
 
     def send(self, *rows: Any) -> None:
         for row in rows:
             self.transport.write(row if isinstance(row, bytes) else json.dumps(row).encode() + b"\n")
 
     def dataReceived(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
 
     def connectionLost(self, _reason: Any = None) -> None:
         self.open = False
@@ -262,14 +268,14 @@
 
 class Platform:
     def __init__(
-        self, tmp: Path, known: bool = True, more: dict[str, Any] | None = None, **family: Any
+        self, folder: Path, known: bool = True, more: dict[str, Any] | None = None, **family: Any
     ) -> None:
         self.net = Reactor()
-        self.wall = 1.7e9
-        self.relay, self.discovery = Relay(self.net), Discovery(self.net)
-        self.tasks = [Task(self.net, TASKS + k) for k in range(SERVERS)]
-        self.outside = Party(self.net)
-        self.path = tmp / "config.json"
+        self.wall_s = 1.7e9
+        self.relay, self.discovery = FakeRelay(self.net), FakeDiscovery(self.net)
+        self.servers = [CheckedServer(self.net, FIRST_SERVER_PORT + k) for k in range(SERVERS)]
+        self.clients = Party(self.net)
+        self.path = folder / "config.json"
         self.config = CONFIG | {
             "listen": f"127.0.0.1:{LISTEN}",
             "discovery": f"127.0.0.1:{DISCOVERY}",
@@ -280,14 +286,16 @@
         self.config["known"] = {"seq": 3, "whole": True, "hosts": rows} if known else None
         self.write()
         self.rows: list[tuple[float, str, dict[str, Any]]] = []
-        self.node = self.start()
+        self.assigner = self.start()
 
     def write(self) -> None:
         self.path.write_text(json.dumps(self.config))
 
     def start(self) -> Service:
         self.party = Party(self.net)
-        node = Service(self.party, load_config(str(self.path)), str(self.path), self._log, lambda: self.wall)
+        node = Service(
+            self.party, load_config(str(self.path)), str(self.path), self._log, lambda: self.wall_s
+        )
         node.start()
         return node
 
@@ -297,15 +305,15 @@
     def logged(self, event: str) -> list[dict[str, Any]]:
         return [fields for _, name, fields in self.rows if name == event]
 
-    def go(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.net.until(self.net.seconds() + seconds)
 
-    def collector(self) -> Peer:
-        peer = Peer(self)
+    def collector(self) -> Client:
+        peer = Client(self)
         peer.send({"msg": "collector", "az": "a"})
         return peer
 
-    def report(self, peer: Peer, rounds: int = 1) -> None:
+    def report(self, peer: Client, rounds: int = 1) -> None:
         """What proxies meet in half a second, all well."""
         for _ in range(rounds):
             for s in range(SLICES):
@@ -323,26 +331,28 @@
                         "report": {"inflight": 1},
                     }
                 )
-            self.go(0.5)
+            self.advance(0.5)
 
-    def hears(self) -> list[Any]:
+    def record_events(self) -> list[Any]:
         """What the runtime is told from now on."""
-        heard: list[Any] = []
-        runtime: Any = self.node.runtime
-        inner = runtime.add_events
+        recorded: list[Any] = []
+        runtime: Any = self.assigner.runtime
+        add_events = runtime.add_events
 
-        def hear(now: float, *events: Any) -> None:
-            heard.extend(events)
-            inner(now, *events)
+        def record(now: float, *events: Any) -> None:
+            recorded.extend(events)
+            add_events(now, *events)
 
-        runtime.add_events = hear
-        return heard
+        runtime.add_events = record
+        return recorded
 
     def break_watches(self) -> None:
-        for c in self.relay.watchers() + self.discovery.watchers():
+        for c in self.relay.watches() + self.discovery.watches():
             c.transport.abortConnection()
 
-    def believed(self) -> dict[int, dict[str, float]]:
+    def director_tables(self) -> dict[int, dict[str, float]]:
         """The module's tables, by the platform's names."""
-        slices: Any = self.node.runtime.director.slices  # type: ignore[attr-defined]
-        return {s: {str(self.node.hosts.host(h)): w for h, w in v.weights.items()} for s, v in slices.items()}
+        slices: Any = self.assigner.runtime.director.slices  # type: ignore[attr-defined]
+        return {
+            s: {str(self.assigner.hosts.host(h)): w for h, w in v.weights.items()} for s, v in slices.items()
+        }
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.platform_world import Peer, Platform, entry
+from tests.platform_world import Client, Platform, entry
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 THERE: dict[str, Any] = {
@@ -44,26 +44,26 @@
 }
 
 
-def customer(tmp: Path, there: bool) -> Platform:
+def customer(tmp: Path, elsewhere: bool) -> Platform:
     tmp.mkdir(exist_ok=True)
-    return Platform(tmp, more=THERE, **FAMILY) if there else Platform(tmp)
+    return Platform(tmp, more=THERE, **FAMILY) if elsewhere else Platform(tmp)
 
 
-def life(p: Platform, there: bool) -> Any:
+def play(p: Platform, elsewhere: bool) -> Any:
     """A day of one assigner, in steps: reports, drains, a restart of a task, refused calls, a cut, a reload."""
-    kind = "mapa" if there else "0"
-    peer = Peer(p)
+    kind = "mapa" if elsewhere else "0"
+    peer = Client(p)
     peer.send({"msg": "collector", "az": "a"})
-    p.heard = p.hears()  # type: ignore[attr-defined]
+    p.recorded_events = p.record_events()  # type: ignore[attr-defined]
     yield
     for k in range(40):
         for s in range(6):
             n = (25 + 9 * (s == k % 3)) * (60 if k > 30 else 1)  # in the end more than they can do
             peer.send({"msg": "heat", "partition": s, "kind": kind, "n": n, "bad": 0, "window": 500.0})
         for s in range(4):
-            busy = s == (3 if there else 0) and k > 5  # and so it sheds, if that is read
+            busy = s == (3 if elsewhere else 0) and k > 5  # and so it sheds, if that is read
             report: dict[str, float] = {"inflight": 1 + 60 * busy}
-            if there:
+            if elsewhere:
                 report = {"util": 0.97 if busy else 0.3, "latency_ms": 40.0 + s}
             peer.send(
                 {
@@ -80,15 +80,15 @@
         if k == 10:
             p.discovery.change(entry(1, "leaving"))
         if k == 18:
-            p.discovery.change(entry(1, born_ms=int(p.wall * 1000) - 500))
+            p.discovery.change(entry(1, born_ms=int(p.wall_s * 1000) - 500))
         if k == 22:
-            p.relay.fates = ["reset", "throttled", "carried"]
+            p.relay.call_results = ["reset", "throttled", "carried"]
             p.discovery.change(entry(2, "left"))
         if k == 28:
             p.break_watches()
         if k == 32:
-            p.node.reload()
-        p.go(0.5)
+            p.assigner.reload()
+        p.advance(0.5)
         yield
 
 
@@ -97,24 +97,25 @@
     refused = [
         row for row in p.rows if row[1] in ("message_rejected", "endpoint_rejected", "connection_rejected")
     ]
-    return json.dumps([p.relay.calls, refused, repr(p.heard)]).encode()  # type: ignore[attr-defined]
+    return json.dumps([p.relay.calls, refused, repr(p.recorded_events)]).encode()  # type: ignore[attr-defined]
 
 
-def alone(tmp: Path, there: bool) -> bytes:
-    p = customer(tmp, there)
-    for _ in life(p, there):
+def play_alone(tmp: Path, elsewhere: bool) -> bytes:
+    p = customer(tmp, elsewhere)
+    for _ in play(p, elsewhere):
         pass
     return orders(p)
 
 
 ALONE = (
-    "import sys, pathlib, tests.test_customers as t; sys.stdout.buffer.write(t.alone(pathlib.Path({!r}), {}))"
+    "import sys, pathlib, tests.test_customers as t; "
+    "sys.stdout.buffer.write(t.play_alone(pathlib.Path({!r}), {}))"
 )
 
 
-def in_a_process(tmp: Path, there: bool) -> bytes:
+def in_a_process(tmp: Path, elsewhere: bool) -> bytes:
     """Nothing that the other leaves behind can be there."""
-    words = [sys.executable, "-c", ALONE.format(str(tmp), there)]
+    words = [sys.executable, "-c", ALONE.format(str(tmp), elsewhere)]
     return subprocess.run(words, capture_output=True, check=True, cwd=SITES.parent.parent).stdout
 
 
@@ -122,12 +123,15 @@
     expected = [in_a_process(tmp_path / "here", False), in_a_process(tmp_path / "there", True)]
     assert expected[0] != expected[1] and all(len(json.loads(e)[0]) >= 3 for e in expected)
     for first in (False, True):
-        made = {there: customer(tmp_path / f"{there}", there) for there in (first, not first)}
-        for _ in zip(*(life(p, there) for there, p in made.items()), strict=True):
+        made = {elsewhere: customer(tmp_path / f"{elsewhere}", elsewhere) for elsewhere in (first, not first)}
+        for _ in zip(*(play(p, elsewhere) for elsewhere, p in made.items()), strict=True):
             pass
         assert [orders(made[False]), orders(made[True])] == expected
     # and so after a restart of one with the other's settings
-    assert alone(tmp_path / "here", True) == expected[1] and alone(tmp_path / "there", False) == expected[0]
+    assert (
+        play_alone(tmp_path / "here", True) == expected[1]
+        and play_alone(tmp_path / "there", False) == expected[0]
+    )
 
 
 # Sites ---------------------------------------------------------------------------------------------
--- a/tests/test_platform_listener.py
+++ b/tests/test_platform_listener.py
@@ -10,7 +10,7 @@
 from puffintide.platform.listener import MAX_ACCEPTS_PER_TURN
 from tests.platform_world import (
     SERVERS,
-    Peer,
+    Client,
     Platform,
 )
 
@@ -27,16 +27,16 @@
     )
     platform.report(peer, 2)
     assert peer.open
-    assert peer.got == b""
-    assert platform.node.listener.counters.invalid_messages == 3
-    assert platform.node.load_reports.counters.server == 4 * SERVERS
+    assert peer.received == b""
+    assert platform.assigner.listener.counters.invalid_messages == 3
+    assert platform.assigner.load_reports.counters.server == 4 * SERVERS
     peer.send(b"\x00\x01 what can't be read\n")
-    platform.go(0.1)
+    platform.advance(0.1)
     assert not peer.open
-    assert peer.got == b""
+    assert peer.received == b""
 
 
-STRANGERS: list[Callable[[Peer], None]] = [
+UNIDENTIFIED: list[Callable[[Client], None]] = [
     lambda _peer: None,
     lambda p: p.send(b'{"msg":"pi'),
     lambda p: p.send({"msg": "collector", "az": "zz"}),
@@ -51,63 +51,63 @@
 ]
 
 
-@pytest.mark.parametrize("deed", STRANGERS)
+@pytest.mark.parametrize("send", UNIDENTIFIED)
 def test_unidentified_connections_are_rejected_or_closed(
-    platform: Platform, deed: Callable[[Peer], None]
+    platform: Platform, send: Callable[[Client], None]
 ) -> None:
     collector = platform.collector()
-    peer = Peer(platform)
-    deed(peer)
-    platform.go(2.5)
+    peer = Client(platform)
+    send(peer)
+    platform.advance(2.5)
     assert not peer.open
     assert collector.open
-    assert peer.got in (b"", b'{"msg":"refused"}\n', b'{"msg":"pong"}\n')
+    assert peer.received in (b"", b'{"msg":"refused"}\n', b'{"msg":"pong"}\n')
 
 
 def test_endless_pings_are_closed_and_hundreds_of_connections_displace_no_collector(
     platform: Platform,
 ) -> None:
     collector = platform.collector()
-    asking = Peer(platform)
-    crowd = [Peer(platform) for _ in range(30)]
+    pinging = Client(platform)
+    crowd = [Client(platform) for _ in range(30)]
     for _ in range(10):
-        if asking.open:
-            asking.send({"msg": "ping"})
-        platform.go(0.25)
-    assert not asking.open
+        if pinging.open:
+            pinging.send({"msg": "ping"})
+        platform.advance(0.25)
+    assert not pinging.open
     assert not any(p.open for p in crowd)
     assert collector.open
-    many = [Peer(platform) for _ in range(300)]
-    assert len(platform.node.listener.unidentified) <= platform.node.listener.max_unidentified
+    later = [Client(platform) for _ in range(300)]
+    assert len(platform.assigner.listener.unidentified) <= platform.assigner.listener.max_unidentified
     platform.report(collector)
     assert collector.open
-    assert not many[0].open
+    assert not later[0].open
 
 
 def test_number_of_dead_collectors_is_bounded(platform: Platform) -> None:
     alive = platform.collector()
     dead = [platform.collector() for _ in range(40)]
-    platform.go(0.01)
-    assert len(platform.node.listener.collectors) == 32
+    platform.advance(0.01)
+    assert len(platform.assigner.listener.collectors) == 32
     assert alive.open
     assert not dead[-1].open
     platform.report(alive, 8)
     more = [platform.collector() for _ in range(5)]
-    platform.go(0.01)
-    assert len(platform.node.listener.collectors) == 32
+    platform.advance(0.01)
+    assert len(platform.assigner.listener.collectors) == 32
     assert alive.open
     assert not dead[0].open
     assert more[-1].open
 
 
 def test_rejected_connection_that_does_not_close_is_aborted(platform: Platform) -> None:
-    peer = Peer(platform)
-    (held,) = platform.node.listener.unidentified
-    held.transport.loseConnection = lambda: None
+    peer = Client(platform)
+    (connection,) = platform.assigner.listener.unidentified
+    connection.transport.loseConnection = lambda: None
     peer.send({"msg": "collector", "az": "zz"})
-    platform.go(1.0)
+    platform.advance(1.0)
     assert not peer.open
-    assert not platform.node.listener.unidentified
+    assert not platform.assigner.listener.unidentified
 
 
 def test_unread_pongs_are_bounded(platform: Platform) -> None:
@@ -115,15 +115,15 @@
     peer.transport.pauseProducing()
     for _ in range(8):
         peer.send(b'{"msg":"ping"}\n' * 1000)
-        platform.go(0.05)
+        platform.advance(0.05)
     peer.transport.resumeProducing()
-    platform.go(0.1)
+    platform.advance(0.1)
     assert not peer.open
 
 
 def test_each_connection_of_a_flood_in_one_reactor_turn_closes_another(platform: Platform) -> None:
     """What is cut ends a turn later: until then it is open, and the reactor takes ever more in a turn."""
-    listener, cut = platform.node.listener, list[int]()
+    listener, cut = platform.assigner.listener, list[int]()
     listener.unidentified.clear()
     for k in range(listener.max_unidentified + 50):
         peer: Any = listener.buildProtocol(None)
