--- a/tests/platform_peers.py
+++ b/tests/platform_peers.py
@@ -19,8 +19,8 @@
 from tests.peers import LIMIT_S
 
 
-class Wire:
-    """A connection that the program has dialled: its requests in turn, and back whatever bytes the test sends."""
+class HttpConnection:
+    """A connection that the program has opened: its requests in order, and back whatever bytes the test sends."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(None)
@@ -28,7 +28,7 @@
         self.ended = threading.Event()  # by the program, or by close() and reset()
         self.requests: queue.Queue[tuple[str, bytes]] = queue.Queue()  # method with target, body
 
-    def read(self, came: Callable[[Wire, str, bytes], None]) -> None:
+    def read(self, on_request: Callable[[HttpConnection, str, bytes], None]) -> None:
         buffer = b""
         with contextlib.suppress(OSError, ValueError):
             while data := self.sock.recv(1 << 16):
@@ -42,22 +42,22 @@
                         break
                     self.target = lines[0].rsplit(" ", 1)[0]
                     body, buffer = rest[:size], rest[size:]
-                    came(self, self.target, body)
+                    on_request(self, self.target, body)
         self.ended.set()
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def begin(self) -> None:
+    def begin_response(self) -> None:
         """The head of an answer without end."""
         self.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
-    def lines(self, *rows: Any) -> None:
+    def send_lines(self, *rows: Any) -> None:
         """Lines of such an answer, in one piece; bytes go as they are, without an end of line."""
         text = b"".join(r if isinstance(r, bytes) else json.dumps(r).encode() + b"\n" for r in rows)
         self.send(b"%x\r\n%b\r\n" % (len(text), text))
 
-    def answer(self, body: bytes, status: int = 200) -> None:
+    def respond(self, body: bytes, status: int = 200) -> None:
         self.send(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
 
     def close(self) -> None:
@@ -70,30 +70,32 @@
         self.close()
 
 
-class Address:
+class HttpServer:
     """An address of the platform. Requests wait here until the test asks for them."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
-        self.name = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.wires: list[Wire] = []
-        self._came: queue.Queue[tuple[Wire, str, bytes]] = queue.Queue()
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.connections: list[HttpConnection] = []
+        self._requests: queue.Queue[tuple[HttpConnection, str, bytes]] = queue.Queue()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
             while True:
-                wire = Wire(self.listener.accept()[0])
-                self.wires.append(wire)
-                came = lambda *row: self._came.put(row)  # noqa: E731
-                threading.Thread(target=wire.read, args=(came,), daemon=True).start()
+                connection = HttpConnection(self.listener.accept()[0])
+                self.connections.append(connection)
+                threading.Thread(target=connection.read, args=(self._on_request,), daemon=True).start()
 
-    def next(self, target: str, limit_s: float = LIMIT_S) -> tuple[Wire, str, bytes]:
+    def _on_request(self, connection: HttpConnection, target: str, body: bytes) -> None:
+        self._requests.put((connection, target, body))
+
+    def next_request(self, target: str, limit_s: float = LIMIT_S) -> tuple[HttpConnection, str, bytes]:
         """The next request that begins so; others stay for later. Raises TimeoutError."""
         others, end = [], time.monotonic() + limit_s
         try:
             while True:
-                row = self._came.get(timeout=max(0.0, end - time.monotonic()))
+                row = self._requests.get(timeout=max(0.0, end - time.monotonic()))
                 if row[1].startswith(target):
                     return row
                 others.append(row)
@@ -101,73 +103,73 @@
             raise TimeoutError(f"no {target}; others: {[row[1] for row in others]}") from None
         finally:
             for row in others:
-                self._came.put(row)
+                self._requests.put(row)
 
-    def waiting(self, target: str) -> bool:
+    def has_request(self, target: str) -> bool:
         """Whether such a request has come that nobody asked for."""
         try:
-            self._came.put(self.next(target, 0.0))
+            self._requests.put(self.next_request(target, 0.0))
         except TimeoutError:
             return False
         return True
 
     def close(self) -> None:
         self.listener.close()
-        for wire in self.wires:
-            wire.close()
+        for connection in self.connections:
+            connection.close()
 
 
-class Store:
+class RelayStore:
     """What a relay keeps: tables, servers shut out, and each order as it was received."""
 
     def __init__(self, tables: dict[int, dict[str, float]]) -> None:
         self.tables = {s: dict(table) for s, table in tables.items()}
-        self.out: set[str] = set()
+        self.withdrawn_hosts: set[str] = set()
         self.received: list[dict[str, Any]] = []
 
-    def take(self, body: bytes, carry_out: bool = True) -> bytes:
+    def apply_call(self, body: bytes, applied: bool = True) -> bytes:
         """A call; gives the answer's body."""
         rows = json.loads(body)["orders"]
         self.received += rows
-        for row in rows if carry_out else []:
+        for row in rows if applied else []:
             match row:
                 case {"do": "SET", "group": group, "host": host, "share": share}:
                     self.tables[group][host] = share
                     if share <= 0:
                         del self.tables[group][host]
                 case {"do": "OUT", "host": host}:
-                    self.out.add(host)
+                    self.withdrawn_hosts.add(host)
                 case {"do": "IN", "host": host}:
-                    self.out.discard(host)
+                    self.withdrawn_hosts.discard(host)
         return b'{"accepted":%d}' % len(rows)
 
-    def named(self) -> set[str]:
+    def routable_hosts(self) -> set[str]:
         """Hosts that a proxy may still send to."""
-        return {host for table in self.tables.values() for host in table} - self.out
+        return {host for table in self.tables.values() for host in table} - self.withdrawn_hosts
 
-    def held(self, *slices: int) -> list[dict[str, Any]]:
+    def snapshot_messages(self, *slices: int) -> list[dict[str, Any]]:
         """How the news gives these slices, with their lines; all, if none are named."""
         rows: list[dict[str, Any]] = []
         for s in slices or sorted(self.tables):
-            rows.append(given(s))
-            rows += [held(s, host, share) for host, share in self.tables[s].items()]
+            rows.append(slice_granted(s))
+            rows += [table_weight(s, host, share) for host, share in self.tables[s].items()]
         return rows
 
 
-def joined(number: int, fresh: bool = False) -> dict[str, Any]:
+def proxy_joined(number: int, fresh: bool = False) -> dict[str, Any]:
     row = {"sidecar": number, "az": "a", "share": 5.0, "standing": fresh}
     return {"type": "joined", "object": row}
 
 
-def given(slice_: int, yes: bool = True) -> dict[str, Any]:
+def slice_granted(slice_: int, yes: bool = True) -> dict[str, Any]:
     return {"type": "given", "object": {"partition": slice_, "yes": yes}}
 
 
-def held(slice_: int, host: str, share: float = 1.0) -> dict[str, Any]:
+def table_weight(slice_: int, host: str, share: float = 1.0) -> dict[str, Any]:
     return {"type": "held", "object": {"partition": slice_, "host": host, "share": share}}
 
 
-SIGN: dict[str, Any] = {}  # of life
+HEARTBEAT: dict[str, Any] = {}
 # Each row is written.
 UNLIMITED_LOG: Mapping[str, float] = {"platform.log.BURST_LINES": 1e6, "platform.log.LINES_PER_S": 1e6}
 # A constant that does not exist fails the process: a patch of it would do nothing.
@@ -183,7 +185,7 @@
 """
 
 
-class NodeProcess:
+class AssignerProcess:
     """One real assigner of the platform, its log row by row. Constants of its modules can be replaced."""
 
     def __init__(self, path: Path, config: dict[str, Any], constants: Mapping[str, float]) -> None:
@@ -213,14 +215,14 @@
     def logged(self, event: str, **fields: Any) -> list[dict[str, Any]]:
         return [r for r in list(self.rows) if r["event"] == event and fields.items() <= r.items()]
 
-    def until(self, event: str, count: int = 1, limit_s: float = LIMIT_S, **fields: Any) -> dict[str, Any]:
+    def wait_for(self, event: str, count: int = 1, limit_s: float = LIMIT_S, **fields: Any) -> dict[str, Any]:
         """The count-th such row, once it is there."""
         with self._more:
             found = self._more.wait_for(lambda: len(self.logged(event, **fields)) >= count, limit_s)
         assert found, f"no {event} {fields}; last: {self.rows[-5:]}"
         return self.logged(event, **fields)[count - 1]
 
-    def dial(self) -> socket.socket:
+    def connect(self) -> socket.socket:
         host, port = self.config["listen"].split(":")
         return socket.create_connection((host, int(port)), LIMIT_S)
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,5 +1,7 @@
-"""Bad orders of events, each forced: the real assigner of the platform as a process, on loopback, and its parties
-played by hand. A peer lets go once it has seen what must come first; none sleeps. docs/races.md lists the cases."""
+"""Unlucky orders of events, each forced: the assigner as a process on loopback, and its peers played by the test.
+
+A peer goes on once it has seen what must come first; none sleeps. docs/races.md lists the cases.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +20,21 @@
 import pytest
 
 from tests.peers import PORTS
-from tests.platform_peers import SIGN, Address, NodeProcess, Store, Wire, given, held, joined
+from tests.platform_peers import (
+    HEARTBEAT,
+    AssignerProcess,
+    HttpConnection,
+    HttpServer,
+    RelayStore,
+    proxy_joined,
+    slice_granted,
+    table_weight,
+)
 from tests.platform_world import entry, settings
 
 pytestmark = pytest.mark.processes
 
-CALL, NEWS, LIST = "POST /api/txn", "GET /api/watch", "GET /catalog/members"
+CALL, RELAY_WATCH, LIST_WATCH = "POST /api/txn", "GET /api/watch", "GET /catalog/members"
 SERVERS, SLICES = 4, 6
 # Waits are long, so that on a busy machine no time-out gets between what a test puts in order.
 PATIENT: Mapping[str, float] = {
@@ -40,115 +51,125 @@
 
     def __init__(
         self,
-        tmp: Path,
+        folder: Path,
         constants: Mapping[str, float] = PATIENT,
         servers: int = SERVERS,
-        probes: bool = False,
+        health_checks: bool = False,
         **family: Any,
     ) -> None:
-        self.relay, self.discovery = Address(), Address()
+        self.relay, self.discovery = HttpServer(), HttpServer()
         listen = f"127.0.0.1:{PORTS.take()}"
         self.rows = [entry(k) for k in range(servers)]
-        self.seq = 7
-        made = settings(**({"reloadsMax": 0} | family)) | {"limits": {"probes": probes}}
+        self.version = 7
+        platforms = settings(**({"reloadsMax": 0} | family)) | {"limits": {"probes": health_checks}}
         config = {
             "name": "n0",
             "listen": listen,
-            "discovery": self.discovery.name,
+            "discovery": self.discovery.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "store": {"address": self.relay.name},
-            "settings": made,
+            "store": {"address": self.relay.address},
+            "settings": platforms,
         }
-        self.store = Store({s: {f"s-{s % servers}": 1.0} for s in range(made["familyInfo"]["slices"])})
-        self.node = NodeProcess(tmp / "config.json", config, constants)
-        self.news: Any = None
-        self.list: Any = None
-
-    def opened(self, target: str, address: Address | None = None) -> Wire:
+        self.store = RelayStore(
+            {s: {f"s-{s % servers}": 1.0} for s in range(platforms["familyInfo"]["slices"])}
+        )
+        self.assigner = AssignerProcess(folder / "config.json", config, constants)
+        self.relay_watch: Any = None
+        self.list_watch: Any = None
+
+    def accept_watch(self, target: str, address: HttpServer | None = None) -> HttpConnection:
         """The next watch at an address, with the head of its answer."""
-        wire, _, _ = (address or (self.relay if target == NEWS else self.discovery)).next(target)
-        wire.begin()
-        return wire
+        connection, _, _ = (
+            address or (self.relay if target == RELAY_WATCH else self.discovery)
+        ).next_request(target)
+        connection.begin_response()
+        return connection
 
     def start(self, *extra: Any) -> Platform:
         """All stands, and the assigner serves."""
-        self.list = self.opened(LIST)
-        self.list.lines(self.whole())
-        self.news = self.opened(NEWS)
-        self.news.lines(*map(joined, range(3)), *self.store.held(), *extra, SIGN)
-        self.node.until("serving")
-        self.node.until("endpoint_list", version=self.seq)
+        self.list_watch = self.accept_watch(LIST_WATCH)
+        self.list_watch.send_lines(self.list_snapshot())
+        self.relay_watch = self.accept_watch(RELAY_WATCH)
+        self.relay_watch.send_lines(
+            *map(proxy_joined, range(3)), *self.store.snapshot_messages(), *extra, HEARTBEAT
+        )
+        self.assigner.wait_for("serving")
+        self.assigner.wait_for("endpoint_list", version=self.version)
         return self
 
-    def whole(self) -> dict[str, Any]:
-        return {"seq": self.seq, "whole": True, "hosts": self.rows}
+    def relay_snapshot(self) -> list[dict[str, Any]]:
+        """All proxies and tables, and the heartbeat that ends them."""
+        return [*map(proxy_joined, range(3)), *self.store.snapshot_messages(), HEARTBEAT]
+
+    def list_snapshot(self) -> dict[str, Any]:
+        return {"seq": self.version, "whole": True, "hosts": self.rows}
 
-    def tell(self, *rows: dict[str, Any]) -> None:
+    def change_list(self, *rows: dict[str, Any]) -> None:
         """Discovery tells changes, and they have been heard."""
-        self.seq += 1
-        self.list.lines({"seq": self.seq, "whole": False, "hosts": list(rows)})
-        self.node.until("endpoint_list", version=self.seq)
+        self.version += 1
+        self.list_watch.send_lines({"seq": self.version, "whole": False, "hosts": list(rows)})
+        self.assigner.wait_for("endpoint_list", version=self.version)
 
     def drain(self, k: int) -> None:
-        self.tell(entry(k, "leaving"))
+        self.change_list(entry(k, "leaving"))
 
-    def call(self, address: Address | None = None) -> tuple[Wire, bytes]:
-        wire, _, body = (address or self.relay).next(CALL)
-        return wire, body
+    def call(self, address: HttpServer | None = None) -> tuple[HttpConnection, bytes]:
+        connection, _, body = (address or self.relay).next_request(CALL)
+        return connection, body
 
-    def served(self, address: Address | None = None) -> None:
+    def answer_call(self, address: HttpServer | None = None) -> None:
         """One call, carried out and answered."""
-        wire, body = self.call(address)
-        wire.answer(self.store.take(body))
+        connection, body = self.call(address)
+        connection.respond(self.store.apply_call(body))
 
-    def until_off(self, *hosts: str, address: Address | None = None) -> None:
+    def answer_calls_until_withdrawn(self, *hosts: str, address: HttpServer | None = None) -> None:
         """Calls are answered until nobody is sent to these hosts any more."""
-        while self.store.named() & set(hosts):
-            self.served(address)
+        while self.store.routable_hosts() & set(hosts):
+            self.answer_call(address)
 
     def end(self) -> None:
-        self.node.end()
+        self.assigner.end()
         self.relay.close()
         self.discovery.close()
 
 
 @pytest.fixture
-def make(tmp_path: Path) -> Iterator[Callable[..., Platform]]:
+def new_platform(tmp_path: Path) -> Iterator[Callable[..., Platform]]:
     with ExitStack() as stack:
 
-        def made(**changes: Any) -> Platform:
+        def platforms(**changes: Any) -> Platform:
             platform = Platform(tmp_path, **changes)
             stack.callback(platform.end)
             return platform
 
-        yield made
+        yield platforms
 
 
 # The end --------------------------------------------------------------------------------------------
 
 
-def test_no_call_begins_after_sigterm(make: Callable[..., Platform]) -> None:
+def test_no_call_begins_after_sigterm(new_platform: Callable[..., Platform]) -> None:
     """One is on its way and another order waits; the answer comes after the signal."""
-    p = make(constants={**PATIENT, "platform.service.STOP_TIMEOUT_S": 20}).start()
-    p.drain(1)
-    wire, body = p.call()
-    p.drain(2)  # waits for the answer
-    p.node.until("decision", 2)
-    asker = p.node.dial()
-    p.node.signal(signal.SIGTERM)
-    p.node.until("stopping")
+    platform = new_platform(constants={**PATIENT, "platform.service.STOP_TIMEOUT_S": 20}).start()
+    platform.drain(1)
+    connection, body = platform.call()
+    platform.drain(2)  # waits for the answer
+    platform.assigner.wait_for("decision", 2)
+    asker = platform.assigner.connect()
+    platform.assigner.signal(signal.SIGTERM)
+    platform.assigner.wait_for("stopping")
     with suppress(OSError):
         asker.sendall(b'{"msg":"ping"}\n')
-    until_connections_are_refused(p)
-    assert p.node.process.poll() is None  # the call is still on its way
-    wire.answer(p.store.take(body))
-    assert p.node.process.wait(5) == 0
-    assert not p.relay.waiting(CALL) and "s-1" not in p.store.named()
-    assert got(asker) == b""  # nor was it said to be alive
+    until_connections_are_refused(platform)
+    assert platform.assigner.process.poll() is None  # the call is still on its way
+    connection.respond(platform.store.apply_call(body))
+    assert platform.assigner.process.wait(5) == 0
+    assert not platform.relay.has_request(CALL) and "s-1" not in platform.store.routable_hosts()
+    assert read_to_end(asker) == b""  # nor was it said to be alive
 
 
-def until_connections_are_refused(p: Platform, limit_s: float = 2.0) -> None:
+def until_connections_are_refused(platform: Platform, limit_s: float = 2.0) -> None:
     """The row "stopping" is written before the port closes, at the end of that turn of the reactor. Until then the
     kernel completes handshakes by itself: such connections are never accepted, and end without a byte."""
     unaccepted: list[socket.socket] = []
@@ -156,7 +177,7 @@
     while True:
         assert time.monotonic() < end, "connections are still taken"
         try:
-            unaccepted.append(p.node.dial())
+            unaccepted.append(platform.assigner.connect())
         except ConnectionResetError:  # the port closed right after the handshake
             continue
         except ConnectionRefusedError:
@@ -164,10 +185,10 @@
     for sock in unaccepted:
         with suppress(OSError):
             sock.sendall(b'{"msg":"ping"}\n')
-        assert got(sock) == b""
+        assert read_to_end(sock) == b""
 
 
-def got(sock: socket.socket) -> bytes:
+def read_to_end(sock: socket.socket) -> bytes:
     """All that a connection gives until it ends."""
     sock.settimeout(15)
     out = b""
@@ -179,172 +200,195 @@
     return out
 
 
-def nothing_known(p: Platform) -> None:
-    p.relay.next(NEWS)
-    p.discovery.next(LIST)
+def before_any_state(platform: Platform) -> None:
+    platform.relay.next_request(RELAY_WATCH)
+    platform.discovery.next_request(LIST_WATCH)
 
 
-def while_moving(p: Platform) -> None:
-    p.start()
-    to = Address()
-    p.node.write(discovery=to.name, store={"address": to.name})
-    p.node.signal(signal.SIGHUP)
-    to.next(NEWS)  # dialled, and not answered
+def while_moving(platform: Platform) -> None:
+    platform.start()
+    to = HttpServer()
+    platform.assigner.write(discovery=to.address, store={"address": to.address})
+    platform.assigner.signal(signal.SIGHUP)
+    to.next_request(RELAY_WATCH)  # dialled, and not answered
 
 
-def while_in_doubt(p: Platform) -> None:
-    p.start()
-    p.drain(1)
-    wire, body = p.call()
-    p.store.take(body)
-    wire.reset()
-    p.relay.next(NEWS)  # what stands is asked for, and not told
+def while_uncertain(platform: Platform) -> None:
+    platform.start()
+    platform.drain(1)
+    connection, body = platform.call()
+    platform.store.apply_call(body)
+    connection.reset()
+    platform.relay.next_request(RELAY_WATCH)  # what stands is asked for, and not told
 
 
-def twice(p: Platform) -> None:
-    p.start()
-    p.drain(1)
-    p.call()
-    p.node.signal(signal.SIGTERM)
-    p.node.until("stopping")
+def after_first_sigterm(platform: Platform) -> None:
+    platform.start()
+    platform.drain(1)
+    platform.call()
+    platform.assigner.signal(signal.SIGTERM)
+    platform.assigner.wait_for("stopping")
 
 
-@pytest.mark.parametrize("state", [nothing_known, while_moving, while_in_doubt, twice])
+@pytest.mark.parametrize("state", [before_any_state, while_moving, while_uncertain, after_first_sigterm])
 def test_sigterm_ends_it_at_any_time(
-    make: Callable[..., Platform], state: Callable[[Platform], None]
+    new_platform: Callable[..., Platform], state: Callable[[Platform], None]
 ) -> None:
-    p = make()
-    state(p)
-    calls = len(p.store.received)
-    p.node.signal(signal.SIGTERM)
-    assert p.node.process.wait(5) == 0
-    p.node.until("stopping")
-    assert len(p.store.received) == calls and len(p.node.logged("stopping")) == 1
+    platform = new_platform()
+    state(platform)
+    calls = len(platform.store.received)
+    platform.assigner.signal(signal.SIGTERM)
+    assert platform.assigner.process.wait(5) == 0
+    platform.assigner.wait_for("stopping")
+    assert len(platform.store.received) == calls and len(platform.assigner.logged("stopping")) == 1
 
 
 # The relay's news -------------------------------------------------------------------------------------
 
 
-def test_state_missing_from_an_incomplete_snapshot_is_not_removed(make: Callable[..., Platform]) -> None:
+def test_state_missing_from_an_incomplete_snapshot_is_not_removed(
+    new_platform: Callable[..., Platform],
+) -> None:
     """What stands comes in two pieces, with a gap in which a server drains; a kind that is not known is no end."""
-    p = make().start()
-    p.news.reset()
-    p.news = p.opened(NEWS)
-    p.store.tables[6] = {"s-0": 1.0}  # new since
-    p.news.lines(joined(0), given(6), held(6, "s-0"), {"type": "tide", "object": {"level": 3}})
-    p.node.until("ownership_changed", granted=1)  # the pause has passed
-    p.drain(1)
-    p.until_off("s-1")  # in all tables, though the watch names one
-    p.news.lines(*map(joined, (1, 2)), *p.store.held(*range(6)), SIGN)
-    p.drain(0)
-    p.until_off("s-0", "s-1")
-    assert all(p.store.tables.values()) and not p.node.logged("table_differs")
+    platform = new_platform().start()
+    platform.relay_watch.reset()
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH)
+    platform.store.tables[6] = {"s-0": 1.0}  # new since
+    platform.relay_watch.send_lines(
+        proxy_joined(0), slice_granted(6), table_weight(6, "s-0"), {"type": "tide", "object": {"level": 3}}
+    )
+    platform.assigner.wait_for("ownership_changed", granted=1)  # the pause has passed
+    platform.drain(1)
+    platform.answer_calls_until_withdrawn("s-1")  # in all tables, though the watch names one
+    platform.relay_watch.send_lines(
+        *map(proxy_joined, (1, 2)), *platform.store.snapshot_messages(*range(6)), HEARTBEAT
+    )
+    platform.drain(0)
+    platform.answer_calls_until_withdrawn("s-0", "s-1")
+    assert all(platform.store.tables.values()) and not platform.assigner.logged("table_differs")
 
 
 def test_input_received_while_the_process_is_paused_counts_though_timers_fire_first(
-    make: Callable[..., Platform],
+    new_platform: Callable[..., Platform],
 ) -> None:
-    p = make().start()
-    p.news.reset()
-    p.news = p.opened(NEWS)
-    p.news.lines(joined(0), *p.store.held(0))
-    p.node.until("relay_watch_opened", 2)  # the first piece has been read
-    p.node.signal(signal.SIGSTOP)
-    p.news.lines(*map(joined, (1, 2)), *p.store.held(1, 2, 3, 4, 5), SIGN)
+    platform = new_platform().start()
+    platform.relay_watch.reset()
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH)
+    platform.relay_watch.send_lines(proxy_joined(0), *platform.store.snapshot_messages(0))
+    platform.assigner.wait_for("relay_watch_opened", 2)  # the first piece has been read
+    platform.assigner.signal(signal.SIGSTOP)
+    platform.relay_watch.send_lines(
+        *map(proxy_joined, (1, 2)), *platform.store.snapshot_messages(1, 2, 3, 4, 5), HEARTBEAT
+    )
     time.sleep(0.5)  # all its pauses are over when it wakes
-    p.list.lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
-    p.node.signal(signal.SIGCONT)
-    wire, body = p.call()  # one, for both slices that stand there
+    platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
+    platform.assigner.signal(signal.SIGCONT)
+    connection, body = platform.call()  # one, for both slices that stand there
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {1, 5}
-    wire.answer(p.store.take(body))
-    assert not p.node.logged("ownership_changed", revoked=5) and all(p.store.tables.values())
-
-
-def test_repeated_relay_messages_and_lists_change_nothing(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    told = [joined(0), *p.store.held(), SIGN]
-    p.news.lines(*told, *told)
-    p.drain(1)
-    p.until_off("s-1")
-    p.list.lines({"seq": 8, "whole": False, "hosts": [entry(1)]})  # an older one, late: it was well then
-    p.drain(2)
-    p.until_off("s-1", "s-2")
-    assert all(p.store.tables.values())
-
-
-def test_state_missing_from_a_complete_snapshot_is_removed(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    p.news.reset()
-    p.news = p.opened(NEWS)
-    p.news.lines(*map(joined, range(3)), *p.store.held(0, 2, 3, 4, 5), SIGN)
-    p.node.until("ownership_changed", revoked=1)
-    p.drain(1)  # slices 1 and 5 were there
-    wire, body = p.call()
+    connection.respond(platform.store.apply_call(body))
+    assert not platform.assigner.logged("ownership_changed", revoked=5) and all(
+        platform.store.tables.values()
+    )
+
+
+def test_repeated_relay_messages_and_lists_change_nothing(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    ignored_keys = [proxy_joined(0), *platform.store.snapshot_messages(), HEARTBEAT]
+    platform.relay_watch.send_lines(*ignored_keys, *ignored_keys)
+    platform.drain(1)
+    platform.answer_calls_until_withdrawn("s-1")
+    platform.list_watch.send_lines(
+        {"seq": 8, "whole": False, "hosts": [entry(1)]}
+    )  # an older one, late: it was well then
+    platform.drain(2)
+    platform.answer_calls_until_withdrawn("s-1", "s-2")
+    assert all(platform.store.tables.values())
+
+
+def test_state_missing_from_a_complete_snapshot_is_removed(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    platform.relay_watch.reset()
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH)
+    platform.relay_watch.send_lines(
+        *map(proxy_joined, range(3)), *platform.store.snapshot_messages(0, 2, 3, 4, 5), HEARTBEAT
+    )
+    platform.assigner.wait_for("ownership_changed", revoked=1)
+    platform.drain(1)  # slices 1 and 5 were there
+    connection, body = platform.call()
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {5}
-    wire.answer(p.store.take(body))
+    connection.respond(platform.store.apply_call(body))
 
 
-def test_weight_received_after_its_table_was_passed_on_counts(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    p.store.tables[6] = {"s-0": 1.0, "s-1": 1.0}
-    p.news.lines(given(6), held(6, "s-0"))
-    p.node.until("ownership_changed", granted=1)
-    p.store.tables[7] = {"s-0": 1.0}
-    p.news.lines(held(6, "s-1"), given(7), held(7, "s-0"))
-    p.node.until("ownership_changed", 2, granted=1)
-    p.drain(1)
-    p.until_off("s-1")
-    assert all(p.store.tables.values())
+def test_weight_received_after_its_table_was_passed_on_counts(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    platform.store.tables[6] = {"s-0": 1.0, "s-1": 1.0}
+    platform.relay_watch.send_lines(slice_granted(6), table_weight(6, "s-0"))
+    platform.assigner.wait_for("ownership_changed", granted=1)
+    platform.store.tables[7] = {"s-0": 1.0}
+    platform.relay_watch.send_lines(table_weight(6, "s-1"), slice_granted(7), table_weight(7, "s-0"))
+    platform.assigner.wait_for("ownership_changed", 2, granted=1)
+    platform.drain(1)
+    platform.answer_calls_until_withdrawn("s-1")
+    assert all(platform.store.tables.values())
 
 
 def test_uncertain_weights_are_dropped_when_their_slice_was_revoked_and_granted_again(
-    make: Callable[..., Platform],
+    new_platform: Callable[..., Platform],
 ) -> None:
     """Between the call and the look at what became of it, an heir had the slice and moved it elsewhere."""
-    p = make().start()
-    p.drain(1)
-    wire, body = p.call()
+    platform = new_platform().start()
+    platform.drain(1)
+    connection, body = platform.call()
     lost = [r for r in json.loads(body)["orders"] if r["do"] == "SET" and r["share"] > 0 and r["group"] == 1]
     assert lost
-    wire.reset()  # not carried out
-    look = p.opened(NEWS)
+    connection.reset()  # not carried out
+    snapshot = platform.accept_watch(RELAY_WATCH)
     other = next(f"s-{k}" for k in (0, 2, 3) if f"s-{k}" != lost[0]["host"])
-    p.store.tables[1] = {other: 1.0}
-    p.news.lines(given(1, False), given(1), *p.store.held(1)[1:], SIGN)
-    p.node.until("ownership_changed", granted=1, revoked=0)
-    look.lines(*p.store.held(), SIGN)
-    p.until_off("s-1")
-    assert lost[0] not in p.store.received and p.store.tables[1] == {other: 1.0}
-
-
-def test_slice_revoked_granted_and_revoked_in_one_packet(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    p.news.lines(given(1, False), given(1), held(1, "s-1"), given(1, False), held(1, "s-1"), SIGN)
-    p.node.until("ownership_changed", revoked=1)
-    p.drain(1)
-    wire, body = p.call()
+    platform.store.tables[1] = {other: 1.0}
+    platform.relay_watch.send_lines(
+        slice_granted(1, False), slice_granted(1), *platform.store.snapshot_messages(1)[1:], HEARTBEAT
+    )
+    platform.assigner.wait_for("ownership_changed", granted=1, revoked=0)
+    snapshot.send_lines(*platform.store.snapshot_messages(), HEARTBEAT)
+    platform.answer_calls_until_withdrawn("s-1")
+    assert lost[0] not in platform.store.received and platform.store.tables[1] == {other: 1.0}
+
+
+def test_slice_revoked_granted_and_revoked_in_one_packet(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    platform.relay_watch.send_lines(
+        slice_granted(1, False),
+        slice_granted(1),
+        table_weight(1, "s-1"),
+        slice_granted(1, False),
+        table_weight(1, "s-1"),
+        HEARTBEAT,
+    )
+    platform.assigner.wait_for("ownership_changed", revoked=1)
+    platform.drain(1)
+    connection, body = platform.call()
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {5}
-    wire.answer(p.store.take(body))
+    connection.respond(platform.store.apply_call(body))
 
 
 def test_successor_reads_what_was_applied_of_a_killed_senders_call(
-    make: Callable[..., Platform],
+    new_platform: Callable[..., Platform],
 ) -> None:
-    p = make().start()
-    p.drain(1)
-    wire, body = p.call()
-    p.node.end()  # killed between order and answer
-    wire.answer(p.store.take(body))
-    first = list(p.store.received)
-    p.relay.close()
-    p.discovery.close()
-    heir = make()  # a process of the same configuration, from nothing
-    heir.store, heir.rows[1] = p.store, entry(1, "leaving")
-    heir.start()
-    heir.drain(2)
-    heir.until_off("s-1", "s-2")
-    again = [r for r in p.store.received[len(first) :] if r["do"] == "SET" and r in first]
-    assert not again and all(p.store.tables.values())
+    platform = new_platform().start()
+    platform.drain(1)
+    connection, body = platform.call()
+    platform.assigner.end()  # killed between order and answer
+    connection.respond(platform.store.apply_call(body))
+    first = list(platform.store.received)
+    platform.relay.close()
+    platform.discovery.close()
+    successor = new_platform()  # a process of the same configuration, from nothing
+    successor.store, successor.rows[1] = platform.store, entry(1, "leaving")
+    successor.start()
+    successor.drain(2)
+    successor.answer_calls_until_withdrawn("s-1", "s-2")
+    again = [r for r in platform.store.received[len(first) :] if r["do"] == "SET" and r in first]
+    assert not again and all(platform.store.tables.values())
 
 
 # Calls ------------------------------------------------------------------------------------------------
@@ -352,192 +396,218 @@
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"accepted":%d}'
 
 
-def test_answer_cut_at_any_byte_repeats_and_loses_no_order(make: Callable[..., Platform]) -> None:
+def test_answer_cut_at_any_byte_repeats_and_loses_no_order(new_platform: Callable[..., Platform]) -> None:
     """At each byte of it, closed and reset in turn; carried out and, every third time, not."""
     cuts = len(ANSWER) - 1
-    p = make(servers=cuts + 2, slices=cuts + 2).start()
+    platform = new_platform(servers=cuts + 2, slices=cuts + 2).start()
     undone: list[str] = []
     for cut in range(cuts):
-        p.drain(cut)
-        wire, body = p.call()
+        platform.drain(cut)
+        connection, body = platform.call()
         carried = cut % 3 != 2
-        p.store.take(body, carried)
+        platform.store.apply_call(body, carried)
         orders = json.loads(body)["orders"]
         undone += [json.dumps(r) for r in orders if r["do"] == "SET" and not carried]
-        wire.send((ANSWER % len(orders))[:cut])
-        (wire.reset if cut % 2 else wire.close)()
-        look = p.opened(NEWS)
-        look.lines(*p.store.held(), SIGN)
-        p.node.until("call_resolved", cut + 1)
+        connection.send((ANSWER % len(orders))[:cut])
+        (connection.reset if cut % 2 else connection.close)()
+        snapshot = platform.accept_watch(RELAY_WATCH)
+        snapshot.send_lines(*platform.store.snapshot_messages(), HEARTBEAT)
+        platform.assigner.wait_for("call_resolved", cut + 1)
         if not carried:
-            p.until_off(f"s-{cut}")
-        assert f"s-{cut}" not in p.store.named()
-    made = [json.dumps(r) for r in p.store.received if r["do"] == "SET"]
-    assert Counter(made) == Counter(set(made)) + Counter(undone) and all(p.store.tables.values())
+            platform.answer_calls_until_withdrawn(f"s-{cut}")
+        assert f"s-{cut}" not in platform.store.routable_hosts()
+    platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
+    assert Counter(platforms) == Counter(set(platforms)) + Counter(undone) and all(
+        platform.store.tables.values()
+    )
 
 
 def test_snapshot_in_two_packets_repeats_no_applied_order(
-    make: Callable[..., Platform],
+    new_platform: Callable[..., Platform],
 ) -> None:
-    p = make().start()
-    p.drain(1)
-    wire, body = p.call()
-    p.store.take(body)
-    wire.reset()
-    look = p.opened(NEWS)
-    look.lines(*p.store.held(0, 1))
-    p.node.until("call_resolved", applied=True)
-    p.drain(2)
-    p.until_off("s-1", "s-2")
-    made = [json.dumps(r) for r in p.store.received if r["do"] == "SET"]
-    assert len(made) == len(set(made))
+    platform = new_platform().start()
+    platform.drain(1)
+    connection, body = platform.call()
+    platform.store.apply_call(body)
+    connection.reset()
+    snapshot = platform.accept_watch(RELAY_WATCH)
+    snapshot.send_lines(*platform.store.snapshot_messages(0, 1))
+    platform.assigner.wait_for("call_resolved", applied=True)
+    platform.drain(2)
+    platform.answer_calls_until_withdrawn("s-1", "s-2")
+    platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
+    assert len(platforms) == len(set(platforms))
 
 
 # The list ---------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("bad", [b'{"seq":8,"whole":fal\n', b'{"whole":false,"hosts":[]}\n', b"\xff\xfe\n"])
-def test_malformed_list_changes_are_requested_again(make: Callable[..., Platform], bad: bytes) -> None:
-    p = make().start()
-    p.list.lines(bad, {"seq": 9, "whole": False, "hosts": [entry(3, share=1.5)]})  # well, and later
-    p.list, target, _ = p.discovery.next(LIST)
+def test_malformed_list_changes_are_requested_again(
+    new_platform: Callable[..., Platform], bad: bytes
+) -> None:
+    platform = new_platform().start()
+    platform.list_watch.send_lines(
+        bad, {"seq": 9, "whole": False, "hosts": [entry(3, share=1.5)]}
+    )  # well, and later
+    platform.list_watch, target, _ = platform.discovery.next_request(LIST_WATCH)
     assert target.endswith("since=7")
-    p.list.begin()
-    p.list.lines({"seq": 9, "whole": False, "hosts": [entry(1, "leaving"), entry(3, share=1.5)]})
-    p.until_off("s-1")
+    platform.list_watch.begin_response()
+    platform.list_watch.send_lines(
+        {"seq": 9, "whole": False, "hosts": [entry(1, "leaving"), entry(3, share=1.5)]}
+    )
+    platform.answer_calls_until_withdrawn("s-1")
 
 
-def test_half_a_line_followed_by_silence_loses_nothing(make: Callable[..., Platform]) -> None:
-    p = make(constants={**PATIENT, "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1}).start()
-    p.list.lines(b'{"seq":8,"whole":false,"hosts":[')
-    p.list, target, _ = p.discovery.next(LIST)
+def test_half_a_line_followed_by_silence_loses_nothing(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform(constants={**PATIENT, "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1}).start()
+    platform.list_watch.send_lines(b'{"seq":8,"whole":false,"hosts":[')
+    platform.list_watch, target, _ = platform.discovery.next_request(LIST_WATCH)
     assert target.endswith("since=7")
-    p.list.begin()
-    p.list.lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
-    p.until_off("s-1")
-
-
-def test_stale_discovery_agent_reinstates_no_server(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    old = p.whole()
-    p.drain(1)
-    p.until_off("s-1")
-    p.list.reset()
-    p.list = p.opened(LIST)
-    p.list.lines(old)
-    p.drain(2)
-    p.drain(3)  # s-0 alone is left
-    p.until_off("s-1", "s-2", "s-3")
-    assert all(p.store.tables.values())
-
-
-def test_snapshot_of_the_list_in_place_of_a_delta(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    p.rows[1] = entry(1, "leaving")
-    del p.rows[3]
-    p.seq += 1
-    p.list.lines(p.whole())
-    p.until_off("s-1", "s-3")
-    assert all(p.store.tables.values())
-
-
-def test_host_names_in_tables_are_retained_until_a_late_list_arrives(make: Callable[..., Platform]) -> None:
-    p = make(constants={**PATIENT, "platform.service.FORGET_PERIOD_S": 0.1, "platform.stats.PERIOD_S": 0.2})
-    p.store.tables[0]["s-9"] = 1.0  # which the list will not have
-    p.news = p.opened(NEWS)
-    p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
-    p.node.until("ownership_changed", slices=SLICES)
-    p.node.until("stats", len(p.node.logged("stats")) + 2)  # and has forgotten what it forgets meanwhile
-    p.list = p.opened(LIST)
-    p.list.lines(p.whole())
-    p.until_off("s-9")
-    assert all(p.store.tables.values()) and not p.node.logged("order_invalid")
+    platform.list_watch.begin_response()
+    platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
+    platform.answer_calls_until_withdrawn("s-1")
+
+
+def test_stale_discovery_agent_reinstates_no_server(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    old = platform.list_snapshot()
+    platform.drain(1)
+    platform.answer_calls_until_withdrawn("s-1")
+    platform.list_watch.reset()
+    platform.list_watch = platform.accept_watch(LIST_WATCH)
+    platform.list_watch.send_lines(old)
+    platform.drain(2)
+    platform.drain(3)  # s-0 alone is left
+    platform.answer_calls_until_withdrawn("s-1", "s-2", "s-3")
+    assert all(platform.store.tables.values())
+
+
+def test_snapshot_of_the_list_in_place_of_a_delta(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    platform.rows[1] = entry(1, "leaving")
+    del platform.rows[3]
+    platform.version += 1
+    platform.list_watch.send_lines(platform.list_snapshot())
+    platform.answer_calls_until_withdrawn("s-1", "s-3")
+    assert all(platform.store.tables.values())
+
+
+def test_host_names_in_tables_are_retained_until_a_late_list_arrives(
+    new_platform: Callable[..., Platform],
+) -> None:
+    platform = new_platform(
+        constants={**PATIENT, "platform.service.FORGET_PERIOD_S": 0.1, "platform.stats.PERIOD_S": 0.2}
+    )
+    platform.store.tables[0]["s-9"] = 1.0  # which the list will not have
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH)
+    platform.relay_watch.send_lines(*platform.relay_snapshot())
+    platform.assigner.wait_for("ownership_changed", slices=SLICES)
+    platform.assigner.wait_for(
+        "stats", len(platform.assigner.logged("stats")) + 2
+    )  # and has forgotten what it forgets meanwhile
+    platform.list_watch = platform.accept_watch(LIST_WATCH)
+    platform.list_watch.send_lines(platform.list_snapshot())
+    platform.answer_calls_until_withdrawn("s-9")
+    assert all(platform.store.tables.values()) and not platform.assigner.logged("order_invalid")
 
 
 # Reload -----------------------------------------------------------------------------------------------
 
 
-def test_old_stream_is_read_until_the_first_line_of_the_new_one(make: Callable[..., Platform]) -> None:
+def test_old_stream_is_read_until_the_first_line_of_the_new_one(
+    new_platform: Callable[..., Platform],
+) -> None:
     """The new one gives its head and is reset: what the old one tells meanwhile counts."""
-    p = make().start()
-    to = Address()
-    p.node.write(discovery=to.name, store={"address": to.name})
-    p.node.signal(signal.SIGHUP)
-    first = [p.opened(NEWS, to), p.opened(LIST, to)]
-    p.drain(1)  # told by the old one
-    p.until_off("s-1", address=to)
-    for wire in first:
-        wire.reset()
-    p.drain(2)
-    p.until_off("s-2", address=to)
-    assert not p.news.ended.is_set() and not p.list.ended.is_set()
-    p.news, p.list = p.opened(NEWS, to), p.opened(LIST, to)
-    p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
-    p.list.lines({"seq": p.seq + 1, "whole": False, "hosts": [entry(3, "leaving")]})
-    p.until_off("s-3", address=to)
-    assert all(p.store.tables.values()) and not p.relay.waiting(CALL)
+    platform = new_platform().start()
+    to = HttpServer()
+    platform.assigner.write(discovery=to.address, store={"address": to.address})
+    platform.assigner.signal(signal.SIGHUP)
+    first = [platform.accept_watch(RELAY_WATCH, to), platform.accept_watch(LIST_WATCH, to)]
+    platform.drain(1)  # told by the old one
+    platform.answer_calls_until_withdrawn("s-1", address=to)
+    for connection in first:
+        connection.reset()
+    platform.drain(2)
+    platform.answer_calls_until_withdrawn("s-2", address=to)
+    assert not platform.relay_watch.ended.is_set() and not platform.list_watch.ended.is_set()
+    platform.relay_watch, platform.list_watch = (
+        platform.accept_watch(RELAY_WATCH, to),
+        platform.accept_watch(LIST_WATCH, to),
+    )
+    platform.relay_watch.send_lines(*platform.relay_snapshot())
+    platform.list_watch.send_lines(
+        {"seq": platform.version + 1, "whole": False, "hosts": [entry(3, "leaving")]}
+    )
+    platform.answer_calls_until_withdrawn("s-3", address=to)
+    assert all(platform.store.tables.values()) and not platform.relay.has_request(CALL)
     to.close()
 
 
-def test_second_reload_while_the_first_move_is_connecting(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    to = Address()
-    p.node.write(discovery=to.name, store={"address": to.name})
-    p.node.signal(signal.SIGHUP)
-    to.next(NEWS)
-    to.next(LIST)  # neither is answered
-    p.node.write(discovery=p.discovery.name, store={"address": p.relay.name})
-    p.node.signal(signal.SIGHUP)
-    p.node.until("reloaded", 2)
-    p.news, p.list = p.opened(NEWS), p.opened(LIST)
-    p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
-    p.list.lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
-    p.until_off("s-1")
-    assert not to.waiting(CALL) and all(p.store.tables.values())
-    assert all(wire.ended.wait(5) for wire in to.wires)
+def test_second_reload_while_the_first_move_is_connecting(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    to = HttpServer()
+    platform.assigner.write(discovery=to.address, store={"address": to.address})
+    platform.assigner.signal(signal.SIGHUP)
+    to.next_request(RELAY_WATCH)
+    to.next_request(LIST_WATCH)  # neither is answered
+    platform.assigner.write(discovery=platform.discovery.address, store={"address": platform.relay.address})
+    platform.assigner.signal(signal.SIGHUP)
+    platform.assigner.wait_for("reloaded", 2)
+    platform.relay_watch, platform.list_watch = (
+        platform.accept_watch(RELAY_WATCH),
+        platform.accept_watch(LIST_WATCH),
+    )
+    platform.relay_watch.send_lines(*platform.relay_snapshot())
+    platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
+    platform.answer_calls_until_withdrawn("s-1")
+    assert not to.has_request(CALL) and all(platform.store.tables.values())
+    assert all(connection.ended.wait(5) for connection in to.connections)
     to.close()
 
 
-def test_uncertain_call_to_the_old_relay_is_resolved_at_the_new_one(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    p.drain(1)
-    wire, body = p.call()
-    to = Address()
-    p.node.write(store={"address": to.name})
-    p.node.signal(signal.SIGHUP)
-    p.news = p.opened(NEWS, to)
-    p.store.take(body)  # carried out, and the answer is lost
-    wire.reset()
-    look = p.opened(NEWS, to)
-    for watch in (look, p.news):
-        watch.lines(*map(joined, range(3)), *p.store.held(), SIGN)
-    p.node.until("call_resolved", applied=True)
-    p.drain(2)
-    p.until_off("s-1", "s-2", address=to)
-    made = [json.dumps(r) for r in p.store.received if r["do"] == "SET"]
-    assert len(made) == len(set(made)) and not p.relay.waiting(CALL)
+def test_uncertain_call_to_the_old_relay_is_resolved_at_the_new_one(
+    new_platform: Callable[..., Platform],
+) -> None:
+    platform = new_platform().start()
+    platform.drain(1)
+    connection, body = platform.call()
+    to = HttpServer()
+    platform.assigner.write(store={"address": to.address})
+    platform.assigner.signal(signal.SIGHUP)
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH, to)
+    platform.store.apply_call(body)  # carried out, and the answer is lost
+    connection.reset()
+    snapshot = platform.accept_watch(RELAY_WATCH, to)
+    for watch in (snapshot, platform.relay_watch):
+        watch.send_lines(*platform.relay_snapshot())
+    platform.assigner.wait_for("call_resolved", applied=True)
+    platform.drain(2)
+    platform.answer_calls_until_withdrawn("s-1", "s-2", address=to)
+    platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
+    assert len(platforms) == len(set(platforms)) and not platform.relay.has_request(CALL)
     to.close()
 
 
-def test_reload_applies_both_addresses_and_nothing_else(make: Callable[..., Platform]) -> None:
-    p = make().start()
-    to = Address()
-    new = json.loads(json.dumps(p.node.config["settings"]))
+def test_reload_applies_both_addresses_and_nothing_else(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform().start()
+    to = HttpServer()
+    new = json.loads(json.dumps(platform.assigner.config["settings"]))
     new["familyInfo"]["slices"], new["rules"]["stopSendingWithinS"], new["zones"] = 9, 30.0, ["b"]
-    p.node.write(settings=new, store={"address": to.name})
-    p.node.signal(signal.SIGHUP)
-    p.node.until("reloaded")
-    told = {r["key"] for r in p.node.logged("reload_ignored")}
-    assert told == {"settings.slice_count", "settings.drain_grace_s", "names.zones"}
-    p.news = p.opened(NEWS, to)
-    p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)  # of zone a, as the settings in force have it
-    p.drain(1)
-    p.until_off("s-1", address=to)
-    p.node.path.write_text('{"store": ')
-    p.node.signal(signal.SIGHUP)
-    p.node.until("reload_rejected")
-    p.drain(2)
-    p.until_off("s-2", address=to)
+    platform.assigner.write(settings=new, store={"address": to.address})
+    platform.assigner.signal(signal.SIGHUP)
+    platform.assigner.wait_for("reloaded")
+    ignored_keys = {r["key"] for r in platform.assigner.logged("reload_ignored")}
+    assert ignored_keys == {"settings.slice_count", "settings.drain_grace_s", "names.zones"}
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH, to)
+    platform.relay_watch.send_lines(*platform.relay_snapshot())  # of zone a, as the settings in force have it
+    platform.drain(1)
+    platform.answer_calls_until_withdrawn("s-1", address=to)
+    platform.assigner.path.write_text('{"store": ')
+    platform.assigner.signal(signal.SIGHUP)
+    platform.assigner.wait_for("reload_rejected")
+    platform.drain(2)
+    platform.answer_calls_until_withdrawn("s-2", address=to)
     to.close()
 
 
@@ -550,65 +620,84 @@
 
 @pytest.mark.parametrize("pieces", [[ONE + OTHER], [ONE, OTHER], [ONE + OTHER[:9]]])
 def test_bytes_beyond_a_response_are_not_read_as_the_next_one(
-    make: Callable[..., Platform], pieces: list[bytes]
+    new_platform: Callable[..., Platform], pieces: list[bytes]
 ) -> None:
-    p = make(probes=True, servers=1)
-    task = Address()
-    p.rows = [entry(0, dial=task.name)]
-    p.start()
-    first, _, _ = task.next("GET /_load")
+    platform = new_platform(health_checks=True, servers=1)
+    task = HttpServer()
+    platform.rows = [entry(0, dial=task.address)]
+    platform.start()
+    first, _, _ = task.next_request("GET /_load")
     for piece in pieces:
         first.send(piece)
     assert first.ended.wait(15)
-    second, _, _ = task.next("GET /_load")
+    second, _, _ = task.next_request("GET /_load")
     assert second is not first
-    second.answer(REPORT)
-    assert task.next("GET /_load")[0] is second  # which is kept
+    second.respond(REPORT)
+    assert task.next_request("GET /_load")[0] is second  # which is kept
     task.close()
 
 
 def test_idle_connection_closed_under_the_next_health_check_is_reopened(
-    make: Callable[..., Platform],
+    new_platform: Callable[..., Platform],
 ) -> None:
-    p = make(constants={**PATIENT, "decisions.parameters.HEALTH_CHECK_PERIOD_S": 3}, probes=True, servers=1)
-    task = Address()
-    p.rows = [entry(0, dial=task.name)]
-    p.start()
-    wire, _, _ = task.next("GET /_load")
-    wire.answer(REPORT)
+    platform = new_platform(
+        constants={**PATIENT, "decisions.parameters.HEALTH_CHECK_PERIOD_S": 3}, health_checks=True, servers=1
+    )
+    task = HttpServer()
+    platform.rows = [entry(0, dial=task.address)]
+    platform.start()
+    connection, _, _ = task.next_request("GET /_load")
+    connection.respond(REPORT)
     for _ in range(2):
-        again, _, _ = task.next("GET /_load")
-        assert again is wire
+        again, _, _ = task.next_request("GET /_load")
+        assert again is connection
         again.reset()  # in place of an answer
-        wire, _, _ = task.next("GET /_load", 2.5)  # the same probe: the next is due after 3 s
-        wire.answer(REPORT)
+        connection, _, _ = task.next_request("GET /_load", 2.5)  # the same probe: the next is due after 3 s
+        connection.respond(REPORT)
     task.close()
 
 
 # Who connects -------------------------------------------------------------------------------------------
 
 
-def test_pings_are_not_answered_before_the_initial_state(make: Callable[..., Platform]) -> None:
-    p = make(constants={**PATIENT, "platform.service.READY_TIMEOUT_S": 60})
-    news, listed = p.opened(NEWS), p.opened(LIST)
-    asker = p.node.dial()
+def test_pings_are_not_answered_before_the_initial_state(new_platform: Callable[..., Platform]) -> None:
+    platform = new_platform(constants={**PATIENT, "platform.service.READY_TIMEOUT_S": 60})
+    news, listed = platform.accept_watch(RELAY_WATCH), platform.accept_watch(LIST_WATCH)
+    asker = platform.assigner.connect()
     asker.sendall(b'{"msg":"ping"}\n')
-    other = p.node.dial()
+    other = platform.assigner.connect()
     other.sendall(b"nothing that can be read\n")
-    assert got(other) == b'{"msg":"refused"}\n'  # so the first has been read
+    assert read_to_end(other) == b'{"msg":"refused"}\n'  # so the first has been read
     asker.setblocking(False)
     with pytest.raises(BlockingIOError):
         asker.recv(100)
     asker.setblocking(True)
-    listed.lines(p.whole())
-    news.lines(*map(joined, range(3)), *p.store.held())
+    listed.send_lines(platform.list_snapshot())
+    news.send_lines(*map(proxy_joined, range(3)), *platform.store.snapshot_messages())
     assert asker.makefile("rb").readline() == b'{"msg":"pong"}\n'
-    p.node.until("ownership_changed", slices=SLICES)
+    platform.assigner.wait_for("ownership_changed", slices=SLICES)
+
+
+def answer_everything(platform: Platform) -> None:
+    """Answer one waiting request at each address; what was given up is requested again."""
+    for address in (platform.relay, platform.discovery):
+        with suppress(TimeoutError, OSError):
+            connection, target, body = address.next_request("", 0.05)
+            if target == CALL:
+                connection.respond(platform.store.apply_call(body))
+                continue
+            connection.begin_response()
+            if target == RELAY_WATCH:
+                connection.send_lines(*platform.relay_snapshot())
+            else:
+                connection.send_lines({"seq": 9, "whole": True, "hosts": platform.rows})
 
 
 @pytest.mark.parametrize("away", ["relay", "discovery", "both"])
-def test_it_serves_without_relay_or_discovery_at_the_start(make: Callable[..., Platform], away: str) -> None:
-    p = make(
+def test_it_serves_without_relay_or_discovery_at_the_start(
+    new_platform: Callable[..., Platform], away: str
+) -> None:
+    platform = new_platform(
         constants={
             **PATIENT,
             "platform.service.READY_TIMEOUT_S": 0.5,
@@ -617,91 +706,100 @@
         }
     )
     if away == "discovery":
-        p.news = p.opened(NEWS)
-        p.news.lines(*map(joined, range(3)), *p.store.held(), SIGN)
+        platform.relay_watch = platform.accept_watch(RELAY_WATCH)
+        platform.relay_watch.send_lines(*platform.relay_snapshot())
     elif away == "relay":
-        p.list = p.opened(LIST)
-        p.list.lines(p.whole())
-    row = p.node.until("serving")
+        platform.list_watch = platform.accept_watch(LIST_WATCH)
+        platform.list_watch.send_lines(platform.list_snapshot())
+    row = platform.assigner.wait_for("serving")
     assert (row["relay"], row["listed"]) == (away == "discovery", away == "relay")
-    p.rows[1] = entry(1, "leaving")
-    while "s-1" in p.store.named():  # all that is asked is answered now; what was given up is dialled again
-        for address in (p.relay, p.discovery):
-            with suppress(TimeoutError, OSError):
-                wire, target, body = address.next("", 0.05)
-                if target == CALL:
-                    wire.answer(p.store.take(body))
-                    continue
-                wire.begin()
-                listed = [{"seq": 9, "whole": True, "hosts": p.rows}]
-                wire.lines(*([*map(joined, range(3)), *p.store.held(), SIGN] if target == NEWS else listed))
-    assert all(p.store.tables.values())
+    platform.rows[1] = entry(1, "leaving")
+    while "s-1" in platform.store.routable_hosts():
+        answer_everything(platform)
+    assert all(platform.store.tables.values())
+
+
+class ConnectionFlood:
+    """Three threads that open connections without end: half messages, some that close at once, unread pongs."""
+
+    TEXTS = (b'{"msg":"hea', b"", b'{"msg":"ping"}\n' * 50)
+
+    def __init__(self, assigner: AssignerProcess) -> None:
+        self.assigner = assigner
+        self.open: list[socket.socket] = []
+        self._stop = threading.Event()
+        self._threads = [threading.Thread(target=self._run, daemon=True) for _ in range(3)]
+
+    def __enter__(self) -> ConnectionFlood:
+        for thread in self._threads:
+            thread.start()
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self._stop.set()
+        for thread in self._threads:
+            thread.join()
+
+    def _run(self) -> None:
+        while not self._stop.is_set():
+            for text in self.TEXTS:
+                with suppress(OSError):
+                    self._connect(text)
+
+    def _connect(self, text: bytes) -> None:
+        connection = self.assigner.connect()
+        connection.sendall(text)
+        if text:
+            self.open.append(connection)
+        else:
+            connection.close()
+
+
+def connected_collector(platform: Platform) -> socket.socket:
+    collector = platform.assigner.connect()
+    collector.sendall(b'{"msg":"collector","az":"a"}\n')
+    return collector
 
 
 def test_flood_of_connections_displaces_no_collector_and_delays_no_order(
-    make: Callable[..., Platform],
+    new_platform: Callable[..., Platform],
 ) -> None:
-    p = make().start()
-    before = p.node.descriptors()
-    collectors = [p.node.dial() for _ in range(4)]
-    for c in collectors:
-        c.sendall(b'{"msg":"collector","az":"a"}\n')
-    p.node.until("collector_connected", 4)
-    crowd: list[socket.socket] = []
-    stop = threading.Event()
-
-    def flood() -> None:
-        """Half messages, connections that close at once, and some that ask and don't read, without end."""
-        while not stop.is_set():
-            for text in (b'{"msg":"hea', b"", b'{"msg":"ping"}\n' * 50):
-                try:
-                    one = p.node.dial()
-                    one.sendall(text)
-                except OSError:
-                    continue
-                if text:
-                    crowd.append(one)
-                else:
-                    one.close()
-
-    threads = [threading.Thread(target=flood, daemon=True) for _ in range(3)]
-    for t in threads:
-        t.start()
-    try:
+    platform = new_platform().start()
+    descriptors_before = platform.assigner.descriptors()
+    collectors = [connected_collector(platform) for _ in range(4)]
+    platform.assigner.wait_for("collector_connected", 4)
+    with ConnectionFlood(platform.assigner) as flood:
         for k in (1, 2, 3):
-            while len(crowd) < 300 * k:
-                assert p.node.descriptors() <= 256
-            p.drain(k)
-            p.until_off(f"s-{k}")
-    finally:
-        stop.set()
-        for t in threads:
-            t.join()
-    for c in collectors:
-        c.sendall(b'{"msg":"ping"}\n')
-        assert c.makefile("rb").readline() == b'{"msg":"pong"}\n'
-    for one in crowd:
-        got(one)  # each has its end
-    late = p.node.dial()
-    late.sendall(b'{"msg":"collector","az":"a"}\n')
-    p.node.until("collector_connected", 5)
-    assert p.node.descriptors() <= before + 6 and p.node.process.poll() is None
+            while len(flood.open) < 300 * k:
+                assert platform.assigner.descriptors() <= 256
+            platform.drain(k)
+            platform.answer_calls_until_withdrawn(f"s-{k}")
+    for collector in collectors:
+        collector.sendall(b'{"msg":"ping"}\n')
+        assert collector.makefile("rb").readline() == b'{"msg":"pong"}\n'
+    for connection in flood.open:
+        read_to_end(connection)  # each is closed
+    late_collector = connected_collector(platform)
+    platform.assigner.wait_for("collector_connected", 5)
+    assert platform.assigner.descriptors() <= descriptors_before + 6
+    assert platform.assigner.process.poll() is None
+    late_collector.close()
 
 
 def test_thirty_assigners_started_at_once_are_ready_and_have_the_state(tmp_path: Path) -> None:
     """Each with a relay and a list of its own that answer when asked; ready within 10 s, nine in ten asked for."""
     count = int(os.environ.get("PUFFINTIDE_RESTARTS", "30"))
     with ExitStack() as stack:
-        made = []
+        platforms = []
         for k in range(count):
             (tmp_path / str(k)).mkdir()
-            p = Platform(tmp_path / str(k))
-            stack.callback(p.end)
-            made.append(p)
-        for p in made:
-            p.start()
-            p.drain(1)
-            p.until_off("s-1")
-        for p in made:
-            first, ready = p.node.rows[0], p.node.logged("serving")[0]
+            platform = Platform(tmp_path / str(k))
+            stack.callback(platform.end)
+            platforms.append(platform)
+        for platform in platforms:
+            platform.start()
+            platform.drain(1)
+            platform.answer_calls_until_withdrawn("s-1")
+        for platform in platforms:
+            first, ready = platform.assigner.rows[0], platform.assigner.logged("serving")[0]
             assert ready["t"] - first["t"] < 10 and ready["relay"]
