--- a/puffintide/decisions/admission.py
+++ b/puffintide/decisions/admission.py
@@ -34,7 +34,7 @@
     is_end_of_shedding = change > 0 and min(fractions.values()) == 1
     if change >= parameters.MIN_ADMISSION_CHANGE or is_end_of_shedding:
         fleet.admission_fractions = fractions
-        fleet.admission_update_due = True
+        fleet.admission_update_pending = True
 
 
 def _offered_rates(fleet: FleetState) -> dict[int, float]:
--- a/puffintide/decisions/capacity.py
+++ b/puffintide/decisions/capacity.py
@@ -22,7 +22,7 @@
         self._fleet = fleet
         self.capacity_per_weight: float | None = None  # per second, of a server of listed weight 1
         self._is_from_peer = False
-        self._full_in_flight = 0.0  # requests in flight at a full server of listed weight 1
+        self._saturated_in_flight = 0.0  # requests in flight at a full server of listed weight 1
 
     def adopt_peer_capacity(self, capacity_per_s: float) -> None:
         """Use the capacity that another assigner learned for a server of listed weight 1, until it is learned here.
@@ -34,7 +34,7 @@
             self.capacity_per_weight = capacity_per_s
             self._is_from_peer = True
 
-    def full_capacity(self, server_id: int) -> float:
+    def unrestricted_capacity(self, server_id: int) -> float:
         """What a server can do now, per second, whatever its recovery level and its limit."""
         return self._warm_capacity(server_id) * self._fleet.warm_up_fraction(server_id)
 
@@ -79,8 +79,8 @@
     def _derive_loads_from_in_flight(self, ready: list[ServerState]) -> None:
         """Set loads from requests in flight over those of a full server."""
         others_per_weight = self._others_in_flight_per_weight(ready)
-        self._estimate_full_in_flight(ready, others_per_weight)
-        if self._full_in_flight <= 0:
+        self._estimate_saturated_in_flight(ready, others_per_weight)
+        if self._saturated_in_flight <= 0:
             return
         # Own requests tell all to a lone assigner, with less noise; but their time includes a slow network path.
         only_own = self._fleet.settings.assigner_count == 1 and not self._fleet.unreliable_zones
@@ -94,7 +94,7 @@
             else:
                 in_flight = own + self._others_in_flight(server, others_per_weight) * weight
             if own > 0 or (server.in_flight is None and in_flight > 0):
-                server.load = min(1.0, in_flight / (weight * self._full_in_flight))
+                server.load = min(1.0, in_flight / (weight * self._saturated_in_flight))
 
     def _others_in_flight_per_weight(self, ready: list[ServerState]) -> float:
         """Requests of other assigners in flight, where servers report none: spread evenly, as slices are hashed."""
@@ -111,7 +111,7 @@
     def _others_in_flight(self, server: ServerState, others_per_weight: float) -> float:
         return others_per_weight if self._fleet.is_warm(server.server_id) else 0.0
 
-    def _estimate_full_in_flight(self, ready: list[ServerState], others_per_weight: float) -> None:
+    def _estimate_saturated_in_flight(self, ready: list[ServerState], others_per_weight: float) -> None:
         """Estimate how many requests a full server has in flight.
 
         As many servers are full as health checks were delayed; so the count that separates the recorded ones in
@@ -122,7 +122,7 @@
         if len(recorded) >= parameters.MIN_RECORDED_HEALTH_CHECKS:
             undelayed = sum(not is_delayed for _, is_delayed in recorded)
             counts = sorted(in_flight for in_flight, _ in recorded)
-            self._full_in_flight = counts[min(undelayed, len(recorded) - 1)]
+            self._saturated_in_flight = counts[min(undelayed, len(recorded) - 1)]
             return
         per_weight = sorted(
             self._fleet.recent_rate(server.own_in_flight) / server.endpoint.weight
@@ -130,7 +130,7 @@
             for server in ready
         )
         if per_weight and per_weight[len(per_weight) // 2] > 0:
-            self._full_in_flight = per_weight[len(per_weight) // 2] / parameters.USUAL_LOAD
+            self._saturated_in_flight = per_weight[len(per_weight) // 2] / parameters.USUAL_LOAD
 
     def _disbelieve_low_loads(self, ready: list[ServerState]) -> None:
         """Take a server for full that has far more of our requests in flight than it reports."""
@@ -139,9 +139,9 @@
                 continue
             if server.in_flight is None or self._fleet.unreliable_zones:
                 continue
-            most = parameters.DISBELIEVED_IN_FLIGHT_RATIO * server.in_flight
+            reported = parameters.DISBELIEVED_IN_FLIGHT_RATIO * server.in_flight
             own = self._fleet.recent_rate(server.own_in_flight)
-            if own > most + parameters.DISBELIEVED_IN_FLIGHT_MARGIN:
+            if own > reported + parameters.DISBELIEVED_IN_FLIGHT_MARGIN:
                 server.load = 1.0
 
     def _learn_capacity_per_weight(self, readings: list[Reading]) -> None:
--- a/puffintide/decisions/channel.py
+++ b/puffintide/decisions/channel.py
@@ -78,7 +78,7 @@
             return False
         reserved = (
             parameters.RESERVED_MESSAGES_URGENT
-            if self._fleet.urgent_change
+            if self._fleet.urgent_change_pending
             else parameters.RESERVED_MESSAGES_ORDINARY
         )
         return len(self._send_times_s) >= max_messages - reserved
--- a/puffintide/decisions/director.py
+++ b/puffintide/decisions/director.py
@@ -23,7 +23,7 @@
     PeerObservation,
     TimerFired,
 )
-from puffintide.decisions.health import apply_health_check, due_health_checks, update_recovery_levels
+from puffintide.decisions.health import apply_health_check, schedule_health_checks, update_recovery_levels
 from puffintide.decisions.placement import plan_slices
 from puffintide.decisions.publication import Publisher
 from puffintide.decisions.ranking import AlternateRanking
@@ -77,26 +77,26 @@
         """
         fleet = self.fleet
         is_first_call = fleet.now_s < 0
-        is_round_due = is_first_call or any(isinstance(event, TimerFired) for event in events)
+        runs_round = is_first_call or any(isinstance(event, TimerFired) for event in events)
         fleet.now_s = now_s
         for event in events:
             self._apply(event)
         if fleet.last_report_s > 0:
             fleet.first_report_s = min(fleet.first_report_s, now_s)
         actions: list[Action] = []
-        if is_round_due:
+        if runs_round:
             actions.append(SetTimer(parameters.ROUND_PERIOD_S, ROUND_TIMER_ID))
-        if is_round_due or fleet.urgent_change:
+        if runs_round or fleet.urgent_change_pending:
             actions.extend(self._run_round())
         return actions
 
     def findings(self) -> DirectorFindings:
         """Return what has been learned here that is of use to other assigners."""
         levels = {server.server_id: server.recovery_level for server in self.fleet.ready_servers()}
-        below_full = {
-            server_id: level for server_id, level in levels.items() if level < parameters.FULL_RECOVERY_LEVEL
+        recovering = {
+            server_id: level for server_id, level in levels.items() if level < parameters.MAX_RECOVERY_LEVEL
         }
-        return DirectorFindings(self.estimator.capacity_per_weight, below_full)
+        return DirectorFindings(self.estimator.capacity_per_weight, recovering)
 
     def _run_round(self) -> list[Action]:
         fleet = self.fleet
@@ -105,7 +105,7 @@
             actions.append(WatchEndpoints(True))
             self._next_watch_s = math.inf
         update_recovery_levels(fleet)
-        actions.extend(due_health_checks(fleet))
+        actions.extend(schedule_health_checks(fleet))
         self.estimator.update()
         plan = plan_slices(fleet, self.estimator, self.ranking)
         update_admission_fractions(fleet, self.estimator)
--- a/puffintide/decisions/health.py
+++ b/puffintide/decisions/health.py
@@ -64,7 +64,7 @@
         if server.server_id in suspected_ids:
             if server.recovery_level > 0:
                 _eject(fleet, server)
-        elif _may_recover(fleet, server):
+        elif _has_completed_recovery_step(fleet, server):
             _recover_one_level(fleet, server)
 
 
@@ -83,7 +83,7 @@
     server.recovery_level = 0
     server.recovery_level_since_s = fleet.now_s
     server.ejections += 1
-    fleet.urgent_change = True
+    fleet.urgent_change_pending = True
 
 
 def _recover_one_level(fleet: FleetState, server: ServerState) -> None:
@@ -110,7 +110,7 @@
     return fleet.last_report_s - responded_at_s > allowed_s
 
 
-def _may_recover(fleet: FleetState, server: ServerState) -> bool:
+def _has_completed_recovery_step(fleet: FleetState, server: ServerState) -> bool:
     if server.is_fully_recovered:
         return False
     steps = _recovery_steps(fleet, server)
@@ -139,19 +139,19 @@
     )
 
 
-def due_health_checks(fleet: FleetState) -> list[SendHealthCheck]:
-    """Schedule and return the health checks that are due; a server's second one is spread over the period."""
+def schedule_health_checks(fleet: FleetState) -> list[SendHealthCheck]:
+    """Return the health checks to send now; a server's second one is spread over the period."""
     if not fleet.settings.health_checks_enabled:
         return []
-    due = []
+    health_checks = []
     for server in fleet.ready_servers():
         if fleet.now_s < server.next_health_check_s:
             continue
-        due.append(SendHealthCheck(server.server_id))
+        health_checks.append(SendHealthCheck(server.server_id))
         is_first = server.next_health_check_s == 0
         period_fraction = _spread(server.server_id) if is_first else 1.0
         server.next_health_check_s = fleet.now_s + parameters.HEALTH_CHECK_PERIOD_S * period_fraction
-    return due
+    return health_checks
 
 
 def _spread(server_id: int) -> float:
--- a/puffintide/decisions/observations.py
+++ b/puffintide/decisions/observations.py
@@ -40,8 +40,8 @@
             apply_stored_weight(fleet, event)
         case ProxyConnected():
             fleet.proxies.add(event.proxy_id)
-            fleet.admission_update_due = True
-            fleet.withdrawals_resend_due = True
+            fleet.admission_update_pending = True
+            fleet.withdrawals_resend_pending = True
         case ProxyDisconnected():
             fleet.proxies.discard(event.proxy_id)
         case AssignerCountChanged():
@@ -64,7 +64,7 @@
 def _apply_endpoint(fleet: FleetState, endpoint: Endpoint) -> None:
     server = fleet.servers.get(endpoint.server_id)
     if server is None or replace(server.endpoint, weight=endpoint.weight) != endpoint:
-        fleet.urgent_change = True
+        fleet.urgent_change_pending = True
     if server is None or _is_restarted(server, endpoint):
         server = ServerState(endpoint, fleet.now_s)
         fleet.servers[endpoint.server_id] = server
@@ -81,7 +81,7 @@
     for server_id, server in sorted(fleet.servers.items()):
         if server_id not in listed_ids and server.endpoint.status != EndpointStatus.REMOVED:
             server.endpoint = replace(server.endpoint, status=EndpointStatus.REMOVED)
-            fleet.urgent_change = True
+            fleet.urgent_change_pending = True
 
 
 def _update_availability(fleet: FleetState, server: ServerState) -> None:
@@ -108,8 +108,8 @@
         fleet.slice_revoked_s = fleet.now_s
     if event.granted:
         fleet.slices[event.slice_id] = SliceState()
-        fleet.urgent_change = True
-        fleet.admission_update_due = True
+        fleet.urgent_change_pending = True
+        fleet.admission_update_pending = True
 
 
 def apply_stored_weight(fleet: FleetState, event: StoredWeight) -> None:
@@ -119,9 +119,9 @@
         return
     weights = slice_state.weights
     weights[event.server_id] = event.weight
-    full_weight = max(weights.values()) / 2  # a standby entry has far less
+    min_full_weight = max(weights.values()) / 2  # a standby entry has far less
     slice_state.assigned_servers = [
-        server_id for server_id, weight in sorted(weights.items()) if weight >= full_weight
+        server_id for server_id, weight in sorted(weights.items()) if weight >= min_full_weight
     ]
     slice_state.default_server = slice_state.assigned_servers[0]
 
@@ -148,12 +148,12 @@
         return
     if event.is_leaving is not None:
         server.is_leaving = event.is_leaving
-        fleet.urgent_change = True
+        fleet.urgent_change_pending = True
         _update_availability(fleet, server)
     if 0 <= event.recovery_level < server.recovery_level and server.last_success_s == 0:
         server.recovery_level = event.recovery_level
         server.recovery_level_since_s = fleet.now_s
-        fleet.urgent_change = True
+        fleet.urgent_change_pending = True
 
 
 def apply_slice_load(fleet: FleetState, event: SliceLoadReport) -> None:
--- a/puffintide/decisions/placement.py
+++ b/puffintide/decisions/placement.py
@@ -33,7 +33,7 @@
 
     def run(self) -> Plan:
         """Return the servers of each slice after all phases."""
-        self._keep_current_alternates()
+        self._retain_current_alternates()
         self._projection.fix_base_load()
         self._move_off_unavailable_servers()
         self._shed_overloaded_servers()
@@ -41,7 +41,7 @@
         self._spread_hot_slices()
         return self._projection.plan
 
-    def _keep_current_alternates(self) -> None:
+    def _retain_current_alternates(self) -> None:
         """Leave slices on their alternates until their default servers have capacity to spare."""
         projection = self._projection
         for slice_id, slice_state in sorted(self._fleet.slices.items()):
@@ -67,13 +67,13 @@
         """Whether a server can keep a part of a slice whose keys it has cached."""
         projection = self._projection
         load = projection.load[server_id] + projection.part_rate[slice_id]
-        return load <= parameters.FULL_UTILIZATION * projection.capacity[server_id]
+        return load <= parameters.MAX_UTILIZATION * projection.capacity[server_id]
 
     def _would_overload(self, slice_id: int, server_id: int) -> bool:
         """Whether moving a part of a slice to a server would exceed the server's capacity."""
         projection = self._projection
         load = projection.load[server_id] + projection.cost(slice_id, server_id)
-        return load > parameters.FULL_UTILIZATION * projection.capacity[server_id]
+        return load > parameters.MAX_UTILIZATION * projection.capacity[server_id]
 
     def _find_server(self, slice_id: int) -> int | None:
         """Return an alternate that has capacity, else the least utilized server, if there is any."""
@@ -90,8 +90,8 @@
                 continue
             new_id = self._find_server(slice_id)
             assigned_ids = self._fleet.slices[slice_id].assigned_servers
-            may_stay = old_id in projection.capacity and old_id in assigned_ids
-            if new_id is not None and not (may_stay and self._would_overload(slice_id, new_id)):
+            is_still_there = old_id in projection.capacity and old_id in assigned_ids
+            if new_id is not None and not (is_still_there and self._would_overload(slice_id, new_id)):
                 projection.move(slice_id, old_id, new_id)
             elif old_id is not None and old_id not in projection.capacity:
                 projection.plan[slice_id] = []
@@ -147,7 +147,7 @@
             least_utilized_id = projection.least_utilized(slice_id)
             target_id = least_utilized_id if least_utilized_id in projection.warm else None
         if target_id is None and self._is_overwhelmed(server_id):
-            target_id = projection.find_alternate(slice_id, parameters.FULL_UTILIZATION)
+            target_id = projection.find_alternate(slice_id, parameters.MAX_UTILIZATION)
         return target_id
 
     def _is_overwhelmed(self, server_id: int) -> bool:
@@ -177,22 +177,22 @@
     def _spread_hot_slices(self) -> None:
         """Place the further parts of slices that are divided."""
         for slice_id in sorted(self._fleet.slices):
-            self._place_further_parts(slice_id)
+            self._assign_additional_servers(slice_id)
             if len(self._projection.plan[slice_id]) < self._projection.part_count[slice_id]:
                 self._leave_warming_servers(slice_id)
 
-    def _place_further_parts(self, slice_id: int) -> None:
+    def _assign_additional_servers(self, slice_id: int) -> None:
         projection = self._projection
         planned_ids = projection.plan[slice_id]
         while planned_ids and len(planned_ids) < projection.part_count[slice_id]:
-            target_id = self._current_server_to_keep(slice_id)
+            target_id = self._current_server_to_retain(slice_id)
             if target_id is None:
                 target_id = self._find_server(slice_id)
             if target_id is None or self._would_overload(slice_id, target_id):
                 break
             projection.move(slice_id, None, target_id)
 
-    def _current_server_to_keep(self, slice_id: int) -> int | None:
+    def _current_server_to_retain(self, slice_id: int) -> int | None:
         projection = self._projection
         for server_id in self._fleet.slices[slice_id].assigned_servers:
             is_candidate = server_id in projection.usable and server_id not in projection.plan[slice_id]
--- a/puffintide/decisions/projection.py
+++ b/puffintide/decisions/projection.py
@@ -59,7 +59,9 @@
         self.usable = self._find_usable_servers()
         if not self.usable:  # ejected servers are better than none
             self.usable = set(self.capacity)
-            self.capacity = {server_id: estimator.full_capacity(server_id) for server_id in self.capacity}
+            self.capacity = {
+                server_id: estimator.unrestricted_capacity(server_id) for server_id in self.capacity
+            }
         self.warm = {server_id for server_id in self.usable if fleet.is_warm(server_id)}
         self.warming = self.usable - self.warm
         self.only_warming = not any(fleet.is_warm(server_id) for server_id in self.capacity)
--- a/puffintide/decisions/publication.py
+++ b/puffintide/decisions/publication.py
@@ -32,22 +32,22 @@
         """Return the actions that bring tables closer to a plan, as many as may be sent now."""
         fleet = self._fleet
         self._channel.expire_messages()
-        is_ordinary_due = fleet.now_s >= self.next_ordinary_s
-        if self._channel.is_message_limit_reached() or not (is_ordinary_due or fleet.urgent_change):
+        sends_ordinary = fleet.now_s >= self.next_ordinary_s
+        if self._channel.is_message_limit_reached() or not (sends_ordinary or fleet.urgent_change_pending):
             return []
         urgent_ids = self._urgent_slices(plan)
-        ordinary_ids = self._ordinary_slices(plan, urgent_ids) if is_ordinary_due else []
+        ordinary_ids = self._ordinary_slices(plan, urgent_ids) if sends_ordinary else []
         budget = self._channel.budget()
         actions: list[Action] = list(self.withdrawals.withdraw_servers(plan, urgent_ids, budget))
         for slice_id in urgent_ids:
             self._add_table(actions, slice_id, plan[slice_id], budget.urgent, is_urgent=True)
         for slice_id in ordinary_ids:
             self._add_table(actions, slice_id, plan[slice_id], budget.ordinary, is_urgent=False)
-        if fleet.admission_update_due and (is_ordinary_due or actions):
+        if fleet.admission_update_pending and (sends_ordinary or actions):
             self._add_admission(actions, budget)
         if actions:
             actions.append(self._channel.record_message(len(actions)))
-            self._schedule_ordinary(is_ordinary_due)
+            self._schedule_ordinary(sends_ordinary)
         return actions
 
     def _urgent_slices(self, plan: Plan) -> list[int]:
@@ -118,7 +118,7 @@
         updates = admission_actions(self._fleet)
         if updates and (len(actions) + len(updates)) * self._channel.proxy_count <= budget.urgent:
             actions.extend(updates)
-            self._fleet.admission_update_due = False
+            self._fleet.admission_update_pending = False
 
     def _schedule_ordinary(self, was_ordinary: bool) -> None:
         """Delay ordinary changes by a period, but not for ever where urgent ones never stop."""
--- a/puffintide/decisions/settings.py
+++ b/puffintide/decisions/settings.py
@@ -85,27 +85,44 @@
     """A setting is absent or invalid; the text names its key."""
 
 
-def _value(tree: Any, path: str, kind: type, default: Any = None) -> Any:
+_ABSENT = object()
+
+
+def _lookup(tree: Any, path: str) -> Any:
+    """The node at a dotted path, or _ABSENT."""
     node = tree
     for part in path.split("."):
         if not isinstance(node, dict) or part not in node:
-            if default is not None:
-                return default
-            raise SettingsError(f"setting {path} is absent")
+            return _ABSENT
         node = node[part]
-    if kind is float and isinstance(node, int) and not isinstance(node, bool):
-        node = float(node)
-    if kind is int and isinstance(node, float) and node.is_integer():
-        node = int(node)
-    if not isinstance(node, kind) or (kind is int and isinstance(node, bool)):
-        raise SettingsError(f"setting {path} is not a {kind.__name__}: {node!r}")
+    return node
+
+
+def _convert_number(node: Any, expected_type: type) -> Any:
+    """JSON does not tell 1 from 1.0: convert a number that can be of the expected type."""
+    if expected_type is float and isinstance(node, int) and not isinstance(node, bool):
+        return float(node)
+    if expected_type is int and isinstance(node, float) and node.is_integer():
+        return int(node)
+    return node
+
+
+def _value(tree: Any, path: str, expected_type: type, default: Any = None) -> Any:
+    node = _lookup(tree, path)
+    if node is _ABSENT:
+        if default is None:
+            raise SettingsError(f"setting {path} is absent")
+        return default
+    node = _convert_number(node, expected_type)
+    if not isinstance(node, expected_type) or (expected_type is int and isinstance(node, bool)):
+        raise SettingsError(f"setting {path} is not a {expected_type.__name__}: {node!r}")
     if isinstance(node, float) and not math.isfinite(node):
         raise SettingsError(f"setting {path} is not a finite number")
     return node
 
 
-def _number(tree: Any, path: str, kind: type, minimum: float = 0, default: Any = None) -> Any:
-    value = _value(tree, path, kind, default)
+def _number(tree: Any, path: str, expected_type: type, minimum: float = 0, default: Any = None) -> Any:
+    value = _value(tree, path, expected_type, default)
     if value < minimum:
         raise SettingsError(f"setting {path} is below {minimum}: {value}")
     return value
@@ -145,20 +162,9 @@
     return AdmissionMode(mode) if mode in tuple(AdmissionMode) else AdmissionMode.NONE
 
 
-def parse_settings(text: bytes, seed: int) -> Settings:
-    """Parse the JSON text of the settings.
-
-    Raises:
-        SettingsError: The text is no JSON object, or a setting is absent or invalid.
-    """
-    try:
-        tree = json.loads(text)
-    except ValueError as error:
-        raise SettingsError(f"the settings are not JSON: {error}") from error
-    if not isinstance(tree, dict):
-        raise SettingsError("the settings are not a JSON object")
-    classes = _request_classes(tree)
-    load_value_names = _value(tree, "report.names", list, [])
+def _settings(
+    tree: dict[str, Any], seed: int, classes: tuple[RequestClass, ...], load_value_names: tuple[str, ...]
+) -> Settings:
     return Settings(
         assigner_index=_number(tree, "me", int),
         assigner_count=_number(tree, "balancers", int, 1),
@@ -183,7 +189,7 @@
         message_window_s=_number(tree, "familyInfo.reloadSpanS", float, default=10.0),
         report_period_s=_number(tree, "familyInfo.cycleS", float),
         report_entries_per_s=_number(tree, "familyInfo.hearsPerS", float),
-        load_value_names=tuple(str(name) for name in load_value_names),
+        load_value_names=load_value_names,
         health_checks_enabled=_value(tree, "limits.probes", bool, False),
         watch_on_request=_value(tree, "membershipMode", str, "automatic") == "subscribe",
         drain_grace_s=_number(tree, "rules.stopSendingWithinS", float),
@@ -193,3 +199,20 @@
         collapse_duration_s=_number(tree, "rules.overloadForS", float),
         max_unserved_s=_number(tree, "familyInfo.unservedMaxS", float),
     )
+
+
+def parse_settings(text: bytes, seed: int) -> Settings:
+    """Parse the JSON text of the settings.
+
+    Raises:
+        SettingsError: The text is no JSON object, or a setting is absent or invalid.
+    """
+    try:
+        tree = json.loads(text)
+    except ValueError as error:
+        raise SettingsError(f"the settings are not JSON: {error}") from error
+    if not isinstance(tree, dict):
+        raise SettingsError("the settings are not a JSON object")
+    classes = _request_classes(tree)
+    load_value_names = _value(tree, "report.names", list, [])
+    return _settings(tree, seed, classes, tuple(str(name) for name in load_value_names))
--- a/puffintide/decisions/state.py
+++ b/puffintide/decisions/state.py
@@ -41,7 +41,7 @@
     next_health_check_s: float = 0.0
     is_delayed: bool = False  # the last health check took long or failed
     consecutive_checks: int = 0  # health checks that succeeded; negative: that failed
-    recovery_level: int = parameters.FULL_RECOVERY_LEVEL
+    recovery_level: int = parameters.MAX_RECOVERY_LEVEL
     recovery_level_since_s: float = 0.0
     ejections: int = 0
     unavailable_since_s: float | None = None  # when it was first known to drain or to be removed
@@ -62,7 +62,7 @@
     @property
     def is_fully_recovered(self) -> bool:
         """Whether it is at the end of its recovery ramp."""
-        return self.recovery_level == parameters.FULL_RECOVERY_LEVEL
+        return self.recovery_level == parameters.MAX_RECOVERY_LEVEL
 
 
 @dataclass(slots=True)
@@ -97,9 +97,9 @@
     )
     withdrawn_servers: set[int] = field(default_factory=set)  # by publication: out of all tables
     admission_fractions: dict[int, float] = field(default_factory=dict)  # by admission: of each class
-    urgent_change: bool = False  # something happened that must not wait for the next ordinary batch
-    admission_update_due: bool = False  # admission fractions must be sent
-    withdrawals_resend_due: bool = False  # a proxy connected that knows of no withdrawals
+    urgent_change_pending: bool = False  # something happened that must not wait for the next ordinary batch
+    admission_update_pending: bool = False  # admission fractions must be sent
+    withdrawals_resend_pending: bool = False  # a proxy connected that knows of no withdrawals
 
     def is_ready(self, server_id: int) -> bool:
         """Whether a server may be in tables, as far as lists say."""
--- a/puffintide/decisions/withdrawals.py
+++ b/puffintide/decisions/withdrawals.py
@@ -25,7 +25,7 @@
     ) -> list[SetWithdrawn]:
         """Withdraw lost servers, readmit others, and resend withdrawals to proxies that connected.
 
-        Sets fleet.urgent_change if not all lost servers could be withdrawn now.
+        Sets fleet.urgent_change_pending if not all lost servers could be withdrawn now.
 
         Args:
             plan: The servers that each slice should be on.
@@ -34,15 +34,15 @@
         """
         fleet = self._fleet
         listed_ids = {server_id for state in fleet.slices.values() for server_id in state.weights}
-        lost_ids = self._servers_to_withdraw(listed_ids, plan, urgent_slice_ids, budget)
+        unavailable_ids = self._servers_to_withdraw(listed_ids, plan, urgent_slice_ids, budget)
         readmitted_ids = self._servers_to_readmit(plan)
-        resent_ids = sorted(fleet.withdrawn_servers & listed_ids) if fleet.withdrawals_resend_due else []
-        wanted_ids = lost_ids + readmitted_ids + resent_ids
-        limit = self._entry_limit(len(lost_ids), budget)
+        resent_ids = sorted(fleet.withdrawn_servers & listed_ids) if fleet.withdrawals_resend_pending else []
+        wanted_ids = unavailable_ids + readmitted_ids + resent_ids
+        limit = self._entry_limit(len(unavailable_ids), budget)
         sent_ids = wanted_ids[:limit]
-        fleet.urgent_change = len(sent_ids) < len(lost_ids)
-        fleet.withdrawals_resend_due = len(sent_ids) < len(wanted_ids)
-        fleet.withdrawn_servers = fleet.withdrawn_servers.union(lost_ids[:limit]).difference(
+        fleet.urgent_change_pending = len(sent_ids) < len(unavailable_ids)
+        fleet.withdrawals_resend_pending = len(sent_ids) < len(wanted_ids)
+        fleet.withdrawn_servers = fleet.withdrawn_servers.union(unavailable_ids[:limit]).difference(
             set(readmitted_ids) & set(sent_ids)
         )
         return [
@@ -54,28 +54,28 @@
     ) -> list[int]:
         """Lost servers that are in tables, unless these can be rewritten in time."""
         fleet = self._fleet
-        lost_ids = [
+        unavailable_ids = [
             server_id
             for server_id in sorted(listed_ids - fleet.withdrawn_servers)
             if server_id in fleet.servers and not fleet.is_ready(server_id)
         ]
-        if not lost_ids:
+        if not unavailable_ids:
             return []
         entries = sum(
             len(self._tables.changes(slice_id, plan[slice_id], removes_withdrawn=False))
             for slice_id in urgent_slice_ids
         )
-        in_time = self._remaining_grace_s(lost_ids) * fleet.settings.channel_entries_per_s
+        in_time = self._remaining_grace_s(unavailable_ids) * fleet.settings.channel_entries_per_s
         sendable = min(in_time - self._channel.waiting_entries, budget.urgent)
-        return [] if entries * self._channel.proxy_count <= sendable else lost_ids
+        return [] if entries * self._channel.proxy_count <= sendable else unavailable_ids
 
-    def _remaining_grace_s(self, lost_ids: list[int]) -> float:
+    def _remaining_grace_s(self, unavailable_ids: list[int]) -> float:
         """The time in which an entry must leave the channel to arrive before the first lost server stops."""
         fleet = self._fleet
-        lost_since_s = min(
-            fleet.servers[server_id].unavailable_since_s or fleet.now_s for server_id in lost_ids
+        unavailable_since_s = min(
+            fleet.servers[server_id].unavailable_since_s or fleet.now_s for server_id in unavailable_ids
         )
-        elapsed_s = fleet.now_s - lost_since_s
+        elapsed_s = fleet.now_s - unavailable_since_s
         settings = fleet.settings
         return settings.drain_grace_s - elapsed_s - settings.channel_delay_max_s - parameters.ROUND_PERIOD_S
 
@@ -94,12 +94,12 @@
             if fleet.is_ready(server_id) or server_id not in fleet.servers
         ]
 
-    def _entry_limit(self, lost_count: int, budget: ChannelBudget) -> int:
+    def _entry_limit(self, unavailable_count: int, budget: ChannelBudget) -> int:
         """How many entries may be sent; none while lost servers could only be sent one by one.
 
         Each message costs a header at every proxy.
         """
         proxy_count = self._channel.proxy_count
-        if budget.withdrawals < min(parameters.RESERVED_ENTRIES_PER_PROXY, lost_count) * proxy_count:
+        if budget.withdrawals < min(parameters.RESERVED_ENTRIES_PER_PROXY, unavailable_count) * proxy_count:
             return 0
         return int(budget.withdrawals / proxy_count)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -374,7 +374,7 @@
     assert [a for a in orders if isinstance(a, SetWithdrawn) and a.withdrawn] == orders and len(
         orders
     ) == sent
-    assert director.fleet.urgent_change == (sent < 3)
+    assert director.fleet.urgent_change_pending == (sent < 3)
 
 
 def test_new_places_of_a_slice_on_a_cold_server_are_urgent() -> None:
@@ -387,7 +387,7 @@
     kept = next(n for n in world.tables if 1 in world.main(n))
     plan = {n: sorted(world.main(n)) for n in world.tables}
     further = next(s for s in (2, 3, 4) if s not in plan[kept])
-    director.fleet.urgent_change = True
+    director.fleet.urgent_change_pending = True
     director.fleet.last_report_s = world.now - 20.0  # reports are late
     director.publisher.next_ordinary_s = world.now + 1.0
     actions = director.publisher.publish(plan | {kept: [*plan[kept], further]})
