--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -42,7 +42,7 @@
 from puffintide.replication.table_replicas import latest_tables
 from puffintide.tls.context import Contexts
 from puffintide.zones.director import ZonedDirector
-from puffintide.zones.plan import ZoneLimits
+from puffintide.zones.state import ZoneLimits
 
 STATS_S = 5.0
 REASONS_MOST = 5  # logged of one list
@@ -265,15 +265,15 @@
         rows = [
             m.ZoneStatus(
                 s.zone,
-                s.phase,
+                s.phase.value,
                 s.cause,
-                round(s.share, 4),
-                round(s.bound, 4),
-                round(s.bound_most, 4),
-                round(max(0.0, s.until - now), 3),
-                s.flaps,
-                list(s.spill),
-                round(s.beyond, 4),
+                round(s.available_fraction, 4),
+                round(s.min_capacity_fraction, 4),
+                round(s.max_capacity_fraction, 4),
+                round(max(0.0, s.held_until_s - now), 3),
+                s.flap_count,
+                list(s.spillover),
+                round(s.unplaced_fraction, 4),
             )
             for s in states
         ]
