--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -121,17 +121,16 @@
 
 def test_two_assigners_in_one_process_act_as_each_does_alone(tmp_path: Path) -> None:
     expected = [in_a_process(tmp_path / "here", False), in_a_process(tmp_path / "there", True)]
-    assert expected[0] != expected[1] and all(len(json.loads(e)[0]) >= 3 for e in expected)
+    assert expected[0] != expected[1]
+    assert all(len(json.loads(e)[0]) >= 3 for e in expected)
     for first in (False, True):
         made = {elsewhere: customer(tmp_path / f"{elsewhere}", elsewhere) for elsewhere in (first, not first)}
         for _ in zip(*(play(p, elsewhere) for elsewhere, p in made.items()), strict=True):
             pass
         assert [orders(made[False]), orders(made[True])] == expected
     # and so after a restart of one with the other's settings
-    assert (
-        play_alone(tmp_path / "here", True) == expected[1]
-        and play_alone(tmp_path / "there", False) == expected[0]
-    )
+    assert play_alone(tmp_path / "here", True) == expected[1]
+    assert play_alone(tmp_path / "there", False) == expected[0]
 
 
 # Sites ---------------------------------------------------------------------------------------------
@@ -148,7 +147,8 @@
 def test_site_is_complete_and_differs_where_it_claims_to(name: str) -> None:
     folder = SITES / name
     site = tomllib.loads((folder / f"{name}.toml").read_text(encoding="utf-8"))
-    assert site["name"] == name and CLAIMS[name](site)
+    assert site["name"] == name
+    assert CLAIMS[name](site)
     for beside in ("real.json", "wire.json"):
         assert json.loads((folder / beside).read_text())
     assert (folder / "unlock.txt").read_text().startswith("unlock ")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -165,7 +165,8 @@
     assert platform.assigner.process.poll() is None  # the call is still on its way
     connection.respond(platform.store.apply_call(body))
     assert platform.assigner.process.wait(5) == 0
-    assert not platform.relay.has_request(CALL) and "s-1" not in platform.store.routable_hosts()
+    assert not platform.relay.has_request(CALL)
+    assert "s-1" not in platform.store.routable_hosts()
     assert read_to_end(asker) == b""  # nor was it said to be alive
 
 
@@ -240,7 +241,8 @@
     platform.assigner.signal(signal.SIGTERM)
     assert platform.assigner.process.wait(5) == 0
     platform.assigner.wait_for("stopping")
-    assert len(platform.store.received) == calls and len(platform.assigner.logged("stopping")) == 1
+    assert len(platform.store.received) == calls
+    assert len(platform.assigner.logged("stopping")) == 1
 
 
 # The relay's news -------------------------------------------------------------------------------------
@@ -265,7 +267,8 @@
     )
     platform.drain(0)
     platform.answer_calls_until_withdrawn("s-0", "s-1")
-    assert all(platform.store.tables.values()) and not platform.assigner.logged("table_differs")
+    assert all(platform.store.tables.values())
+    assert not platform.assigner.logged("table_differs")
 
 
 def test_input_received_while_the_process_is_paused_counts_though_timers_fire_first(
@@ -286,9 +289,8 @@
     connection, body = platform.call()  # one, for both slices that stand there
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {1, 5}
     connection.respond(platform.store.apply_call(body))
-    assert not platform.assigner.logged("ownership_changed", revoked=5) and all(
-        platform.store.tables.values()
-    )
+    assert not platform.assigner.logged("ownership_changed", revoked=5)
+    assert all(platform.store.tables.values())
 
 
 def test_repeated_relay_messages_and_lists_change_nothing(new_platform: Callable[..., Platform]) -> None:
@@ -351,7 +353,8 @@
     platform.assigner.wait_for("ownership_changed", granted=1, revoked=0)
     snapshot.send_lines(*platform.store.snapshot_messages(), HEARTBEAT)
     platform.answer_calls_until_withdrawn("s-1")
-    assert lost[0] not in platform.store.received and platform.store.tables[1] == {other: 1.0}
+    assert lost[0] not in platform.store.received
+    assert platform.store.tables[1] == {other: 1.0}
 
 
 def test_slice_revoked_granted_and_revoked_in_one_packet(new_platform: Callable[..., Platform]) -> None:
@@ -388,7 +391,8 @@
     successor.drain(2)
     successor.answer_calls_until_withdrawn("s-1", "s-2")
     again = [r for r in platform.store.received[len(first) :] if r["do"] == "SET" and r in first]
-    assert not again and all(platform.store.tables.values())
+    assert not again
+    assert all(platform.store.tables.values())
 
 
 # Calls ------------------------------------------------------------------------------------------------
@@ -417,9 +421,8 @@
             platform.answer_calls_until_withdrawn(f"s-{cut}")
         assert f"s-{cut}" not in platform.store.routable_hosts()
     platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
-    assert Counter(platforms) == Counter(set(platforms)) + Counter(undone) and all(
-        platform.store.tables.values()
-    )
+    assert Counter(platforms) == Counter(set(platforms)) + Counter(undone)
+    assert all(platform.store.tables.values())
 
 
 def test_snapshot_in_two_packets_repeats_no_applied_order(
@@ -509,7 +512,8 @@
     platform.list_watch = platform.accept_watch(LIST_WATCH)
     platform.list_watch.send_lines(platform.list_snapshot())
     platform.answer_calls_until_withdrawn("s-9")
-    assert all(platform.store.tables.values()) and not platform.assigner.logged("order_invalid")
+    assert all(platform.store.tables.values())
+    assert not platform.assigner.logged("order_invalid")
 
 
 # Reload -----------------------------------------------------------------------------------------------
@@ -530,7 +534,8 @@
         connection.reset()
     platform.drain(2)
     platform.answer_calls_until_withdrawn("s-2", address=to)
-    assert not platform.relay_watch.ended.is_set() and not platform.list_watch.ended.is_set()
+    assert not platform.relay_watch.ended.is_set()
+    assert not platform.list_watch.ended.is_set()
     platform.relay_watch, platform.list_watch = (
         platform.accept_watch(RELAY_WATCH, to),
         platform.accept_watch(LIST_WATCH, to),
@@ -540,7 +545,8 @@
         {"seq": platform.version + 1, "whole": False, "hosts": [entry(3, "leaving")]}
     )
     platform.answer_calls_until_withdrawn("s-3", address=to)
-    assert all(platform.store.tables.values()) and not platform.relay.has_request(CALL)
+    assert all(platform.store.tables.values())
+    assert not platform.relay.has_request(CALL)
     to.close()
 
 
@@ -561,7 +567,8 @@
     platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
     platform.answer_calls_until_withdrawn("s-1")
-    assert not to.has_request(CALL) and all(platform.store.tables.values())
+    assert not to.has_request(CALL)
+    assert all(platform.store.tables.values())
     assert all(connection.ended.wait(5) for connection in to.connections)
     to.close()
 
@@ -585,7 +592,8 @@
     platform.drain(2)
     platform.answer_calls_until_withdrawn("s-1", "s-2", address=to)
     platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
-    assert len(platforms) == len(set(platforms)) and not platform.relay.has_request(CALL)
+    assert len(platforms) == len(set(platforms))
+    assert not platform.relay.has_request(CALL)
     to.close()
 
 
@@ -802,4 +810,5 @@
             platform.answer_calls_until_withdrawn("s-1")
         for platform in platforms:
             first, ready = platform.assigner.rows[0], platform.assigner.logged("serving")[0]
-            assert ready["t"] - first["t"] < 10 and ready["relay"]
+            assert ready["t"] - first["t"] < 10
+            assert ready["relay"]
