--- a/tests/test_platform_identifiers.py
+++ b/tests/test_platform_identifiers.py
@@ -34,12 +34,12 @@
 
 def test_hosts_that_are_not_retained_are_forgotten() -> None:
     hosts = HostRegistry()
-    kept = hosts.register("a")
+    retained_id = hosts.register("a")
     for k in range(100):
         hosts.register(f"gone-{k}")
-    hosts.retain([kept])
+    hosts.retain([retained_id])
     assert len(hosts) == 1
-    assert hosts.host(kept) == "a"
+    assert hosts.host(retained_id) == "a"
     assert hosts.server_id("gone-1") is None
 
 
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -36,25 +36,25 @@
 }
 
 
-def heard(**changes: Any) -> ServerLoadReport:
+def decode_server_report(**changes: Any) -> ServerLoadReport:
     hosts = HostRegistry()
     hosts.register("s-1")
     row = {k: v for k, v in (GOOD | changes).items() if v is not ...}
-    line = decode_client_message(json.dumps(row).encode())
-    assert isinstance(line, ServerReport)
-    return server_load_report(line, NAMES, hosts)
+    message = decode_client_message(json.dumps(row).encode())
+    assert isinstance(message, ServerReport)
+    return server_load_report(message, NAMES, hosts)
 
 
 def test_reports_are_converted_to_seconds_and_ids() -> None:
-    assert heard() == ServerLoadReport(0, hash_host("s-1"), 4, 1, 0.05, 0.5, (3.0, 0.5))
-    assert heard(report=..., avg=...).load_values == ()
-    heat = decode_client_message(b'{"msg":"heat","partition":3,"kind":"start","n":2,"bad":5,"window":500}')
-    assert isinstance(heat, SliceReport)
-    assert slice_load_report(heat, NAMES, 4) == SliceLoadReport(
+    assert decode_server_report() == ServerLoadReport(0, hash_host("s-1"), 4, 1, 0.05, 0.5, (3.0, 0.5))
+    assert decode_server_report(report=..., avg=...).load_values == ()
+    report = decode_client_message(b'{"msg":"heat","partition":3,"kind":"start","n":2,"bad":5,"window":500}')
+    assert isinstance(report, SliceReport)
+    assert slice_load_report(report, NAMES, 4) == SliceLoadReport(
         3, 1, 2, 5, 0.5
     )  # unanswered ones came earlier
     with pytest.raises(InvalidMessageError):
-        slice_load_report(heat, NAMES, 3)
+        slice_load_report(report, NAMES, 3)
 
 
 @pytest.mark.parametrize(
@@ -87,13 +87,15 @@
 )
 def test_invalid_reports_raise(changes: dict[str, Any]) -> None:
     with pytest.raises(InvalidMessageError):
-        heard(**changes)
+        decode_server_report(**changes)
 
 
-@pytest.mark.parametrize("line", [b"GET / HTTP/1.1", b"{", b"\xff\xfe", b'{"msg":"ping"', b"[" * 5000, b'"a'])
-def test_line_that_is_not_json_is_malformed(line: bytes) -> None:
+@pytest.mark.parametrize(
+    "message", [b"GET / HTTP/1.1", b"{", b"\xff\xfe", b'{"msg":"ping"', b"[" * 5000, b'"a']
+)
+def test_line_that_is_not_json_is_malformed(message: bytes) -> None:
     with pytest.raises(MalformedMessageError):
-        decode_client_message(line)
+        decode_client_message(message)
 
 
 def member(**changes: Any) -> dict[str, Any]:
@@ -121,11 +123,11 @@
         member(host="s-5", born_ms=60_000, health="leaving"),
     ]
     hosts = HostRegistry()
-    told = decode_endpoint_list(
+    message = decode_endpoint_list(
         json.dumps({"seq": 9, "whole": True, "hosts": rows}).encode(), NAMES, hosts, 62_500.0
     )
-    assert (told.version, told.is_snapshot, len(told.errors)) == (9, True, 4)
-    first, gone, young = told.entries
+    assert (message.version, message.is_snapshot, len(message.errors)) == (9, True, 4)
+    first, removed, young = message.entries
     assert (first.zone, first.server_type, first.status, first.weight, first.age_s) == (
         0,
         1,
@@ -133,7 +135,7 @@
         1.5,
         -1.0,
     )
-    assert gone.status == EndpointStatus.REMOVED
+    assert removed.status == EndpointStatus.REMOVED
     assert (young.status, young.age_s, young.incarnation) == (
         EndpointStatus.DRAINING,
         2.5,
--- a/tests/test_platform_relay_outbox.py
+++ b/tests/test_platform_relay_outbox.py
@@ -49,8 +49,8 @@
         SendHealthCheck(s),
         LogMessage("x"),
     ]
-    made, wrong = OrderEncoder(NAMES, hosts).encode(actions, [2])
-    assert [json.loads(o.text) for o in made] == [
+    orders, errors = OrderEncoder(NAMES, hosts).encode(actions, [2])
+    assert [json.loads(o.text) for o in orders] == [
         {"do": "OUT", "host": "s-1"},
         {"do": "IN", "host": "s-1"},
         {"do": "SET", "group": 2, "host": "s-1", "share": 1.5},
@@ -59,8 +59,8 @@
         {"do": "LIMIT", "group": 2, "for": ["start"], "gate": 0.25, "again": 0},
         {"do": "SYNC", "stamp": 77, "yes": 0},
     ]
-    assert len(wrong) == 1
-    assert "99" in wrong[0]
+    assert len(errors) == 1
+    assert "99" in errors[0]
 
 
 def weight_key(slice_id: int, server_id: int) -> OrderKey:
@@ -82,19 +82,19 @@
     return Order(weight_key(slice_id, server_id), b"{}", SendPriority.REMOVED_WEIGHT, weight)
 
 
-def line(server: int, weight: float, table: int = 0, size: int = 0) -> Order:
+def weight_order(server_id: int, weight: float, slice_id: int = 0, size: int = 0) -> Order:
     text = json.dumps(
-        {"do": "SET", "group": table, "host": f"s-{server}{'x' * size}", "share": weight}
+        {"do": "SET", "group": slice_id, "host": f"s-{server_id}{'x' * size}", "share": weight}
     ).encode()
     priority = SendPriority.ADDED_WEIGHT if weight > 0 else SendPriority.REMOVED_WEIGHT
-    return Order(weight_key(table, server), text, priority)
+    return Order(weight_key(slice_id, server_id), text, priority)
 
 
-def out(server: int) -> Order:
-    return Order(withdrawal_key(server), b'{"do":"OUT"}', SendPriority.WITHDRAWAL)
+def withdrawal_order(server_id: int) -> Order:
+    return Order(withdrawal_key(server_id), b'{"do":"OUT"}', SendPriority.WITHDRAWAL)
 
 
-def sent(outbox: Outbox) -> list[Order]:
+def next_orders(outbox: Outbox) -> list[Order]:
     call = outbox.next_call()
     assert [json.loads(o.text) for o in call.orders] == json.loads(call.body)["orders"]
     assert len(call.body) <= MAX_CALL_BYTES
@@ -102,38 +102,46 @@
 
 
 def test_one_batch_is_one_call_and_calls_do_not_overlap() -> None:
-    box = Outbox()
-    assert box.ready_in_s(0.0) is None
-    box.put([out(1), line(2, 1.0), line(1, 0.0)])
-    assert box.ready_in_s(0.0) == 0.0
-    assert [o.key.order_type for o in sent(box)] == [OrderType.WITHDRAWAL, OrderType.WEIGHT, OrderType.WEIGHT]
-    box.put([line(3, 1.0)])
-    assert box.ready_in_s(0.0) is None  # the first is not answered yet
-    assert box.accept(0.0, 3) is None
-    assert [o.key for o in sent(box)] == [weight_key(0, 3)]
+    outbox = Outbox()
+    assert outbox.ready_in_s(0.0) is None
+    outbox.put([withdrawal_order(1), weight_order(2, 1.0), weight_order(1, 0.0)])
+    assert outbox.ready_in_s(0.0) == 0.0
+    assert [o.key.order_type for o in next_orders(outbox)] == [
+        OrderType.WITHDRAWAL,
+        OrderType.WEIGHT,
+        OrderType.WEIGHT,
+    ]
+    outbox.put([weight_order(3, 1.0)])
+    assert outbox.ready_in_s(0.0) is None  # the first is not answered yet
+    assert outbox.accept(0.0, 3) is None
+    assert [o.key for o in next_orders(outbox)] == [weight_key(0, 3)]
 
 
 def test_rejected_order_is_dropped_and_the_rest_is_sent() -> None:
-    box = Outbox()
-    box.put([line(1, 1.0), line(2, 1.0), line(3, 1.0)])
-    box.next_call()
-    assert box.accept(0.0, 1) is None
-    assert [o.key.item_id for o in sent(box)] == [3, 2]  # once more, last
-    bad = box.accept(0.0, 1)
-    assert bad is not None
-    assert bad.key == weight_key(0, 2)
-    assert len(box) == 0
+    outbox = Outbox()
+    outbox.put([weight_order(1, 1.0), weight_order(2, 1.0), weight_order(3, 1.0)])
+    outbox.next_call()
+    assert outbox.accept(0.0, 1) is None
+    assert [o.key.item_id for o in next_orders(outbox)] == [3, 2]  # once more, last
+    rejected = outbox.accept(0.0, 1)
+    assert rejected is not None
+    assert rejected.key == weight_key(0, 2)
+    assert len(outbox) == 0
 
 
 def test_after_an_uncertain_call_the_newest_order_is_sent_and_never_an_older_one() -> None:
-    box = Outbox()
-    box.put([line(1, 1.0), line(2, 1.0)])
-    box.next_call()
-    box.put([line(1, 0.0), line(4, 1.0)])
-    box.repeat(0.0, maybe_applied=True)
-    assert [(o.key.item_id, json.loads(o.text)["share"]) for o in sent(box)] == [(2, 1.0), (1, 0.0), (4, 1.0)]
-    assert box.accept(0.0, 3) is None
-    assert len(box) == 0
+    outbox = Outbox()
+    outbox.put([weight_order(1, 1.0), weight_order(2, 1.0)])
+    outbox.next_call()
+    outbox.put([weight_order(1, 0.0), weight_order(4, 1.0)])
+    outbox.repeat(0.0, maybe_applied=True)
+    assert [(o.key.item_id, json.loads(o.text)["share"]) for o in next_orders(outbox)] == [
+        (2, 1.0),
+        (1, 0.0),
+        (4, 1.0),
+    ]
+    assert outbox.accept(0.0, 3) is None
+    assert len(outbox) == 0
 
 
 def test_tables_of_the_relay_resolve_an_uncertain_call() -> None:
@@ -143,57 +151,59 @@
         ({}, False),
         ({7: {"s-9": 1.0}}, False),
     ]
-    for stored, carried in cases:
-        box = Outbox()
+    for tables, applied in cases:
+        outbox = Outbox()
         new = added(0, 2)
-        box.put([out(9), new, removed(0, 1)])
-        box.next_call()
-        assert box.has_weights_in_flight
-        assert box.resolve(0.0, stored, complete=False) is carried
-        assert len(box) == (0 if carried else 3)
-    box = Outbox()
-    box.put([out(1)])
-    box.next_call()
-    assert not box.has_weights_in_flight
-
-
-@pytest.mark.parametrize(("whole", "carried"), [(False, False), (True, True)])
-def test_absent_weight_shows_its_removal_only_in_a_complete_snapshot(whole: bool, carried: bool) -> None:
-    box = Outbox(max_messages_per_window=1, message_window_s=10.0)
-    box.put([removed(0, 1)])
-    box.next_call()
-    assert box.resolve(0.0, {0: {}}, whole) is carried
-    assert len(box) == (0 if carried else 1)
-    assert box.ready_in_s(1.0) in (None, 9.0)  # and it may have been carried out: it counts as a message
+        outbox.put([withdrawal_order(9), new, removed(0, 1)])
+        outbox.next_call()
+        assert outbox.has_weights_in_flight
+        assert outbox.resolve(0.0, tables, complete=False) is applied
+        assert len(outbox) == (0 if applied else 3)
+    outbox = Outbox()
+    outbox.put([withdrawal_order(1)])
+    outbox.next_call()
+    assert not outbox.has_weights_in_flight
+
+
+@pytest.mark.parametrize(("complete", "applied"), [(False, False), (True, True)])
+def test_absent_weight_shows_its_removal_only_in_a_complete_snapshot(complete: bool, applied: bool) -> None:
+    outbox = Outbox(max_messages_per_window=1, message_window_s=10.0)
+    outbox.put([removed(0, 1)])
+    outbox.next_call()
+    assert outbox.resolve(0.0, {0: {}}, complete) is applied
+    assert len(outbox) == (0 if applied else 1)
+    assert outbox.ready_in_s(1.0) in (None, 9.0)  # and it may have been carried out: it counts as a message
 
 
 def test_weights_of_an_uncertain_call_are_dropped_once_their_slice_was_revoked() -> None:
     """It may be given again with another table, which they must not be laid over."""
     ends: list[Callable[[Outbox], Any]] = [
-        lambda box: box.repeat(0.0, maybe_applied=True),
-        lambda box: box.restore(),
-        lambda box: box.reject(),
-        lambda box: box.accept(0.0, 0),
-        lambda box: box.resolve(0.0, {5: {"s-9": 1.0}, 6: {}}, complete=True),
+        lambda outbox: outbox.repeat(0.0, maybe_applied=True),
+        lambda outbox: outbox.restore(),
+        lambda outbox: outbox.reject(),
+        lambda outbox: outbox.accept(0.0, 0),
+        lambda outbox: outbox.resolve(0.0, {5: {"s-9": 1.0}, 6: {}}, complete=True),
     ]
     for end in ends:
-        box = Outbox()
-        box.put(added(s, 1) for s in (5, 6))
-        box.next_call()
-        box.revoke_slice(5)
-        assert box.pending_servers(6) == {1}
-        assert not box.pending_servers(5)
-        end(box)
-        assert [o.key for o in sent(box)] == [weight_key(6, 1)]
+        outbox = Outbox()
+        outbox.put(added(s, 1) for s in (5, 6))
+        outbox.next_call()
+        outbox.revoke_slice(5)
+        assert outbox.pending_servers(6) == {1}
+        assert not outbox.pending_servers(5)
+        end(outbox)
+        assert [o.key for o in next_orders(outbox)] == [weight_key(6, 1)]
 
 
 def test_next_step_after_each_result_of_a_call() -> None:
-    def after(how: RequestResult, body: bytes = b"", *, with_line: bool = True) -> tuple[bool, bool, int]:
-        box = Outbox()
-        box.put([added(0, 2) if with_line else out(1)])
-        box.next_call()
-        verdict = box.on_response(0.0, Response(how, 200, body))
-        return verdict.snapshot, verdict.delay_s > 0, len(box)
+    def after(
+        result: RequestResult, body: bytes = b"", *, with_weight: bool = True
+    ) -> tuple[bool, bool, int]:
+        outbox = Outbox()
+        outbox.put([added(0, 2) if with_weight else withdrawal_order(1)])
+        outbox.next_call()
+        step = outbox.on_response(0.0, Response(result, 200, body))
+        return step.snapshot, step.delay_s > 0, len(outbox)
 
     assert after(RequestResult.ANSWERED, b'{"accepted":1}') == (False, False, 0)
     assert (
@@ -202,49 +212,51 @@
         == (False, True, 1)
     )
     assert after(RequestResult.UNREACHABLE) == (False, True, 1)  # surely not carried out
-    for how, body in (
+    for result, body in (
         (RequestResult.DISCONNECTED, b""),
         (RequestResult.TIMED_OUT, b""),
         (RequestResult.MALFORMED, b""),
         (RequestResult.ANSWERED, b"{"),
         (RequestResult.ANSWERED, b"[]"),
     ):
-        assert after(how, body) == (True, True, 1)
-        assert after(how, body, with_line=False) == (False, True, 1)
+        assert after(result, body) == (True, True, 1)
+        assert after(result, body, with_weight=False) == (False, True, 1)
 
 
 def test_failed_snapshots_are_repeated_a_limited_number_of_times() -> None:
-    box = Outbox()
-    box.put([added(0, 2)])
-    box.next_call()
-    verdict, looks, pauses = box.on_response(0.0, Response(RequestResult.TIMED_OUT)), 0, list[float]()
-    while verdict.snapshot:
-        looks, pauses = looks + 1, [*pauses, verdict.delay_s]
-        verdict = box.on_snapshot(0.0, None)
-    assert looks == 5
+    outbox = Outbox()
+    outbox.put([added(0, 2)])
+    outbox.next_call()
+    step, snapshots, pauses = outbox.on_response(0.0, Response(RequestResult.TIMED_OUT)), 0, list[float]()
+    while step.snapshot:
+        snapshots, pauses = snapshots + 1, [*pauses, step.delay_s]
+        step = outbox.on_snapshot(0.0, None)
+    assert snapshots == 5
     assert pauses == sorted(pauses)
-    assert not box.in_flight
-    assert len(box) == 1
+    assert not outbox.in_flight
+    assert len(outbox) == 1
 
 
 def test_calls_that_may_have_been_applied_count_towards_the_message_limit() -> None:
-    box = Outbox(max_messages_per_window=2, message_window_s=10.0)
-    for now, carried in ((0.0, True), (1.0, False), (2.0, True)):
-        box.put([line(1, now)])
-        assert box.ready_in_s(now) == 0.0
-        box.next_call()
-        box.repeat(now, carried)
-    assert box.ready_in_s(3.0) == 7.0  # two of three may have been carried out
-    assert box.ready_in_s(10.5) == 0.0
+    outbox = Outbox(max_messages_per_window=2, message_window_s=10.0)
+    for now, applied in ((0.0, True), (1.0, False), (2.0, True)):
+        outbox.put([weight_order(1, now)])
+        assert outbox.ready_in_s(now) == 0.0
+        outbox.next_call()
+        outbox.repeat(now, applied)
+    assert outbox.ready_in_s(3.0) == 7.0  # two of three may have been carried out
+    assert outbox.ready_in_s(10.5) == 0.0
 
 
 def test_batch_over_the_size_limit_is_sent_in_parts_that_are_safe_by_themselves() -> None:
-    box = Outbox()
-    box.put([line(1, 0.0), *(line(k, 1.0, k, 400) for k in range(2, 302)), out(1)])
+    outbox = Outbox()
+    outbox.put(
+        [weight_order(1, 0.0), *(weight_order(k, 1.0, k, 400) for k in range(2, 302)), withdrawal_order(1)]
+    )
     parts: list[list[int]] = []
-    while box.ready_in_s(0.0) is not None:
-        parts.append([o.priority for o in sent(box)])
-        box.accept(0.0, len(parts[-1]))
+    while outbox.ready_in_s(0.0) is not None:
+        parts.append([o.priority for o in next_orders(outbox)])
+        outbox.accept(0.0, len(parts[-1]))
     assert len(parts) > 1
     assert parts[0][0] == 0
     assert sum(map(len, parts)) == 302
@@ -252,26 +264,26 @@
 
 
 def test_throttled_call_is_queued_again_and_an_invalid_one_blocks_nothing() -> None:
-    box = Outbox(max_messages_per_window=1)
-    box.put([line(1, 1.0)])
-    box.next_call()
-    box.restore()
-    assert box.ready_in_s(0.0) == 0.0  # no message was written
+    outbox = Outbox(max_messages_per_window=1)
+    outbox.put([weight_order(1, 1.0)])
+    outbox.next_call()
+    outbox.restore()
+    assert outbox.ready_in_s(0.0) == 0.0  # no message was written
     for _ in range(2):
-        box.next_call()
-        assert not box.reject()
-    box.next_call()
-    assert box.reject()
-    assert len(box) == 0
+        outbox.next_call()
+        assert not outbox.reject()
+    outbox.next_call()
+    assert outbox.reject()
+    assert len(outbox) == 0
 
 
 def test_queued_weights_of_a_revoked_slice_are_dropped() -> None:
-    box = Outbox()
-    box.put([line(1, 1.0, 5), line(1, 1.0, 6), out(5)])
-    box.revoke_slice(5)
-    assert [o.key for o in sent(box)] == [weight_key(6, 1), withdrawal_key(5)]
-    assert box.pending_servers(6) == {1}
-    assert not box.pending_servers(5)
+    outbox = Outbox()
+    outbox.put([weight_order(1, 1.0, 5), weight_order(1, 1.0, 6), withdrawal_order(5)])
+    outbox.revoke_slice(5)
+    assert [o.key for o in next_orders(outbox)] == [weight_key(6, 1), withdrawal_key(5)]
+    assert outbox.pending_servers(6) == {1}
+    assert not outbox.pending_servers(5)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_relay_state.py
+++ b/tests/test_platform_relay_state.py
@@ -9,30 +9,30 @@
 from puffintide.platform.relay_state import RelayChanges, RelayState, merge_tables, tables_differ
 
 
-def news(kind: str, **fields: Any) -> RelayMessage:
-    told = decode_relay_message(json.dumps({"type": kind, "object": fields}).encode())
-    assert told is not None
-    assert not isinstance(told, Heartbeat)
-    return told
+def relay_message(message_type: str, **fields: Any) -> RelayMessage:
+    changes = decode_relay_message(json.dumps({"type": message_type, "object": fields}).encode())
+    assert changes is not None
+    assert not isinstance(changes, Heartbeat)
+    return changes
 
 
-def stands(state: RelayState, proxies: list[int], tables: dict[int, str]) -> RelayChanges:
+def apply_snapshot(state: RelayState, proxies: list[int], tables: dict[int, str]) -> RelayChanges:
     """A watch that tells what stands, and its end."""
     state.on_watch_opened()
     for p in proxies:
-        assert not state.on_message(news("joined", sidecar=p, az="a", share=1.0, standing=False))
+        assert not state.on_message(relay_message("joined", sidecar=p, az="a", share=1.0, standing=False))
     for s in tables:
-        assert not state.on_message(news("given", partition=s, yes=True))
+        assert not state.on_message(relay_message("given", partition=s, yes=True))
     for s, host in tables.items():
-        assert not state.on_message(news("held", partition=s, host=host, share=1.0))
+        assert not state.on_message(relay_message("held", partition=s, host=host, share=1.0))
     return state.flush(at_heartbeat=True)
 
 
 def test_state_is_passed_on_when_the_snapshot_is_complete() -> None:
     state = RelayState()
-    told = stands(state, [1, 2], {7: "s-1"})
-    assert [j.proxy_id for j in told.joined_proxies] == [1, 2]
-    assert told.granted_tables == {7: {"s-1": 1.0}}
+    changes = apply_snapshot(state, [1, 2], {7: "s-1"})
+    assert [j.proxy_id for j in changes.joined_proxies] == [1, 2]
+    assert changes.granted_tables == {7: {"s-1": 1.0}}
     assert decode_relay_message(b"{}") == Heartbeat()
     assert decode_relay_message(b'{"type":"new kind","object":{}}') is None
 
@@ -40,69 +40,75 @@
 def test_nothing_counts_as_removed_before_the_heartbeat() -> None:
     """A pause is no end: it may be a gap between two pieces."""
     state = RelayState()
-    stands(state, [1, 2], {7: "s-1", 8: "s-1"})
+    apply_snapshot(state, [1, 2], {7: "s-1", 8: "s-1"})
     state.on_watch_opened()
-    state.on_message(news("joined", sidecar=3, az="a", share=1.0, standing=True))
-    state.on_message(news("given", partition=8, yes=True))
-    state.on_message(news("given", partition=9, yes=True))
-    state.on_message(news("held", partition=9, host="s-3", share=1.0))
-    told = state.flush(at_heartbeat=False)
-    assert [j.proxy_id for j in told.joined_proxies] == [3]
-    assert told.granted_tables == {9: {"s-3": 1.0}}
-    assert not (told.departed_proxies)
-    assert not (told.revoked_slices)
-    assert not (told.retained_tables)
+    state.on_message(relay_message("joined", sidecar=3, az="a", share=1.0, standing=True))
+    state.on_message(relay_message("given", partition=8, yes=True))
+    state.on_message(relay_message("given", partition=9, yes=True))
+    state.on_message(relay_message("held", partition=9, host="s-3", share=1.0))
+    changes = state.flush(at_heartbeat=False)
+    assert [j.proxy_id for j in changes.joined_proxies] == [3]
+    assert changes.granted_tables == {9: {"s-3": 1.0}}
+    assert not (changes.departed_proxies)
+    assert not (changes.revoked_slices)
+    assert not (changes.retained_tables)
     assert state.has_unflushed
-    state.on_message(news("held", partition=8, host="s-1", share=1.0))  # the next piece
-    state.on_message(news("held", partition=9, host="s-4", share=0.5))
-    state.on_message(news("joined", sidecar=1, az="a", share=1.0, standing=False))
-    told = state.flush(at_heartbeat=True)
-    assert told.added_weights == {9: {"s-4": 0.5}}
-    assert told.retained_tables == {8: {"s-1": 1.0}}
-    assert not told.joined_proxies
-    assert told.departed_proxies == [2]
-    assert told.revoked_slices == [7]
+    state.on_message(relay_message("held", partition=8, host="s-1", share=1.0))  # the next piece
+    state.on_message(relay_message("held", partition=9, host="s-4", share=0.5))
+    state.on_message(relay_message("joined", sidecar=1, az="a", share=1.0, standing=False))
+    changes = state.flush(at_heartbeat=True)
+    assert changes.added_weights == {9: {"s-4": 0.5}}
+    assert changes.retained_tables == {8: {"s-1": 1.0}}
+    assert not changes.joined_proxies
+    assert changes.departed_proxies == [2]
+    assert changes.revoked_slices == [7]
     assert not state.has_unflushed
-    state.on_message(news("held", partition=9, host="s-5", share=1.0))
+    state.on_message(relay_message("held", partition=9, host="s-5", share=1.0))
     assert state.unowned_weights == 1
     assert not state.has_unflushed
 
 
 def test_heartbeat_between_a_grant_and_its_weights_loses_none() -> None:
     state = RelayState()
-    stands(state, [1], {})
-    state.on_message(news("given", partition=4, yes=True))
+    apply_snapshot(state, [1], {})
+    state.on_message(relay_message("given", partition=4, yes=True))
     assert state.flush(at_heartbeat=True).granted_tables == {4: {}}
-    state.on_message(news("held", partition=4, host="s-9", share=2.0))
+    state.on_message(relay_message("held", partition=4, host="s-9", share=2.0))
     assert state.flush(at_heartbeat=True).added_weights == {4: {"s-9": 2.0}}
-    state.on_message(news("held", partition=4, host="s-8", share=2.0))
+    state.on_message(relay_message("held", partition=4, host="s-8", share=2.0))
     assert state.unowned_weights == 1
 
 
 def test_slice_revoked_granted_and_revoked_in_one_batch() -> None:
     state = RelayState()
-    stands(state, [1], {7: "s-1"})
-    changes = [state.on_message(news("given", partition=7, yes=yes)) for yes in (False, True, False)]
+    apply_snapshot(state, [1], {7: "s-1"})
+    changes = [state.on_message(relay_message("given", partition=7, yes=yes)) for yes in (False, True, False)]
     assert [c.revoked_slices for c in changes] == [[7], [], []]
     assert not state.flush(at_heartbeat=False)
     assert state.slices == set()
     assert not state.has_unflushed
-    state.on_message(news("held", partition=7, host="s-1", share=1.0))  # a table after its slice has gone
+    state.on_message(
+        relay_message("held", partition=7, host="s-1", share=1.0)
+    )  # a table after its slice has gone
     assert state.unowned_weights == 1
     assert not state.flush(at_heartbeat=True)
 
 
 def test_second_watch_is_compared_with_the_known_state() -> None:
     state = RelayState()
-    stands(state, [1, 2], {7: "s-1", 8: "s-1"})
-    told = stands(state, [2, 3], {8: "s-2", 9: "s-3"})
-    assert (told.departed_proxies, [j.proxy_id for j in told.joined_proxies], told.revoked_slices) == (
+    apply_snapshot(state, [1, 2], {7: "s-1", 8: "s-1"})
+    changes = apply_snapshot(state, [2, 3], {8: "s-2", 9: "s-3"})
+    assert (
+        changes.departed_proxies,
+        [j.proxy_id for j in changes.joined_proxies],
+        changes.revoked_slices,
+    ) == (
         [1],
         [3],
         [7],
     )
-    assert told.granted_tables == {9: {"s-3": 1.0}}
-    assert told.retained_tables == {8: {"s-2": 1.0}}
+    assert changes.granted_tables == {9: {"s-3": 1.0}}
+    assert changes.retained_tables == {8: {"s-2": 1.0}}
     assert state.slices == {8, 9}
     assert state.proxies.keys() == {2, 3}
 
@@ -120,12 +126,12 @@
 
 def test_slice_granted_later_is_passed_on_with_its_weights() -> None:
     state = RelayState()
-    stands(state, [1], {})
-    assert not state.on_message(news("given", partition=4, yes=True))
+    apply_snapshot(state, [1], {})
+    assert not state.on_message(relay_message("given", partition=4, yes=True))
     assert state.has_unflushed
-    state.on_message(news("held", partition=4, host="s-9", share=2.0))
+    state.on_message(relay_message("held", partition=4, host="s-9", share=2.0))
     assert state.flush(at_heartbeat=False).granted_tables == {4: {"s-9": 2.0}}
     assert not state.has_unflushed
-    assert state.on_message(news("given", partition=4, yes=False)).revoked_slices == [4]
-    assert state.on_message(news("left", sidecar=1)).departed_proxies == [1]
-    assert not state.on_message(news("left", sidecar=1))  # told twice
+    assert state.on_message(relay_message("given", partition=4, yes=False)).revoked_slices == [4]
+    assert state.on_message(relay_message("left", sidecar=1)).departed_proxies == [1]
+    assert not state.on_message(relay_message("left", sidecar=1))  # told twice
