--- a/puffintide/platform/__init__.py
+++ b/puffintide/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The real assigner of the platform: the decision module on the platform's protocol. docs/node.md."""
+"""The assigner on the shared platform's protocol; docs/node.md is its page."""
--- a/puffintide/platform/__main__.py
+++ b/puffintide/platform/__main__.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 if TYPE_CHECKING:
-    from puffintide.platform.config import Config
+    from puffintide.platform.config import Address, Config
     from puffintide.platform.log import Log
 
 EXIT_UNUSABLE = 2  # the configuration, or its address
@@ -39,16 +39,22 @@
 
 def _compare_environment(config: Config, path: str, log: Log) -> None:
     """Log addresses in the environment that differ from those in the file, which are used."""
+    for variable, address in (("GW_LISTEN", config.listen), ("GW_DISCOVERY", config.discovery)):
+        text = os.environ.get(variable, "")
+        difference = _address_difference(variable, text, address) if text else ""
+        if difference:
+            log("environment_ignored", variable=variable, reason=f"{difference}; {path} is used")
+
+
+def _address_difference(variable: str, text: str, address: Address) -> str:
     from puffintide.platform.config import parse_address
     from puffintide.platform.errors import ConfigError
 
-    for variable, address in (("GW_LISTEN", config.listen), ("GW_DISCOVERY", config.discovery)):
-        text = os.environ.get(variable, "")
-        try:
-            if text and parse_address(text, variable) != address:
-                raise ConfigError(f"{text!r} differs from {path}, which is used")
-        except ConfigError as error:
-            log("environment_ignored", variable=variable, reason=str(error))
+    try:
+        parsed = parse_address(text, variable)
+    except ConfigError as error:
+        return str(error)
+    return "" if parsed == address else f"{text!r} differs from {address[0]}:{address[1]}"
 
 
 def _run(config: Config, path: str, log: Log) -> int:
--- a/puffintide/platform/health_check_client.py
+++ b/puffintide/platform/health_check_client.py
@@ -51,6 +51,7 @@
         self.transport.write(self._exchange.request("GET", self.client.target))
 
     def connectionMade(self) -> None:
+        """Send the first request."""
         if self._ended:
             self.transport.abortConnection()
             return
@@ -59,6 +60,7 @@
         self.request()
 
     def dataReceived(self, data: bytes) -> None:
+        """Read a part of a response."""
         if self._ended:
             return
         if self._exchange.complete:  # unrequested: a later response could not be told from this
@@ -77,6 +79,7 @@
             self.client.on_response(self._exchange.status or 0, b"".join(self._body))
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Fail the check in flight, unless the connection was dropped from this side."""
         self._end(HealthCheckStatus.RESET)
 
     def drop(self) -> None:
--- a/puffintide/platform/reactor.py
+++ b/puffintide/platform/reactor.py
@@ -82,10 +82,12 @@
         self._on_failure = on_failure
 
     def buildProtocol(self, _address: Any) -> Connection:
+        """Return the one protocol."""
         self._connection.factory = self
         return self._connection
 
     def clientConnectionFailed(self, _connector: Any, _reason: Any) -> None:
+        """Report that the connection can't be established."""
         self._on_failure()
 
 
--- a/puffintide/platform/watch_stream.py
+++ b/puffintide/platform/watch_stream.py
@@ -60,6 +60,7 @@
         self.end("unreachable")
 
     def connectionMade(self) -> None:
+        """Send the request."""
         if self.ended:
             self.transport.abortConnection()
             return
@@ -67,6 +68,7 @@
         self.transport.write(self.exchange.request("GET", self.watch.handler.watch_target()))
 
     def dataReceived(self, data: bytes) -> None:
+        """Pass on the lines that are complete."""
         if self.ended:
             return
         self.unresponsive_checks = 0
@@ -88,6 +90,7 @@
                     self.watch.on_line(self, line)
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Report the end, unless it was reported before."""
         self.end("disconnected")
 
     def drop(self, reason: str) -> None:
