--- a/puffintide/assigner/decision_loop.py
+++ b/puffintide/assigner/decision_loop.py
@@ -9,7 +9,7 @@
 
 from puffintide.assigner.runtime import Effects, Runtime
 from puffintide.decisions.actions import Action, SetAdmission, SetWeight, SetWithdrawn
-from puffintide.protocol.clock import Clock
+from puffintide.protocol.clock import Clock, Timer
 
 MIN_TIMER_DELAY_S = 0.001
 RESTART_DELAY_S = 0.25  # of the rounds after one that failed
@@ -51,16 +51,19 @@
         self.module_cpu_s = 0.0
         self.round_count = 0
         self.decision_count = 0
-        self._timer: Any = None
+        self._timer: Timer | None = None
+        self._next_round_at = 0.0
 
     def schedule(self, delay_s: float | None = None) -> None:
         """Have a round after a delay, by default a tick, unless one is due earlier."""
         if delay_s is None:
             delay_s = self.tick_s
-        if self._timer is not None and self._timer.active():
-            if self._timer.getTime() <= self.clock.seconds() + delay_s:
+        round_at = self.clock.seconds() + delay_s
+        if self._timer is not None:
+            if self._next_round_at <= round_at:
                 return
             self._timer.cancel()
+        self._next_round_at = round_at
         self._timer = self.clock.callLater(delay_s, self._run_round)
 
     def log_decision(self, effects: Effects, update_count: int, queued_entries: float) -> None:
@@ -85,6 +88,7 @@
         )
 
     def _run_round(self) -> None:
+        self._timer = None
         started_at = self.clock.seconds()
         cpu_before_s = _cpu_s()
         try:
--- a/puffintide/assigner/endpoint_list.py
+++ b/puffintide/assigner/endpoint_list.py
@@ -11,6 +11,7 @@
 
 from puffintide.decisions.events import EndpointStatus, ListUpdateType
 from puffintide.files import swap
+from puffintide.protocol.clock import Clock, Timer
 from puffintide.protocol.messages import EndpointEntry, WatchEvent
 
 SAVE_DELAY_S = 0.2  # events within this time are written at once
@@ -87,14 +88,14 @@
         entries: Entries of the servers that are listed.
     """
 
-    def __init__(self, reactor: Any, path: str, log: Any) -> None:
-        self.reactor = reactor
+    def __init__(self, clock: Clock, path: str, log: Any) -> None:
+        self.clock = clock
         self.path = path
         self.log = log
         self.version = -1
         self.received_from_source = False
         self.entries: dict[int, ReceivedEntry] = {}
-        self._pending_save: Any = None
+        self._pending_save: Timer | None = None
 
     def on_watch_event(self, event: WatchEvent) -> None:
         """Apply a watch event and save the list soon."""
@@ -102,7 +103,7 @@
         self.received_from_source = event.update_type != ListUpdateType.CACHED
         if event.update_type != ListUpdateType.DELTA:
             self.entries = {}
-        now = float(self.reactor.seconds())
+        now = self.clock.seconds()
         for entry in event.servers:
             self.entries[entry.server_id] = ReceivedEntry(entry, now)
         self.entries = {
@@ -111,7 +112,7 @@
             if received.entry.status != EndpointStatus.REMOVED
         }
         if self.path and self._pending_save is None:
-            self._pending_save = self.reactor.callLater(SAVE_DELAY_S, self._save)
+            self._pending_save = self.clock.callLater(SAVE_DELAY_S, self._save)
 
     def load(self) -> WatchEvent | None:
         """Load the cache file and apply it; None if there is no usable one."""
@@ -127,7 +128,7 @@
 
     def _save(self) -> None:
         self._pending_save = None
-        now = float(self.reactor.seconds())
+        now = self.clock.seconds()
         entries = [
             _aged(received.entry, now - received.received_at_s)
             for _, received in sorted(self.entries.items())
--- a/puffintide/assigner/handover_runner.py
+++ b/puffintide/assigner/handover_runner.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from puffintide.assigner.handover import Handover, HandoverSteps
 from puffintide.assigner.proxy_updates import ProxyUpdateSender
 from puffintide.assigner.store_client import StoreClient
-from puffintide.protocol.clock import Clock
+from puffintide.protocol.clock import Clock, Timer
 
 ADVANCE_INTERVAL_S = 0.02  # during a migration
 
@@ -22,7 +20,7 @@
         self.handover = handover
         self.store_client = store_client
         self.proxy_updates = proxy_updates
-        self._timer: Any = None
+        self._timer: Timer | None = None
 
     def run(self, steps: HandoverSteps) -> None:
         """Carry out steps. Without a store writes wait in the handover, which repeats them on its return."""
@@ -31,8 +29,9 @@
                 self.store_client.write(batch, weights)
         if steps.proxy_updates:
             self.proxy_updates.send(steps.proxy_updates)
-        if self.handover.migrations and (self._timer is None or not self._timer.active()):
+        if self.handover.migrations and self._timer is None:
             self._timer = self.clock.callLater(ADVANCE_INTERVAL_S, self._advance)
 
     def _advance(self) -> None:
+        self._timer = None
         self.run(self.handover.advance(self.clock.seconds()))
--- a/puffintide/assigner/health_checks.py
+++ b/puffintide/assigner/health_checks.py
@@ -4,12 +4,11 @@
 
 from collections.abc import Callable, Container
 from dataclasses import dataclass
-from typing import Any
 
 from puffintide.decisions.events import HealthCheckResult, HealthCheckStatus
 from puffintide.protocol import messages as m
 from puffintide.protocol.client import StreamClient
-from puffintide.protocol.clock import ConnectingReactor
+from puffintide.protocol.clock import ConnectingReactor, Timer
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
 from puffintide.tls.context import Contexts
@@ -57,7 +56,7 @@
         self._stream: Stream | None = None
         self._pending: _PendingCheck | None = None
         self._last_check_id = 0
-        self._timeout: Any = None
+        self._timeout: Timer | None = None
         self._client = self._connect()
 
     def check(self, now: float) -> None:
@@ -66,9 +65,7 @@
             return
         self._last_check_id += 1
         self._pending = _PendingCheck(self._last_check_id, now)
-        self._timeout = self.reactor.callLater(
-            self.options.timeout_s, self._finish, m.AttemptStatus.TIMEOUT, ()
-        )
+        self._timeout = self.reactor.callLater(self.options.timeout_s, self._on_timeout)
         if self._stream is not None:
             self._stream.send(m.HealthCheckRequest(self._last_check_id))
         elif self._last_check_id > 1:
@@ -109,13 +106,18 @@
         if self._pending is not None:
             self._finish(m.AttemptStatus.RESET if was_connected else m.AttemptStatus.UNREACHABLE, ())
 
+    def _on_timeout(self) -> None:
+        self._timeout = None
+        self._finish(m.AttemptStatus.TIMEOUT, ())
+
     def _finish(self, status: int, load_values: tuple[float, ...]) -> None:
         if self._pending is None:
             return
         elapsed_s = self.reactor.seconds() - self._pending.started_at_s
         self._pending = None
-        if self._timeout is not None and self._timeout.active():
+        if self._timeout is not None:
             self._timeout.cancel()
+            self._timeout = None
         if status == m.AttemptStatus.TIMEOUT and self._stream is None:
             status = m.AttemptStatus.UNREACHABLE
         self.on_result(status, elapsed_s, load_values)
--- a/puffintide/assigner/proxy_updates.py
+++ b/puffintide/assigner/proxy_updates.py
@@ -2,11 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from puffintide.assigner.channel import Channel
 from puffintide.assigner.handover import AddressedUpdates
-from puffintide.protocol.clock import Clock
+from puffintide.protocol.clock import Clock, Timer
 from puffintide.protocol.stream import PeerIdentity, Stream
 
 PROXY = "proxy"
@@ -29,7 +27,7 @@
         self.streams: dict[int, Stream] = {}
         self.max_checkpoint_delay_s = 0.0
         self._checkpoints_sent_at: dict[int, float] = {}
-        self._flush_timer: Any = None
+        self._flush_timer: Timer | None = None
 
     def add_proxy(self, proxy_id: int, stream: Stream) -> None:
         """Send updates of a proxy on a stream."""
@@ -78,12 +76,16 @@
             self.streams[proxy_id].abort("the proxy does not read its updates")
         self._schedule_flush(now)
 
+    def _on_flush_timer(self) -> None:
+        self._flush_timer = None
+        self._flush()
+
     def _schedule_flush(self, now: float) -> None:
-        if self._flush_timer is not None and self._flush_timer.active():
+        if self._flush_timer is not None:
             return
         departs_at = self.channel.next_departure_at()
         if departs_at is not None:
             delay_s = max(MIN_FLUSH_DELAY_S, departs_at - now)
-            self._flush_timer = self.clock.callLater(delay_s, self._flush)
+            self._flush_timer = self.clock.callLater(delay_s, self._on_flush_timer)
         elif self.channel.queued_entries() > 0:
-            self._flush_timer = self.clock.callLater(BACKLOG_POLL_INTERVAL_S, self._flush)
+            self._flush_timer = self.clock.callLater(BACKLOG_POLL_INTERVAL_S, self._on_flush_timer)
--- a/puffintide/replication/__init__.py
+++ b/puffintide/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of what each assigner knows, kept by the others: docs/replication.md."""
+"""Replicas of what each assigner knows, held by the others: docs/replication.md."""
