--- a/puffintide/assigner/endpoint_list.py
+++ b/puffintide/assigner/endpoint_list.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from puffintide.decisions.events import EndpointStatus, ListUpdateType
-from puffintide.files import swap
+from puffintide.files import replace_file
 from puffintide.protocol.messages import EndpointEntry, WatchEvent
 
 SAVE_DELAY_S = 0.2  # events within this time are written at once
@@ -39,7 +39,7 @@
     Raises:
         OSError: It could not be written; the previous file stays.
     """
-    swap(path, msgspec.json.encode(_CacheFile(FORMAT_VERSION, wall_time_s, event)))
+    replace_file(path, msgspec.json.encode(_CacheFile(FORMAT_VERSION, wall_time_s, event)))
 
 
 def load_cache(path: str, wall_time_s: float) -> WatchEvent:
--- a/puffintide/assigner/health_checks.py
+++ b/puffintide/assigner/health_checks.py
@@ -12,7 +12,7 @@
 from puffintide.protocol.clock import ConnectingReactor
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 HEARTBEAT_INTERVAL_S = 30.0  # between checks a stream to a server only has to stay open
 HEARTBEAT_TIMEOUT_S = 60.0
@@ -36,7 +36,7 @@
 
     make_greeting: Callable[[], m.Hello]
     timeout_s: float
-    tls: Contexts | None
+    tls: TlsContextFactory | None
 
 
 class HealthChecker:
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -37,7 +37,7 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import MessageHandler, Stream, StreamServerFactory
 from puffintide.replication.peer_sessions import ASSIGNER, PeerSessions
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.state import ZoneLimits
 
@@ -61,7 +61,7 @@
         config: Config,
         log: Any,
         incarnation: int,
-        tls: Contexts | None = None,
+        tls: TlsContextFactory | None = None,
     ) -> None:
         assert config.assigner is not None
         self.reactor = reactor
--- a/puffintide/cli/key_commands.py
+++ b/puffintide/cli/key_commands.py
@@ -16,19 +16,20 @@
 @click.option("--days", default=90.0)
 def keys(folder: str, names: tuple[str, ...], deployment: str, days: float) -> None:
     """Makes a development authority in FOLDER, and certificates for NAMES such as assigner-0, proxy-3, store-0."""
-    from puffintide.tls.keys import KeyFailure, make_authority, make_certificate
+    from puffintide.tls.errors import KeyCreationError
+    from puffintide.tls.keys import create_authority, create_certificate
 
     path = Path(folder)
     try:
         if not (path / "ca.pem").exists():
-            make_authority(path)
+            create_authority(path)
             click.echo(f"{path / 'ca.pem'}: written")
         for name in names:
             role, _, number = name.rpartition("-")
             if not role or not number.isdigit():
-                raise KeyFailure(f"{name!r} is not ROLE-NUMBER")
-            certificate_name = f"{name}.{deployment}.puffintide"
-            make_certificate(path, certificate_name, days)
-            click.echo(f"{path / certificate_name}.pem: written")
-    except KeyFailure as error:
+                raise KeyCreationError(f"{name!r} is not ROLE-NUMBER")
+            dns_name = f"{name}.{deployment}.puffintide"
+            create_certificate(path, dns_name, days)
+            click.echo(f"{path / dns_name}.pem: written")
+    except KeyCreationError as error:
         raise CommandError(str(error)) from error
--- a/puffintide/cli/operator_client.py
+++ b/puffintide/cli/operator_client.py
@@ -15,7 +15,7 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
 from puffintide.replication.replica import Replica
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 RESPONSE_TIMEOUT_S = 5.0
 NO_ORIGIN = -1
@@ -58,7 +58,7 @@
         tls: Certificates; None for plain TCP.
     """
 
-    def __init__(self, config: Config, tls: Contexts | None = None) -> None:
+    def __init__(self, config: Config, tls: TlsContextFactory | None = None) -> None:
         assert config.operator is not None
         self.config = config
         self.operator: OperatorSection = config.operator
--- a/puffintide/cli/process_runtime.py
+++ b/puffintide/cli/process_runtime.py
@@ -13,7 +13,8 @@
 
 from puffintide.config.loader import Config
 from puffintide.logs import Logger
-from puffintide.tls.context import Contexts, TlsError
+from puffintide.tls.context import TlsContextFactory
+from puffintide.tls.errors import TlsError
 
 LISTEN_BACKLOG = 2000
 EXIT_INVALID_INPUT = 2
@@ -25,12 +26,12 @@
     sys.exit(EXIT_INVALID_INPUT)
 
 
-def tls_contexts(config: Config, log: Logger) -> Contexts | None:
+def tls_contexts(config: Config, log: Logger) -> TlsContextFactory | None:
     """The contexts of a configuration's [tls] section; None without one. Unusable files end the process."""
     if config.tls is None:
         return None
     try:
-        return Contexts(
+        return TlsContextFactory(
             config.tls.ca,
             config.tls.cert,
             config.tls.key,
@@ -40,7 +41,7 @@
         exit_with_error(f"{config.path}: [tls] {error}")
 
 
-def _listen_shared(reactor: Any, host: str, port: int, factory: Any, tls: Contexts | None) -> Any:
+def _listen_shared(reactor: Any, host: str, port: int, factory: Any, tls: TlsContextFactory | None) -> Any:
     """Listen on a port that several processes share; the system distributes connections among them."""
     listener = socket.socket()
     try:
@@ -58,7 +59,7 @@
 
 
 def listen(
-    reactor: Any, address: str, factory: Any, tls: Contexts | None = None, shared: bool = False
+    reactor: Any, address: str, factory: Any, tls: TlsContextFactory | None = None, shared: bool = False
 ) -> Any:
     """Listen on HOST:PORT, and return the port. An address that can't be used ends the process."""
     host, _, port = address.rpartition(":")
--- a/puffintide/files.py
+++ b/puffintide/files.py
@@ -1,18 +1,22 @@
-"""Files that are swapped whole: a reader sees the old one or the new one, also when the writer is killed."""
+"""Files that are replaced atomically: a reader finds the old or the new one, also after the writer was killed."""
 
 from __future__ import annotations
 
 import os
 
 
-def swap(path: str, data: bytes) -> None:
-    """Writes beside, syncs, renames, syncs the folder. Raises OSError; the old file then stands."""
-    beside = f"{path}.{os.getpid()}.new"
-    with open(beside, "wb") as file:
+def replace_file(path: str, data: bytes) -> None:
+    """Write a file beside the old one, sync it, rename it, and sync the folder.
+
+    Raises:
+        OSError: The file can't be written; the old one remains.
+    """
+    temporary = f"{path}.{os.getpid()}.new"
+    with open(temporary, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
+    os.replace(temporary, path)
     folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/puffintide/protocol/client.py
+++ b/puffintide/protocol/client.py
@@ -13,7 +13,7 @@
 from puffintide.protocol.messages import AnyMessage, ConnectionRejected
 from puffintide.protocol.session import Greeting, Session
 from puffintide.protocol.stream import HEARTBEAT_INTERVAL_S, HEARTBEAT_TIMEOUT_S, MessageHandler, Stream
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
@@ -69,7 +69,7 @@
         heartbeat_interval_s: float = HEARTBEAT_INTERVAL_S,
         heartbeat_timeout_s: float = HEARTBEAT_TIMEOUT_S,
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
-        tls: Contexts | None = None,
+        tls: TlsContextFactory | None = None,
     ) -> None:
         self.reactor = reactor
         self.host, _, port = address.rpartition(":")
--- a/puffintide/protocol/stream.py
+++ b/puffintide/protocol/stream.py
@@ -15,8 +15,8 @@
 from puffintide.protocol.errors import PeerRejectedError, ProtocolError
 from puffintide.protocol.messages import AnyMessage, ConnectionRejected, Hello, Message, PeerRole, Welcome
 from puffintide.protocol.session import Greeting, PeerCheck, Session, accept_any_peer
-from puffintide.tls.context import names
-from puffintide.tls.keys import party
+from puffintide.tls.context import peer_dns_names
+from puffintide.tls.keys import certificate_name
 
 HEARTBEAT_INTERVAL_S = 0.5
 HEARTBEAT_TIMEOUT_S = 2.0
@@ -103,7 +103,7 @@
 
     def _certificate_mismatch(self, messages: list[AnyMessage]) -> str | None:
         """On TLS a peer is whom its certificate names; clients need any certificate of the same authority."""
-        certificate_names = names(self.transport)
+        certificate_names = peer_dns_names(self.transport)
         if certificate_names is None or not messages:
             return None
         greeting = messages[0]
@@ -111,7 +111,7 @@
             return None
         own = self.session.greeting
         deployment = own.deployment if isinstance(own, Hello) else getattr(greeting, "deployment", "")
-        name = party(greeting.role, greeting.id, deployment)
+        name = certificate_name(greeting.role, greeting.id, deployment)
         if name in certificate_names:
             return None
         return f"its certificate is for {', '.join(sorted(certificate_names)) or 'nobody'}, not {name}"
--- a/puffintide/proxy/control_plane.py
+++ b/puffintide/proxy/control_plane.py
@@ -16,7 +16,7 @@
 from puffintide.proxy.engine_driver import EngineDriver
 from puffintide.proxy.load_balancing import Random
 from puffintide.proxy.reactor import DelayedCall, Reactor, cancel_if_active
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 WRITE_CHECK_INTERVAL_S = 0.02  # how often writes in flight delay a checkpoint's reply
 STORE_ID = -1  # beside the assigners' ids
@@ -32,7 +32,7 @@
         log: Gets losses of assigners.
         drivers: Those of the proxy's engines, which share their tables; the first one owns them.
         random: Jitter of reconnects.
-        tls: Contexts of outgoing streams; None: without TLS.
+        tls: Context factory of outgoing streams; None: without TLS.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         log: Logger,
         drivers: Sequence[EngineDriver],
         random: Random,
-        tls: Contexts | None = None,
+        tls: TlsContextFactory | None = None,
     ) -> None:
         self.reactor = reactor
         self.config = config
@@ -63,7 +63,7 @@
         self._diallers.append(self._store_dialler(process.store, random, tls))
 
     def _assigner_dialler(
-        self, assigner_id: int, address: str, random: Random, tls: Contexts | None
+        self, assigner_id: int, address: str, random: Random, tls: TlsContextFactory | None
     ) -> StreamClient:
         return StreamClient(
             self.reactor,
@@ -75,7 +75,7 @@
             tls=tls,
         )
 
-    def _store_dialler(self, address: str, random: Random, tls: Contexts | None) -> StreamClient:
+    def _store_dialler(self, address: str, random: Random, tls: TlsContextFactory | None) -> StreamClient:
         return StreamClient(
             self.reactor,
             address,
--- a/puffintide/proxy/http_proxy.py
+++ b/puffintide/proxy/http_proxy.py
@@ -30,7 +30,7 @@
 from puffintide.proxy.load_balancing import slice_for_key
 from puffintide.proxy.reactor import Reactor
 from puffintide.proxy.upstream import UpstreamConnection
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 
 class HttpProxy(EngineDriver):
@@ -43,7 +43,7 @@
         engine: Decides about routing.
         count: Called for each event that the log's statistics count.
         deployment: The deployment's name, for the servers' certificates.
-        tls: Contexts of outgoing connections; None: without TLS.
+        tls: Context factory of outgoing connections; None: without TLS.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         engine: Engine,
         count: Callable[[str], None],
         deployment: str,
-        tls: Contexts | None = None,
+        tls: TlsContextFactory | None = None,
     ) -> None:
         super().__init__(reactor, engine)
         self.process = process
--- a/puffintide/proxy/line_proxy.py
+++ b/puffintide/proxy/line_proxy.py
@@ -24,7 +24,7 @@
 from puffintide.proxy.load_balancing import slice_for_key
 from puffintide.proxy.reactor import Reactor
 from puffintide.proxy.request_timings import RequestTimings
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 MAX_TIMEOUT_S = 1e4  # that a client may wait; over HTTP too
 MAX_KEY = 2**64
@@ -52,7 +52,7 @@
         timings: Measures how long requests take.
         log: Gets a sample of the requests.
         deployment: The deployment's name.
-        tls: Contexts of outgoing streams; None: without TLS.
+        tls: Context factory of outgoing streams; None: without TLS.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         timings: RequestTimings,
         log: Logger,
         deployment: str,
-        tls: Contexts | None = None,
+        tls: TlsContextFactory | None = None,
     ) -> None:
         super().__init__(reactor, engine)
         self.process = process
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -22,7 +22,7 @@
 from puffintide.proxy.request_timings import RequestTimings
 from puffintide.proxy.settings import engine_settings
 from puffintide.proxy.state import StateError, capture_state, load_state, restore_state, save_state
-from puffintide.tls.context import Contexts
+from puffintide.tls.context import TlsContextFactory
 
 SAVE_INTERVAL_S = 1.0
 STATS_INTERVAL_S = 10.0
@@ -44,7 +44,7 @@
         config: Deployment, request classes and intervals.
         process: Identity, addresses and limits of this proxy.
         log: Structured log.
-        tls: Contexts of outgoing streams; None: without TLS.
+        tls: Context factory of outgoing streams; None: without TLS.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         config: Config,
         process: ProxyProcess,
         log: Logger,
-        tls: Contexts | None = None,
+        tls: TlsContextFactory | None = None,
     ) -> None:
         self.reactor = reactor
         self.config = config
--- a/puffintide/proxy/state.py
+++ b/puffintide/proxy/state.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from puffintide.files import swap
+from puffintide.files import replace_file
 from puffintide.protocol.messages import AdmissionLevel, ProxyUpdate, SliceOwnership, TableEntry
 from puffintide.proxy.errors import ProxyError
 from puffintide.proxy.retry_policy import UNKNOWN_ZONE
@@ -87,7 +87,7 @@
     Raises:
         OSError: The file can't be written; the old one remains.
     """
-    swap(path, msgspec.json.encode(saved))
+    replace_file(path, msgspec.json.encode(saved))
 
 
 def load_state(path: str) -> SavedState:
--- a/puffintide/proxy/upstream.py
+++ b/puffintide/proxy/upstream.py
@@ -15,8 +15,8 @@
 from puffintide.proxy.http_exchange import HttpExchange
 from puffintide.proxy.http_messages import forwarded_response_headers, is_rejection
 from puffintide.proxy.reactor import DelayedCall, Transport, cancel_if_active
-from puffintide.tls.context import names
-from puffintide.tls.keys import party
+from puffintide.tls.context import peer_dns_names
+from puffintide.tls.keys import certificate_name
 
 if TYPE_CHECKING:
     from puffintide.proxy.http_proxy import HttpProxy
@@ -56,8 +56,8 @@
 
     def handshakeCompleted(self) -> None:
         """The server has shown its certificate."""
-        expected_name = party("server", self.server_id, self.proxy.deployment)
-        if expected_name in (names(self.transport) or set()):
+        expected_name = certificate_name("server", self.server_id, self.proxy.deployment)
+        if expected_name in (peer_dns_names(self.transport) or set()):
             self._on_established()
         else:
             self.proxy.count(HttpCounter.UPSTREAM_CERTIFICATE_MISMATCHES)
--- a/puffintide/tls/context.py
+++ b/puffintide/tls/context.py
@@ -11,77 +11,100 @@
 from twisted.internet.interfaces import IOpenSSLContextFactory, ISSLTransport
 from zope.interface import implementer
 
+from puffintide.tls.errors import TlsError
 
-class TlsError(Exception):
-    """The files can't be used; the text says which and why."""
+
+def _ignore_warning(_text: str) -> None:
+    pass
+
+
+def _keep_verdict(*arguments: Any) -> bool:
+    """Verification callback: accept what OpenSSL accepts."""
+    return bool(arguments[-1])
 
 
 @implementer(IOpenSSLContextFactory)
-class Contexts:
-    """getContext() as Twisted asks for it, at each new stream. Both ends show a certificate of the same authority.
+class TlsContextFactory:
+    """Gives Twisted the context of each new stream. Both ends show a certificate of the same authority.
 
-    A file that changed and can't be used is told to `warn`, and the last good context stays.
+    Args:
+        ca: File of the authority's certificate, PEM.
+        cert: File of the own certificate chain, PEM.
+        key: File of the own private key, PEM.
+        warn: Called with a text when a file has changed and can't be used; the last good context remains.
+
+    Raises:
+        TlsError: A file can't be used at the start.
     """
 
-    def __init__(self, ca: str, cert: str, key: str, warn: Callable[[str], None] = lambda text: None) -> None:
-        self.files = (ca, cert, key)
+    def __init__(self, ca: str, cert: str, key: str, warn: Callable[[str], None] = _ignore_warning) -> None:
+        self.ca = ca
+        self.cert = cert
+        self.key = key
         self.warn = warn
-        self._stamp: object = self._read_stamp()
-        self._context = self._make()
+        self._file_state: object = self._read_file_state()
+        self._context = self._load()
 
-    def _read_stamp(self) -> object:
+    def _read_file_state(self) -> object:
+        """Changes whenever one of the files does."""
         try:
-            return tuple((s.st_mtime_ns, s.st_size, s.st_ino) for s in map(os.stat, self.files))
+            stats = [os.stat(path) for path in (self.ca, self.cert, self.key)]
         except OSError as error:
             return str(error)
+        return tuple((stat.st_mtime_ns, stat.st_size, stat.st_ino) for stat in stats)
 
-    def _make(self) -> SSL.Context:
-        ca, cert, key = self.files
-        for path in self.files:
-            try:
-                with open(path, "rb"):
-                    pass
-            except OSError as error:
-                raise TlsError(f"{path}: {error.strerror}") from None
+    def _load(self) -> SSL.Context:
+        for path in (self.ca, self.cert, self.key):
+            _require_readable(path)
         context = SSL.Context(SSL.TLS_METHOD)
         context.set_min_proto_version(SSL.TLS1_2_VERSION)
-        steps: list[tuple[str, Callable[[], None]]] = [
-            (ca, lambda: context.load_verify_locations(ca)),
-            (cert, lambda: context.use_certificate_chain_file(cert)),
-            (key, lambda: context.use_privatekey_file(key)),
-            (key, context.check_privatekey),
-        ]
-        for path, take in steps:
-            try:
-                take()
-            except SSL.Error as error:
-                words = "; ".join(str(row[-1]) for row in (error.args[0] if error.args else [])) or "unusable"
-                raise TlsError(f"{path}: {words}") from None
-        context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, lambda *args: bool(args[-1]))
-        context.set_session_cache_mode(SSL.SESS_CACHE_OFF)  # a resumed session would not be checked anew
+        _use_file(self.ca, lambda: context.load_verify_locations(self.ca))
+        _use_file(self.cert, lambda: context.use_certificate_chain_file(self.cert))
+        _use_file(self.key, lambda: context.use_privatekey_file(self.key))
+        _use_file(self.key, context.check_privatekey)
+        context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, _keep_verdict)
+        context.set_session_cache_mode(SSL.SESS_CACHE_OFF)  # a resumed session would not be verified anew
         return context
 
     def getContext(self) -> SSL.Context:
-        stamp = self._read_stamp()
-        if stamp != self._stamp:
-            self._stamp = stamp
+        """The context of the next stream."""
+        file_state = self._read_file_state()
+        if file_state != self._file_state:
+            self._file_state = file_state
             try:
-                self._context = self._make()
+                self._context = self._load()
             except TlsError as error:
                 self.warn(str(error))
         return self._context
 
 
-def names(transport: Any) -> set[str] | None:
+def _require_readable(path: str) -> None:
+    try:
+        with open(path, "rb"):
+            pass
+    except OSError as error:
+        raise TlsError(f"{path}: {error.strerror}") from error
+
+
+def _use_file(path: str, use: Callable[[], object]) -> None:
+    try:
+        use()
+    except SSL.Error as error:
+        reasons = error.args[0] if error.args else []
+        text = "; ".join(str(reason[-1]) for reason in reasons)
+        raise TlsError(f"{path}: {text or 'unusable'}") from error
+
+
+def peer_dns_names(transport: Any) -> set[str] | None:
     """The DNS names in the peer's certificate; None on a stream without TLS."""
     if not ISSLTransport.providedBy(transport):
         return None
-    shown = transport.getPeerCertificate()
-    if shown is None:
+    peer_certificate = transport.getPeerCertificate()
+    if peer_certificate is None:
         return set()
-    certificate = shown.to_cryptography()
+    extensions = peer_certificate.to_cryptography().extensions
     try:
-        found = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName)
+        names = extensions.get_extension_for_class(x509.SubjectAlternativeName)
     except x509.ExtensionNotFound:
         return set()
-    return set(found.value.get_values_for_type(x509.DNSName))
+    return set(names.value.get_values_for_type(x509.DNSName))
--- a/puffintide/tls/keys.py
+++ b/puffintide/tls/keys.py
@@ -15,37 +15,46 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-SLACK = timedelta(minutes=5)  # clocks may differ so much
+from puffintide.tls.errors import KeyCreationError
 
+MAX_CLOCK_DIFFERENCE = timedelta(minutes=5)
+PRIVATE_FILE_MODE = 0o600
+PUBLIC_FILE_MODE = 0o644
 
-class KeyFailure(Exception):
-    """A key or certificate can't be made; the text says why. Nothing is overwritten."""
 
-
-def party(role: str, number: int, deployment: str) -> str:
-    """The name in a party's certificate."""
-    return f"{role}-{number}.{deployment}.puffintide"
+def certificate_name(role: str, party_id: int, deployment: str) -> str:
+    """The DNS name in the certificate of a party, such as proxy 3."""
+    return f"{role}-{party_id}.{deployment}.puffintide"
 
 
 def _write(path: Path, data: bytes, secret: bool) -> None:
-    """A new file; one that is there is never overwritten."""
+    """Write a new file; an existing one is never overwritten."""
+    mode = PRIVATE_FILE_MODE if secret else PUBLIC_FILE_MODE
     try:
-        fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644)
-    except FileExistsError:
-        raise KeyFailure(f"{path} is there already; move it away first") from None
+        fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
+    except FileExistsError as error:
+        raise KeyCreationError(f"{path} is there already; move it away first") from error
     except OSError as error:
-        raise KeyFailure(f"{path}: {error.strerror}") from None
+        raise KeyCreationError(f"{path}: {error.strerror}") from error
     with os.fdopen(fd, "wb") as file:
         file.write(data)
 
 
 def _key_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
-    plain = serialization.NoEncryption()
-    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, plain)
+    unencrypted = serialization.NoEncryption()
+    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, unencrypted)
+
+
+def create_authority(folder: Path, days: float = 365) -> None:
+    """Create ca.pem and ca.key in a folder.
 
+    Args:
+        folder: Created if there is none.
+        days: How long the certificate is valid.
 
-def make_authority(folder: Path, days: float = 365) -> None:
-    """ca.pem and ca.key in the folder."""
+    Raises:
+        KeyCreationError: A file exists already, or can't be written.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "puffintide development authority")])
@@ -56,7 +65,7 @@
         .issuer_name(name)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - SLACK)
+        .not_valid_before(now - MAX_CLOCK_DIFFERENCE)
         .not_valid_after(now + timedelta(days=days))
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
@@ -66,25 +75,34 @@
     _write(folder / "ca.pem", certificate.public_bytes(serialization.Encoding.PEM), secret=False)
 
 
-def make_certificate(folder: Path, name: str, days: float = 90) -> None:
-    """NAME.pem and NAME.key, signed by the folder's authority. Negative days make one that has expired."""
+def create_certificate(folder: Path, name: str, days: float = 90) -> None:
+    """Create NAME.pem and NAME.key, signed by the authority in the folder.
+
+    Args:
+        folder: With ca.pem and ca.key.
+        name: DNS name of the certificate, see certificate_name.
+        days: How long it is valid; negative: it has expired.
+
+    Raises:
+        KeyCreationError: There is no usable authority, or a file exists already.
+    """
     try:
         signer = serialization.load_pem_private_key((folder / "ca.key").read_bytes(), None)
         authority = x509.load_pem_x509_certificate((folder / "ca.pem").read_bytes())
     except (OSError, ValueError) as error:
-        raise KeyFailure(f"{folder}: no authority here: {error}") from None
+        raise KeyCreationError(f"{folder}: no authority here: {error}") from error
     if not isinstance(signer, ec.EllipticCurvePrivateKey):
-        raise KeyFailure(f"{folder / 'ca.key'}: not a key of this kind")
+        raise KeyCreationError(f"{folder / 'ca.key'}: not a key of this kind")
     key = ec.generate_private_key(ec.SECP256R1())
     now = datetime.now(UTC)
-    begin = now - SLACK if days > 0 else now + timedelta(days=days) - SLACK
+    valid_from = now - MAX_CLOCK_DIFFERENCE if days > 0 else now + timedelta(days=days) - MAX_CLOCK_DIFFERENCE
     certificate = (
         x509.CertificateBuilder()
         .subject_name(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)]))
         .issuer_name(authority.subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(begin)
+        .not_valid_before(valid_from)
         .not_valid_after(now + timedelta(days=days))
         .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), critical=False)
         .add_extension(
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -21,8 +21,9 @@
 from puffintide.protocol.codec import decode, encode
 from puffintide.proxy.load_balancing import slice_for_key
 from puffintide.proxy.state import SavedState, save_state
-from puffintide.tls.context import Contexts, TlsError
-from puffintide.tls.keys import KeyFailure, make_authority, make_certificate, party
+from puffintide.tls.context import TlsContextFactory
+from puffintide.tls.errors import KeyCreationError, TlsError
+from puffintide.tls.keys import certificate_name, create_authority, create_certificate
 from tests.peers import PORTS, process
 
 pytestmark = pytest.mark.processes
@@ -31,9 +32,9 @@
 @pytest.fixture
 def keys(tmp_path: Path) -> Path:
     folder = tmp_path / "keys"
-    make_authority(folder)
+    create_authority(folder)
     for role, number in (("store", 0), ("proxy", 3), ("assigner", 0)):
-        make_certificate(folder, party(role, number, "t"))
+        create_certificate(folder, certificate_name(role, number, "t"))
     return folder
 
 
@@ -42,7 +43,7 @@
     port = PORTS.take()
     live = tmp_path / "live"
     live.mkdir()
-    swap(keys, live, party("store", 0, "t"))
+    swap(keys, live, certificate_name("store", 0, "t"))
     tls = {"ca": str(keys / "ca.pem"), "cert": str(live / "cert.pem"), "key": str(live / "key.pem")}
     section = {"listen": f"127.0.0.1:{port}", "log": str(tmp_path / "store.log")}
     with process(tmp_path, "store", section, tls=tls) as running:
@@ -81,25 +82,25 @@
 
 def test_a_party_is_who_its_certificate_says(keys: Path, store: Any) -> None:
     _, port = store
-    with dial(port, keys, party("proxy", 3, "t")) as sock:
+    with dial(port, keys, certificate_name("proxy", 3, "t")) as sock:
         assert greet(sock, "proxy", 3) == m.Welcome(m.PROTOCOL_VERSION, "store", 0)
     for role, number in (("assigner", 0), ("proxy", 4)):
-        with dial(port, keys, party("proxy", 3, "t")) as sock:
+        with dial(port, keys, certificate_name("proxy", 3, "t")) as sock:
             refusal = greet(sock, role, number)
             assert (
                 isinstance(refusal, m.ConnectionRejected)
-                and f"not {party(role, number, 't')}" in refusal.reason
+                and f"not {certificate_name(role, number, 't')}" in refusal.reason
             )
 
 
 def test_strangers_expired_and_bare_peers_do_not_get_in(keys: Path, store: Any, tmp_path: Path) -> None:
     _, port = store
     other = tmp_path / "other"
-    make_authority(other)
-    make_certificate(other, party("proxy", 3, "t"))
-    make_certificate(keys, "old.t.puffintide", days=-1)
+    create_authority(other)
+    create_certificate(other, certificate_name("proxy", 3, "t"))
+    create_certificate(keys, "old.t.puffintide", days=-1)
     (keys / "x.pem").write_bytes((keys / "old.t.puffintide.pem").read_bytes())
-    for folder, name in ((other, party("proxy", 3, "t")), (keys, "old.t.puffintide")):
+    for folder, name in ((other, certificate_name("proxy", 3, "t")), (keys, "old.t.puffintide")):
         try:
             with dial(port, folder, name, authority=keys) as sock:
                 assert greet(sock, "proxy", 3) is None
@@ -121,20 +122,20 @@
     keys: Path, store: Any, tmp_path: Path
 ) -> None:
     _, port = store
-    first = dial(port, keys, party("proxy", 3, "t"))
+    first = dial(port, keys, certificate_name("proxy", 3, "t"))
     assert isinstance(greet(first, "proxy", 3), m.Welcome)
     renewed = tmp_path / "renewed"
     renewed.mkdir()
     for name in ("ca.pem", "ca.key"):
         (renewed / name).write_bytes((keys / name).read_bytes())
-    make_certificate(renewed, party("store", 0, "t"))
-    swap(renewed, tmp_path / "live", party("store", 0, "t"))
-    second = dial(port, keys, party("proxy", 3, "t"))
+    create_certificate(renewed, certificate_name("store", 0, "t"))
+    swap(renewed, tmp_path / "live", certificate_name("store", 0, "t"))
+    second = dial(port, keys, certificate_name("proxy", 3, "t"))
     assert shown(second) != shown(first)
     (tmp_path / "live" / "cert.pem").write_bytes(
         b"half a certif"
     )  # a bad one: the last good stays, and it is told
-    third = dial(port, keys, party("proxy", 3, "t"))
+    third = dial(port, keys, certificate_name("proxy", 3, "t"))
     assert shown(third) == shown(second)
     assert "certificate_load_failed" in (tmp_path / "store.log").read_text()
     first.sendall(encode(m.ReadRequest()) + b"\n")
@@ -148,11 +149,11 @@
 def test_an_assigner_refuses_a_store_with_another_name(keys: Path, tmp_path: Path) -> None:
     """The proxy's certificate is good, but it is not the store's."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    name = party("proxy", 3, "t")
+    name = certificate_name("proxy", 3, "t")
     context.load_cert_chain(keys / f"{name}.pem", keys / f"{name}.key")
     listener = socket.create_server(("127.0.0.1", 0))
     listener.settimeout(10)
-    me = party("assigner", 0, "t")
+    me = certificate_name("assigner", 0, "t")
     tls = {"ca": str(keys / "ca.pem"), "cert": str(keys / f"{me}.pem"), "key": str(keys / f"{me}.key")}
     section = {
         "id": "0",
@@ -208,9 +209,9 @@
 
 def test_to_servers_it_speaks_tls_checks_their_name_and_opens_few_at_once(keys: Path, tmp_path: Path) -> None:
     for number in (0, 1):
-        make_certificate(keys, party("server", number, "t"))
-    right = Secure(keys, party("server", 0, "t"), 0.1)
-    wrong = Secure(keys, party("server", 1, "t"), 0.0)  # the tables call it server 2
+        create_certificate(keys, certificate_name("server", number, "t"))
+    right = Secure(keys, certificate_name("server", 0, "t"), 0.1)
+    wrong = Secure(keys, certificate_name("server", 1, "t"), 0.0)  # the tables call it server 2
     held = [
         [m.TableEntry(0, 1.0, f"127.0.0.1:{right.port}")],
         [m.TableEntry(2, 1.0, f"127.0.0.1:{wrong.port}")],
@@ -228,11 +229,11 @@
         "store": f"127.0.0.1:{nobody}",
         "state": str(tmp_path / "tables.json"),
     }
-    name = str(keys / party("proxy", 3, "t"))
+    name = str(keys / certificate_name("proxy", 3, "t"))
     tls = {"ca": str(keys / "ca.pem"), "cert": f"{name}.pem", "key": f"{name}.key"}
 
     def ask(slice_number: int) -> bytes:
-        with dial(port, keys, party("proxy", 3, "t")) as sock:
+        with dial(port, keys, certificate_name("proxy", 3, "t")) as sock:
             text = key[slice_number]
             sock.sendall(
                 b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\nx-puffintide-key: %s\r\n\r\n" % text
@@ -259,15 +260,15 @@
         str(keys / "store-0.t.puffintide.pem"),
         str(keys / "store-0.t.puffintide.key"),
     ]
-    Contexts(good[0], good[1], good[2])
+    TlsContextFactory(good[0], good[1], good[2])
     (tmp_path / "bad.pem").write_text("no certificate")
     for place, path in ((0, "bad.pem"), (1, "bad.pem"), (2, "bad.pem"), (1, "none.pem"), (2, "keys/ca.key")):
         files = list(good)
         files[place] = str(tmp_path / path)
         with pytest.raises(TlsError, match=path.rpartition("/")[2]):
-            Contexts(files[0], files[1], files[2])
-    with pytest.raises(KeyFailure, match="already"):
-        make_certificate(keys, party("store", 0, "t"))
+            TlsContextFactory(files[0], files[1], files[2])
+    with pytest.raises(KeyCreationError, match="already"):
+        create_certificate(keys, certificate_name("store", 0, "t"))
     words = [
         sys.executable,
         "-m",
