--- a/benchmarks/day_figures.py
+++ b/benchmarks/day_figures.py
@@ -12,7 +12,7 @@
 import click
 
 from puffintide.audit.records import Record, peers_by_connection, read_records
-from puffintide.config.loader import load
+from puffintide.config.loader import read_config
 from puffintide.protocol import messages as m
 from puffintide.scenarios.results import evaluate, quantile
 
@@ -56,7 +56,7 @@
 @click.option("--table", default="")
 def main(folder: str, table: str) -> None:
     out = Path(folder)
-    config = load(str(out / "day.ini"), ("day", "fleet", "load"))
+    config = read_config(str(out / "day.ini"), ("day", "fleet", "load"))
     records: list[Record] = []
     for path in sorted(out.glob("tap*.jsonl")):
         with path.open("rb") as file:
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -27,7 +27,7 @@
 import click
 
 from puffintide.audit.records import read_json_lines
-from puffintide.config.loader import load
+from puffintide.config.loader import read_config
 from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.events import (
     EndpointListUpdate,
@@ -102,7 +102,7 @@
     out.mkdir(parents=True, exist_ok=True)
     path = out / "script.ini"
     path.write_text(variant(text, way), encoding="utf-8")
-    player = Player(load(str(path)), path.read_text(), out, seed, port_start=number * 997)
+    player = Player(read_config(str(path)), path.read_text(), out, seed, port_start=number * 997)
     if way == "alike":
         player.assigner = ("benchmarks.zone_days", "--assigner")
     player.play()
@@ -110,7 +110,7 @@
 
 
 def figures(out: Path, seed: int) -> dict[str, Any]:
-    config = load(str(out / "day.ini"))
+    config = read_config(str(out / "day.ini"))
     verdict = evaluate(out)
     steps = [s for s in plan(config, seed) if s.what in ("crash", "start") and s.party == "fleet"]
     lost = min((s.at for s in steps if s.what == "crash"), default=0.0)
--- a/benchmarks/zone_loads.py
+++ b/benchmarks/zone_loads.py
@@ -15,7 +15,7 @@
 import click
 
 from puffintide.audit.records import read_json_lines, read_records
-from puffintide.config.loader import load
+from puffintide.config.loader import read_config
 from puffintide.protocol.messages import AttemptRequest
 
 SPAN_S = 3
@@ -23,7 +23,7 @@
 
 def series(folder: Path) -> tuple[dict[int, list[float]], dict[int, int]]:
     """Shares of capacity by server, a value a second of the day; zones by server."""
-    config = load(str(folder / "day.ini"))
+    config = read_config(str(folder / "day.ini"))
     assert config.day is not None
     began = next(row["t"] for row in read_json_lines(folder / "day.jsonl") if row["what"] == "begin")
     starts = [row for row in read_json_lines(folder / "fleet.jsonl") if row["what"] == "start"]
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -26,7 +26,8 @@
 from puffintide.assigner.runtime import Effects, Runtime
 from puffintide.assigner.statistics import assigner_statistics
 from puffintide.assigner.store_client import StoreClient
-from puffintide.config.loader import Config, settings
+from puffintide.config.decision_settings import decision_settings
+from puffintide.config.model import Config
 from puffintide.decisions.director import Director
 from puffintide.decisions.events import HealthCheckResult
 from puffintide.decisions.settings import Settings
@@ -71,7 +72,7 @@
         self.incarnation = incarnation
         self.tls = tls
         self._jitter = random.Random(f"{self.process.seed}:{self.process.id}:{incarnation}").random
-        self.settings = settings(config, self.process.id, self.process.zone, self.process.seed)
+        self.settings = decision_settings(config, self.process.id, self.process.zone, self.process.seed)
         handover = handover_for(self.settings, config.charge.write_lease_s)
         if handover is not None:
             self.settings = with_handover_budget(self.settings)
--- a/puffintide/audit/audit.py
+++ b/puffintide/audit/audit.py
@@ -13,7 +13,7 @@
 from puffintide.audit.report import AuditReport
 from puffintide.audit.rules import CHECKS
 from puffintide.audit.timeline import Timeline
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 
 
 def _delivery_order(record: Record) -> tuple[float, int]:
--- a/puffintide/audit/context.py
+++ b/puffintide/audit/context.py
@@ -8,7 +8,7 @@
 from puffintide.audit.records import Peer, Record
 from puffintide.audit.report import AuditReport
 from puffintide.audit.timeline import Timeline
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 
 
 @dataclass(frozen=True, slots=True)
--- a/puffintide/audit/timeline.py
+++ b/puffintide/audit/timeline.py
@@ -9,7 +9,7 @@
 from puffintide.audit.ground_truth import GroundTruth
 from puffintide.audit.intervals import FOREVER, Interval, merge, start_of_interval_at
 from puffintide.audit.records import LIST_LINK, ORDER_LINK, STORE_LINK, Peer, Record
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.protocol import messages as m
 from puffintide.protocol.validation import WATCH_EVENT_TYPES, split_valid_endpoints
 
--- a/puffintide/cli/common.py
+++ b/puffintide/cli/common.py
@@ -9,7 +9,9 @@
 from rich.console import Console
 
 from puffintide.cli.errors import CommandError
-from puffintide.config.loader import Config, ConfigError, load
+from puffintide.config.errors import ConfigError
+from puffintide.config.loader import read_config
+from puffintide.config.model import Config
 
 if TYPE_CHECKING:
     from puffintide.cli.operator_client import OperatorClient
@@ -27,7 +29,7 @@
         CommandError: It is invalid, or lacks a section; with a line for each fault.
     """
     try:
-        return load(path, required_sections)
+        return read_config(path, required_sections)
     except ConfigError as error:
         raise CommandError(str(error)) from error
 
--- a/puffintide/cli/emulator_processes.py
+++ b/puffintide/cli/emulator_processes.py
@@ -15,7 +15,8 @@
 from twisted.python.failure import Failure
 
 from puffintide.cli.process_runtime import exit_with_error, listen, run_reactor
-from puffintide.config.loader import Config, load
+from puffintide.config.loader import read_config
+from puffintide.config.model import Config
 from puffintide.logs import setup
 from puffintide.protocol.clock import monotonic_reactor
 from puffintide.scenarios.place import Place
@@ -62,7 +63,7 @@
 
 
 def _read_scenario(folder: Path) -> tuple[Config, Place]:
-    config = load(str(folder / "day.ini"), ("day", "fleet", "load"))
+    config = read_config(str(folder / "day.ini"), ("day", "fleet", "load"))
     return config, Place.read(folder / "place.json")
 
 
--- a/puffintide/cli/operator_client.py
+++ b/puffintide/cli/operator_client.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from puffintide.cli.errors import OperatorError
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.config.schema import OperatorSection
 from puffintide.protocol import messages as m
 from puffintide.protocol.client import StreamClient
--- a/puffintide/cli/process_runtime.py
+++ b/puffintide/cli/process_runtime.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.protocols.tls import TLSMemoryBIOFactory
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.logs import Logger
 from puffintide.tls.context import TlsContextFactory
 from puffintide.tls.errors import TlsError
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from puffintide.cli.process_runtime import exit_with_error, listen, run_reactor, tls_contexts
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.config.schema import StoreProcess
 from puffintide.logs import setup
 from puffintide.protocol.clock import monotonic_reactor
--- a/puffintide/cli/scenario_commands.py
+++ b/puffintide/cli/scenario_commands.py
@@ -157,7 +157,7 @@
 def _print_result(folder: Path) -> int:
     from puffintide.audit.errors import RecordError
     from puffintide.cli.result_tables import print_result
-    from puffintide.config.loader import ConfigError
+    from puffintide.config.errors import ConfigError
     from puffintide.scenarios.results import evaluate
 
     try:
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.protocol import messages as m
 from puffintide.protocol.client import StreamClient
 from puffintide.protocol.messages import AnyMessage
--- a/puffintide/emulators/fleet.py
+++ b/puffintide/emulators/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TextIO, TypeVar
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.emulators.model import Make, ServerModel
 from puffintide.protocol import messages as m
 from puffintide.protocol.messages import AnyMessage
--- a/puffintide/proxy/control_plane.py
+++ b/puffintide/proxy/control_plane.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from functools import partial
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.config.schema import ProxyProcess
 from puffintide.logs import Logger
 from puffintide.protocol import messages as m
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.config.schema import ProxyProcess
 from puffintide.logs import Logger
 from puffintide.protocol.stream import StreamServerFactory
--- a/puffintide/proxy/settings.py
+++ b/puffintide/proxy/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.config.schema import ProxyProcess
 from puffintide.decisions.settings import AdmissionMode
 from puffintide.proxy.retry_policy import DeduplicationScope, RequestClassPolicy
--- a/puffintide/scenarios/faults.py
+++ b/puffintide/scenarios/faults.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.config.schema import Fault
 
 BY_CLIENTS = ("hot_key", "heavy_tail", "give_up", "shift")
--- a/puffintide/scenarios/kinds.py
+++ b/puffintide/scenarios/kinds.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from puffintide.config.loader import check
+from puffintide.config.loader import parse_config
 from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.runner import DayError, Player
 
@@ -86,7 +86,7 @@
         folder = out / name.replace(" ", "-")
         sections = configparser.ConfigParser(interpolation=None)
         sections.read_string(text)
-        config = check(
+        config = parse_config(
             name, {s: dict(sections.items(s)) for s in sections.sections()}, ("day", "fleet", "load")
         )
         found: ScenarioResult | str
--- a/puffintide/scenarios/place.py
+++ b/puffintide/scenarios/place.py
@@ -8,7 +8,7 @@
 from itertools import permutations
 from pathlib import Path
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.scenarios.tap import Link
 
 FIRST_PORT = 20000
--- a/puffintide/scenarios/results.py
+++ b/puffintide/scenarios/results.py
@@ -14,7 +14,8 @@
 from puffintide.audit.intervals import FOREVER
 from puffintide.audit.records import Record, read_json_lines, read_records
 from puffintide.audit.report import AuditReport
-from puffintide.config.loader import Config, load
+from puffintide.config.loader import read_config
+from puffintide.config.model import Config
 from puffintide.config.schema import ClassSection
 
 WINDOW_S = 10.0
@@ -67,7 +68,7 @@
         RecordError: A file has a line that can't be read.
         OSError: A file is missing.
     """
-    config = load(str(folder / "day.ini"), ("day", "fleet", "load"))
+    config = read_config(str(folder / "day.ini"), ("day", "fleet", "load"))
     records: list[Record] = []
     gaps: list[str] = []
     for path in sorted(folder.glob("tap*.jsonl")):
--- a/puffintide/scenarios/runner.py
+++ b/puffintide/scenarios/runner.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from puffintide.config.loader import Config
+from puffintide.config.model import Config
 from puffintide.emulators.fleet import dealt
 from puffintide.scenarios.faults import Step, plan
 from puffintide.scenarios.place import Place, at, lay
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -19,7 +19,8 @@
 from twisted.python.failure import Failure
 
 from puffintide.assigner.service import AssignerService
-from puffintide.config.loader import Config, load
+from puffintide.config.loader import read_config
+from puffintide.config.model import Config
 from puffintide.config.schema import AssignerProcess, ProxyProcess
 from puffintide.emulators.clients import Clients
 from puffintide.emulators.fleet import FleetService
@@ -340,7 +341,7 @@
         made.read_dict({n: SECTIONS.get(n, {}) | changes.get(n, {}) for n in names} | named)
         with (out / "day.ini").open("w", encoding="utf-8") as file:
             made.write(file)
-        self.config: Config = load(str(out / "day.ini"), ("day", "fleet", "load"))
+        self.config: Config = read_config(str(out / "day.ini"), ("day", "fleet", "load"))
         assert self.config.day is not None
         assert self.config.fleet is not None
         self.day = self.config.day
--- a/tests/records.py
+++ b/tests/records.py
@@ -6,7 +6,8 @@
 from puffintide.audit.ground_truth import GroundTruth, ServerRun
 from puffintide.audit.records import Record
 from puffintide.audit.report import AuditReport, Rule
-from puffintide.config.loader import Config, check
+from puffintide.config.loader import parse_config
+from puffintide.config.model import Config
 from puffintide.protocol import messages as m
 
 SECTIONS: dict[str, dict[str, str]] = {
@@ -27,7 +28,7 @@
 
 
 def config(**changes: dict[str, str]) -> Config:
-    return check("test", {k: v | changes.get(k, {}) for k, v in SECTIONS.items()})
+    return parse_config("test", {k: v | changes.get(k, {}) for k, v in SECTIONS.items()})
 
 
 class Tape:
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -9,7 +9,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from puffintide.assigner.service import AssignerService
-from puffintide.config.loader import check
+from puffintide.config.loader import parse_config
 from puffintide.protocol import messages as m
 from puffintide.protocol.clock import monotonic_reactor
 from puffintide.protocol.codec import decode, encode
@@ -38,7 +38,7 @@
         self.reactor: Any = MemoryReactorClock()
         self.service = AssignerService(
             self.reactor,
-            check("test", {**sections, "assigner": section}),
+            parse_config("test", {**sections, "assigner": section}),
             structlog.wrap_logger(structlog.testing.CapturingLogger()),
             1,
         )
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from puffintide.config.loader import ConfigError, check, load
+from puffintide.config.errors import ConfigError
+from puffintide.config.loader import parse_config, read_config
 from puffintide.config.schema import FAULTS
 from puffintide.emulators.clients import draw
 from puffintide.emulators.model import Make, ServerModel
@@ -96,7 +97,7 @@
     files = [*ROOT.glob("days/*.ini"), *ROOT.glob("examples/*.ini")]
     assert len(files) >= 4
     for path in files:
-        load(str(path))
+        read_config(str(path))
 
 
 BAD_VALUES = [
@@ -123,7 +124,7 @@
     made = sections()
     made.setdefault(section, {})[key] = value
     with pytest.raises(ConfigError) as caught:
-        check("f.ini", made)
+        parse_config("f.ini", made)
     assert any(x.startswith(f"f.ini: [{section}]") and words in x for x in caught.value.lines), (
         caught.value.lines
     )
@@ -163,7 +164,9 @@
     for name in KINDS:
         parser = configparser.ConfigParser(interpolation=None)
         parser.read_string(script(base, name))
-        config = check(name, {s: dict(parser.items(s)) for s in parser.sections()}, ("day", "fleet", "load"))
+        config = parse_config(
+            name, {s: dict(parser.items(s)) for s in parser.sections()}, ("day", "fleet", "load")
+        )
         steps = plan(config, 3)
         assert steps == plan(config, 3)  # the same seed, the same day
         arrivals = draw(config)
@@ -279,7 +282,7 @@
     for scale in (0.5, 1.0):
         path = tmp_path / "day.ini"
         path.write_text(turn(bench_day(), scale))
-        config = load(str(path), ("day", "fleet", "load"))
+        config = read_config(str(path), ("day", "fleet", "load"))
         assert config.fleet is not None and config.load is not None
         assert config.fleet.servers == round(10 * scale) and config.deployment.assigners == 2
         work = 0.1 * (1 - 0.5 * 0.4)
