--- a/puffintide/bench_adapter/__init__.py
+++ b/puffintide/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets a drill (the bench) feed the decision module and act for it."""
+"""The adapter through which the operators' bench plays the decision module. Standard library alone."""
--- a/tests/platform_config.py
+++ b/tests/platform_config.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from puffintide.platform.identifiers import SettingsNames
-from tests.test_drill import CONF
+from tests.test_bench_adapter import CONF
 
 NAMES = SettingsNames(["a", "b"], ["status", "start"], ["m1", "m2"], ["rif", "busy"])
 
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -13,7 +13,7 @@
 from puffintide.platform.service import Service
 from tests.deployment import Party, Reactor
 from tests.platform_config import CONFIG
-from tests.test_drill import CONF
+from tests.test_bench_adapter import CONF
 
 LISTEN = 3000
 DISCOVERY = 8500
--- a/tests/test_drill.py
+++ b/tests/test_bench_adapter.py
@@ -8,8 +8,11 @@
 
 import pytest
 
-from puffintide.bench_adapter.__main__ import Host, serve
-from puffintide.bench_adapter.codec import Decoder, WireError, encode_action, frame
+from puffintide.bench_adapter.__main__ import serve
+from puffintide.bench_adapter.action_encoder import encode_action, encode_reply
+from puffintide.bench_adapter.errors import BenchProtocolError
+from puffintide.bench_adapter.event_decoder import EventDecoder
+from puffintide.bench_adapter.host import Host
 from puffintide.decisions.actions import Action, SetAdmission, SetTimer, SetWeight
 from puffintide.decisions.events import EndpointListUpdate, ServerLoadReport
 from puffintide.decisions.settings import SettingsError, parse_settings
@@ -62,11 +65,11 @@
         "0000803f0000000000000000f211902c0100000100010000c03f6666666666661840"
         "010300000000002900000000000000 01"
     )
-    ((who, event),) = Decoder().events(digest)
+    ((who, event),) = EventDecoder().events(digest)
     assert who == 3
     assert isinstance(event, ServerLoadReport)
     assert (event.attempts, event.failed_attempts, event.load_values) == (14, 1, (7.0,))
-    ((_, news),) = Decoder().events(listed)
+    ((_, news),) = EventDecoder().events(listed)
     assert isinstance(news, EndpointListUpdate)
     assert [s.weight for s in news.endpoints] == [1.0, 1.5]
 
@@ -75,7 +78,7 @@
     assert encode_action(3, SetWeight(0x75, 0x2C9011F2, 0.75)).hex() == "4703007500f211902c0000403f"
     assert encode_action(3, SetTimer(0.5, 77)).hex() == "400300000000000000e03f4d000000"
     assert encode_action(3, SetAdmission(0x75, 2, 0.75, 1)).hex() == "4b0300750002000000403f01"
-    assert frame([]) == bytes(8)
+    assert encode_reply([]) == bytes(8)
 
 
 def test_empty_batch_gets_an_empty_reply() -> None:
@@ -140,11 +143,11 @@
         parse_settings(json.dumps(conf).encode(), 1)
 
 
-def test_fault_in_the_module_is_told() -> None:
+def test_a_failure_in_the_decision_module_is_reported() -> None:
     host = Host()
     host.answer(1.0, hello())
 
-    def fail(now_s: float, events: object) -> list[Action]:
+    def fail(now_s: float, events: object) -> list[Action]:  # noqa: ARG001
         raise ValueError("no such thing")
 
     host.directors[0].handle = fail  # type: ignore[method-assign]
@@ -167,5 +170,5 @@
     host = Host()
     host.answer(1.0, hello())
     host.answer(2.0, struct.pack("<BH", 5, 0))
-    with pytest.raises(WireError):
+    with pytest.raises(BenchProtocolError):
         host.answer(3.0, struct.pack("<BHI", 2, 0, 1))
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -10,8 +10,8 @@
 import pytest
 
 from puffintide.assigner.runtime import Runtime
-from puffintide.bench_adapter.__main__ import Host
-from puffintide.bench_adapter.codec import encode_action, frame
+from puffintide.bench_adapter.action_encoder import encode_action, encode_reply
+from puffintide.bench_adapter.host import Host
 from puffintide.decisions.actions import (
     Action,
     LogMessage,
@@ -43,7 +43,7 @@
 )
 from puffintide.decisions.settings import parse_settings
 from puffintide.protocol import messages as m
-from tests.test_drill import CONF, hello
+from tests.test_bench_adapter import CONF, hello
 from tests.world import World, settings
 
 
@@ -289,7 +289,7 @@
             self.runtime.add_events(now, *(TimerFired(name) for name in sorted(due)))
         effects = self.runtime.tick(now)
         assert effects is not None
-        mine = frame([encode_action(0, action) for action in effects.actions])
+        mine = encode_reply([encode_action(0, action) for action in effects.actions])
         assert mine == reply, f"batch {self.batches} at {now}"
         self.batches += 1
         self.ordered += any(isinstance(a, SetWeight) for a in effects.actions)
