--- a/puffintide/assigner/operator_requests.py
+++ b/puffintide/assigner/operator_requests.py
@@ -18,15 +18,15 @@
     statuses = [
         m.ZoneStatus(
             state.zone,
-            state.phase,
+            state.phase.value,
             state.cause,
-            round(state.share, DECIMALS),
-            round(state.bound, DECIMALS),
-            round(state.bound_most, DECIMALS),
-            round(max(0.0, state.until - now), SECONDS_DECIMALS),
-            state.flaps,
-            list(state.spill),
-            round(state.beyond, DECIMALS),
+            round(state.available_fraction, DECIMALS),
+            round(state.min_capacity_fraction, DECIMALS),
+            round(state.max_capacity_fraction, DECIMALS),
+            round(max(0.0, state.held_until_s - now), SECONDS_DECIMALS),
+            state.flap_count,
+            list(state.spillover),
+            round(state.unplaced_fraction, DECIMALS),
         )
         for state in states
     ]
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -39,7 +39,7 @@
 from puffintide.replication.peer_sessions import ASSIGNER, PeerSessions
 from puffintide.tls.context import Contexts
 from puffintide.zones.director import ZonedDirector
-from puffintide.zones.plan import ZoneLimits
+from puffintide.zones.state import ZoneLimits
 
 STATS_INTERVAL_S = 5.0
 
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -37,7 +37,7 @@
 from puffintide.proxy.weight_tables import WeightTables
 from puffintide.scenarios.place import at
 from puffintide.zones.director import ZonedDirector
-from puffintide.zones.plan import ZoneLimits
+from puffintide.zones.state import ZoneLimits
 from tests.deployment import Deployment
 from tests.test_zones import Zoned, eight
 from tests.world import World, server, settings
@@ -193,9 +193,9 @@
         "module": len(module.servers),
         "bounds": len(module.fleet.capacity_limits),
         "withdrawn": len(module.fleet.withdrawn_servers),
-        "plan": len(plan.servers),
-        "growth": len(plan.growth),
-        "behind": len(plan.behind),
+        "plan": len(plan.servers.endpoints),
+        "growth": len(plan.recovery.fractions),
+        "behind": len(plan.recovery.interrupted),
         "addresses": len(runtime.server_addresses),
         "zones": len(runtime.directory.zones),
         "starts": len(runtime.directory.starts),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -25,19 +25,9 @@
 )
 from puffintide.decisions.parameters import OVERLOAD_UTILIZATION
 from puffintide.zones.director import ZonedDirector
-from puffintide.zones.plan import (
-    DEGRADED,
-    HELD,
-    HOLD_S,
-    LOST,
-    RATE,
-    RETURNING,
-    START,
-    WELL,
-    View,
-    ZoneLimits,
-    ZonePlan,
-)
+from puffintide.zones.parameters import HOLD_DOWN_S, RAMP_PER_S, RAMP_START_FRACTION
+from puffintide.zones.plan import ZonePlan
+from puffintide.zones.state import ServerHealth, ZoneLimits, ZonePhase
 from tests.world import World, server
 
 SERVERS = tuple(range(1, 9))  # odd ones in zone 1, even ones in zone 0
@@ -57,7 +47,7 @@
         world = World()
         self.plan = ZonePlan(replace(world.settings, zone_count=zones), ZoneLimits(spill))
         self.now = 1000.0
-        self.view = {s: View(True, 0.5) for s in SERVERS}
+        self.view = {s: ServerHealth(True, 0.5) for s in SERVERS}
         self.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 1, tuple(entry(s) for s in SERVERS)))
 
     def tell(self, *events: Event) -> None:
@@ -68,7 +58,7 @@
         found: dict[int, float] = {}
         for _ in range(max(1, round(seconds * 4))):
             self.now += 0.25
-            found = self.plan.decide(self.now, self.view)
+            found = self.plan.update(self.now, self.view)
         return found
 
     def zone(self, zone: int, state: EndpointStatus, fresh: bool = False) -> None:
@@ -93,12 +83,12 @@
     plan.zone(0, EndpointStatus.REMOVED)
     bounds = plan.run(1)
     # The other's own usual load is 0.5 of it, and half of its spare may go to others: it is filled up to 0.75.
-    assert plan.phase(0) == LOST and all(
+    assert plan.phase(0) == ZonePhase.LOST and all(
         OVERLOAD_UTILIZATION * bounds[s] == pytest.approx(0.75, abs=0.01) for s in bounds
     )
     lost = plan.plan.states()[0]
-    assert lost.spill[0][0] == 1 and lost.spill[0][1] == pytest.approx(0.5, abs=0.03)
-    assert lost.beyond == pytest.approx(0.5, abs=0.03)
+    assert lost.spillover[0][0] == 1 and lost.spillover[0][1] == pytest.approx(0.5, abs=0.03)
+    assert lost.unplaced_fraction == pytest.approx(0.5, abs=0.03)
 
 
 def test_a_first_return_grows_while_it_is_stood_and_goes_back_when_not() -> None:
@@ -108,15 +98,21 @@
     plan.run(5)
     plan.zone(0, EndpointStatus.READY)
     seen = [plan.run(0.25)[2]]
-    assert plan.phase(0) == RETURNING and seen == [START]
+    assert plan.phase(0) == ZonePhase.RECOVERING and seen == [RAMP_START_FRACTION]
     for _ in range(3):
         seen.append(plan.run(2)[2])
-    assert seen[1:] == pytest.approx([START + 2 * RATE, START + 4 * RATE, START + 6 * RATE])
-    plan.view |= {s: View(True, 0.99) for s in SERVERS if ZONE[s] == 0}
-    assert plan.run(2)[2] == pytest.approx(START + 4 * RATE)
-    plan.view = {s: View(True, 0.5) for s in SERVERS}
-    plan.run(1 / RATE)
-    assert plan.phase(0) == WELL and set(plan.run(1).values()) == {1.0}
+    assert seen[1:] == pytest.approx(
+        [
+            RAMP_START_FRACTION + 2 * RAMP_PER_S,
+            RAMP_START_FRACTION + 4 * RAMP_PER_S,
+            RAMP_START_FRACTION + 6 * RAMP_PER_S,
+        ]
+    )
+    plan.view |= {s: ServerHealth(True, 0.99) for s in SERVERS if ZONE[s] == 0}
+    assert plan.run(2)[2] == pytest.approx(RAMP_START_FRACTION + 4 * RAMP_PER_S)
+    plan.view = {s: ServerHealth(True, 0.5) for s in SERVERS}
+    plan.run(1 / RAMP_PER_S)
+    assert plan.phase(0) == ZonePhase.HEALTHY and set(plan.run(1).values()) == {1.0}
 
 
 def test_cold_servers_are_left_to_the_module_and_a_return_ends_when_they_are_warm() -> None:
@@ -125,19 +121,19 @@
     plan.zone(0, EndpointStatus.REMOVED)
     plan.run(5)
     plan.zone(0, EndpointStatus.READY, fresh=True)
-    assert plan.run(9)[2] == 1.0 and plan.phase(0) == RETURNING
+    assert plan.run(9)[2] == 1.0 and plan.phase(0) == ZonePhase.RECOVERING
     plan.run(2)  # ten seconds after their start
-    assert plan.phase(0) == WELL
+    assert plan.phase(0) == ZonePhase.HEALTHY
 
 
 def test_servers_that_are_told_one_by_one_as_restarted_are_cold_before_the_module_has_seen_it() -> None:
-    """The first version asked the module, which took them for warm, and held them at START in an overload."""
+    """Asking the module would take them for warm, and hold them at the start of the ramp in an overload."""
     world = eight(Zoned)
     world.zone(0, EndpointStatus.REMOVED)
     world.run(12)
     for s in (2, 4, 6, 8):
         world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(s, started=world.now),)))
-        assert world.director.plan.bounds[s] == 1.0
+        assert world.director.plan.capacity_limits[s] == 1.0
         world.run(0.25)
 
 
@@ -146,10 +142,10 @@
     plan.run(20)
     plan.zone(0, EndpointStatus.REMOVED)
     plan.run(5)
-    plan.view = {s: View(True, 0.99) for s in SERVERS}
+    plan.view = {s: ServerHealth(True, 0.99) for s in SERVERS}
     plan.zone(0, EndpointStatus.READY)
-    plan.run(1 / RATE)
-    assert plan.phase(0) == WELL
+    plan.run(1 / RAMP_PER_S)
+    assert plan.phase(0) == ZonePhase.HEALTHY
 
 
 def test_a_server_that_falls_on_return_waits_until_the_rest_is_done() -> None:
@@ -163,10 +159,10 @@
     plan.run(0.5)
     plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 4, (entry(2, EndpointStatus.READY, plan.now),)))
     rest: list[float] = []
-    while plan.phase(0) == RETURNING:
+    while plan.phase(0) == ZonePhase.RECOVERING:
         bounds = plan.run(1)
         rest.append(bounds[4])
-        assert bounds[2] <= START or rest[-1] == 1.0
+        assert bounds[2] <= RAMP_START_FRACTION or rest[-1] == 1.0
     assert rest[0] < 1.0 and plan.run(1)[2] == 1.0
 
 
@@ -182,12 +178,12 @@
         before = plan.phase(0)
         for _ in range(period * 2):
             plan.run(0.25)
-            if plan.phase(0) == RETURNING and before != RETURNING:
+            if plan.phase(0) == ZonePhase.RECOVERING and before != ZonePhase.RECOVERING:
                 returns += 1
             before = plan.phase(0)
     assert returns <= 3  # of 240 / period times that the list told it ready
     plan.run(200)
-    assert plan.phase(0) == WELL
+    assert plan.phase(0) == ZonePhase.HEALTHY
 
 
 def test_a_hold_is_not_ended_by_the_list() -> None:
@@ -198,9 +194,9 @@
         plan.run(2)
         plan.zone(0, EndpointStatus.READY)
         plan.run(1)
-    assert plan.phase(0) == HELD and plan.run(HOLD_S - 2)[2] == 0.0
+    assert plan.phase(0) == ZonePhase.HELD_DOWN and plan.run(HOLD_DOWN_S - 2)[2] == 0.0
     plan.run(3)
-    assert plan.phase(0) == RETURNING
+    assert plan.phase(0) == ZonePhase.RECOVERING
 
 
 def test_a_deploy_is_no_loss() -> None:
@@ -210,29 +206,29 @@
         for state in (EndpointStatus.DRAINING, EndpointStatus.REMOVED):
             plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (entry(s, state),)))
             plan.run(3)
-    assert plan.phase(0) == WELL
+    assert plan.phase(0) == ZonePhase.HEALTHY
     assert set(plan.run(1).values()) == {1.0}
 
 
 def test_silent_servers_are_a_loss_unless_all_zones_are_silent() -> None:
     plan = Plan()
     plan.run(20)
-    plan.view |= {s: View(False, None) for s in SERVERS if ZONE[s] == 0}
+    plan.view |= {s: ServerHealth(False, None) for s in SERVERS if ZONE[s] == 0}
     plan.run(1)
-    assert (plan.phase(0), plan.plan.states()[0].cause) == (LOST, "silent")
+    assert (plan.phase(0), plan.plan.states()[0].cause) == (ZonePhase.LOST, "silent")
     other = Plan()
     other.run(20)
-    other.view = {s: View(False, None) for s in SERVERS}
+    other.view = {s: ServerHealth(False, None) for s in SERVERS}
     assert set(other.run(5).values()) == {1.0}
-    assert {s.phase for s in other.plan.states()} == {WELL}
+    assert {s.phase for s in other.plan.states()} == {ZonePhase.HEALTHY}
 
 
 @pytest.mark.parametrize(
     ("ways", "phase", "cause"),
     [
-        ({"w00": 0.0, "w11": 0.0, "w01": 0.6, "w10": 0.6}, DEGRADED, "link"),
-        ({"w00": 0.0, "w11": 0.0, "w01": 0.0, "w10": 0.6}, DEGRADED, "one-sided"),
-        ({"w00": 0.6, "w11": 0.6, "w01": 0.6, "w10": 0.6}, WELL, ""),  # a common slowdown
+        ({"w00": 0.0, "w11": 0.0, "w01": 0.6, "w10": 0.6}, ZonePhase.DEGRADED, "link"),
+        ({"w00": 0.0, "w11": 0.0, "w01": 0.0, "w10": 0.6}, ZonePhase.DEGRADED, "one-sided"),
+        ({"w00": 0.6, "w11": 0.6, "w01": 0.6, "w10": 0.6}, ZonePhase.HEALTHY, ""),  # a common slowdown
     ],
 )
 def test_a_bad_way_is_told_from_a_lost_zone_and_nothing_is_moved(
@@ -252,7 +248,7 @@
     plan.tell(ProxyConnected(1, 0, 1.0, True), ProxyConnected(2, 1, 1.0, True))
     for _ in range(20):
         plan.ways(w11=0.0, w10=0.0)  # nothing of zone 0's proxies
-        plan.view = {s: View(True, 0.5, probed=True) for s in SERVERS}
+        plan.view = {s: ServerHealth(True, 0.5, health_check_succeeded=True) for s in SERVERS}
         bounds = plan.run(0.5)
     assert plan.plan.states()[0].cause == "reports" and set(bounds.values()) == {1.0}
 
@@ -265,7 +261,7 @@
         rows = tuple(entry(s, EndpointStatus.REMOVED, zone=zone) for s in SERVERS if s % 3 == zone)
         plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, rows))
         bounds = plan.run(5)
-    assert [s.phase for s in plan.plan.states()] == [LOST, LOST, WELL]
+    assert [s.phase for s in plan.plan.states()] == [ZonePhase.LOST, ZonePhase.LOST, ZonePhase.HEALTHY]
     # The limit is from its own load in ordinary times: a second loss does not raise it.
     assert list(bounds.values()) == pytest.approx([0.75 / OVERLOAD_UTILIZATION] * len(bounds), abs=0.01)
 
@@ -277,7 +273,7 @@
     falling = [plan.run(1)[2] for _ in range(8)]
     assert falling == sorted(falling, reverse=True) and 0 < falling[1] < 1 and falling[-1] == 0.0
     plan.tell(ZoneCommandReceived(0, ZoneOperation.RETURN, 1.0))
-    assert plan.run(0.25)[2] == pytest.approx(START + RATE / 4)
+    assert plan.run(0.25)[2] == pytest.approx(RAMP_START_FRACTION + RAMP_PER_S / 4)
     plan.tell(ZoneCommandReceived(0, ZoneOperation.HOLD, 1.0))
     assert plan.run(0.25)[2] == 0.0
     assert plan.run(500)[2] == 0.0  # as long as it stands
@@ -316,9 +312,9 @@
                     )
                 )
             case "silent" | "answer":
-                plan.view |= {s: View(what == "answer", 0.5) for s in ids}
+                plan.view |= {s: ServerHealth(what == "answer", 0.5) for s in ids}
             case "hot" | "cool":
-                plan.view |= {s: View(True, 0.99 if what == "hot" else 0.3) for s in ids}
+                plan.view |= {s: ServerHealth(True, 0.99 if what == "hot" else 0.3) for s in ids}
             case "hold" | "return":
                 plan.tell(ZoneCommandReceived(zone, ZoneOperation(what), 1.0))
         for _ in range(quarters):
@@ -326,14 +322,14 @@
             bounds = plan.run(0.25)
             assert all(0.0 <= b <= 1.0 for b in bounds.values())
             for z, state in enumerate(plan.plan.states()):
-                if state.phase == HELD:
-                    held_until[z] = state.until
+                if state.phase == ZonePhase.HELD_DOWN:
+                    held_until[z] = state.held_until_s
                     assert all(b == 0 for s, b in bounds.items() if ZONE[s] == z)
-                if phases[z] == HELD and state.phase == RETURNING:
+                if phases[z] == ZonePhase.HELD_DOWN and state.phase == ZonePhase.RECOVERING:
                     assert plan.now >= held_until[z]
-                if state.phase == RETURNING and phases[z] == RETURNING:
+                if state.phase == ZonePhase.RECOVERING and phases[z] == ZonePhase.RECOVERING:
                     for s in (s for s in bounds if ZONE[s] == z and s in last):
-                        assert bounds[s] <= max(last[s], START) + RATE
+                        assert bounds[s] <= max(last[s], RAMP_START_FRACTION) + RAMP_PER_S
             last = bounds
 
 
@@ -346,10 +342,10 @@
         EndpointListUpdate(ListUpdateType.DELTA, 2, (entry(2, EndpointStatus.READY, plan.now),))
     )  # one of four
     plan.run(5)
-    assert plan.phase(0) == LOST
+    assert plan.phase(0) == ZonePhase.LOST
     plan.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (entry(4, EndpointStatus.READY, plan.now),)))
     plan.run(1)
-    assert plan.phase(0) == RETURNING
+    assert plan.phase(0) == ZonePhase.RECOVERING
 
 
 # With the module ---------------------------------------------------------------------------------
