--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -56,17 +56,17 @@
 
 
 @pytest.mark.parametrize("what", ["hold", "drain"])
-def test_a_bound_ends_though_its_server_was_gone_when_it_was_lifted(what: str) -> None:
+def test_capacity_limit_ends_for_a_server_that_was_removed_when_it_was_lifted(what: str) -> None:
     world = eight(Zoned)
-    world.tell(ZoneCommandReceived(0, ZoneOperation(what), 1.0))
+    world.send(ZoneCommandReceived(0, ZoneOperation(what), 1.0))
     world.run(6)  # of a drain's 12 s
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
     world.run(2)
-    world.tell(ZoneCommandReceived(0, ZoneOperation.RETURN, 1.0))
+    world.send(ZoneCommandReceived(0, ZoneOperation.RETURN, 1.0))
     world.run(60)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(2),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(2),)))
     world.run(60)
-    assert 2 in world.main(1)  # the first slice whose default it is
+    assert 2 in world.main_servers(1)  # the first slice whose default it is
     seen = world.director.director
     assert seen.fleet.capacity_limits.get(2, 1.0) == 1.0 and seen.estimator.usable_capacity(2) > 20
 
@@ -154,7 +154,7 @@
     assert end.status == m.AttemptStatus.TIMEOUT and end.retry_after_s == 0
 
 
-def test_what_is_gone_is_forgotten() -> None:
+def test_removed_servers_are_forgotten() -> None:
     """A machine that is replaced has a new id: a thousand of them must not stay in anybody's memory."""
     runtime = Runtime(
         settings(slice_count=4, load_value_names=("rif",)), lambda s: ZonedDirector(s, ZoneLimits())
@@ -261,36 +261,38 @@
     return found
 
 
-def test_heat_that_comes_and_goes_swings_no_slice_back_and_forth() -> None:
+def test_varying_request_rates_do_not_move_slices_back_and_forth() -> None:
     world = World(slice_count=24)
     for step in range(40):
         crowded = step % 2
-        world.heat = {n: (6.0 if n % 4 == 0 and crowded else 1.0) for n in world.heat}
+        world.request_rates = {n: (6.0 if n % 4 == 0 and crowded else 1.0) for n in world.request_rates}
         world.run(2.0)
-    assert world.moves() > 0
+    assert world.count_moves() > 0
     assert not swings(world, RETURN_COOLDOWN_S)
 
 
-def test_a_lost_server_is_left_though_its_slice_has_just_come() -> None:
+def test_slice_that_has_just_moved_leaves_a_draining_server() -> None:
     world = World(slice_count=24)
-    world.heat = {n: (6.0 if n % 4 == 0 else 1.0) for n in world.heat}
+    world.request_rates = {n: (6.0 if n % 4 == 0 else 1.0) for n in world.request_rates}
     world.run(6)
     fresh = (n for n, v in world.director.slices.items() if v.moved_at_s > world.now - RETURN_COOLDOWN_S)
     number = next(fresh)
-    moved = world.main(number)
-    world.tell(
+    moved = world.main_servers(number)
+    world.send(
         EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, EndpointStatus.DRAINING) for s in moved))
     )
-    assert not world.main(number) & moved
+    assert not world.main_servers(number) & moved
 
 
-def test_a_hot_slice_that_finds_no_places_is_not_left_whole_on_a_cold_server() -> None:
+def test_hot_slice_without_additional_servers_is_not_left_on_a_warming_server() -> None:
     """It is planned in parts; with no room for the others, all of it would fall on the one that has a place."""
     world = World(slow_start_duration_s=20.0)
-    world.heat = {n: 1.0 if n % 4 == 0 else 9.5 for n in world.heat}  # servers 2, 3 and 4 at 0.95
+    world.request_rates = {
+        n: 1.0 if n % 4 == 0 else 9.5 for n in world.request_rates
+    }  # servers 2, 3 and 4 at 0.95
     world.run(10)
-    world.heat[0] = 25.0
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
+    world.request_rates[0] = 25.0
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     for _ in range(8):
         world.run(1)
         cold = 0.25 + 0.75 * (world.now - world.director.servers[1].endpoint.started_at_s) / 20.0
@@ -300,7 +302,7 @@
         )
 
 
-def test_servers_that_are_gone_are_probed_no_more(tmp_path: Path) -> None:
+def test_removed_servers_get_no_health_checks(tmp_path: Path) -> None:
     faults = {"f": {"kind": "shrink", "at_s": 1, "for_s": 2, "servers": "1, 2"}}
     deployment = Deployment(tmp_path, faults, day={"length_s": 6})
     deployment.play()
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -23,28 +23,28 @@
 from tests.world import World, server
 
 
-def test_server_that_answers_nothing_is_left() -> None:
+def test_unresponsive_server_is_ejected_and_left() -> None:
     world = World()
     world.run(10)
-    world.mute.add(1)
+    world.failing_servers.add(1)
     world.run(6)
-    assert all(1 not in world.main(n) for n in world.tables)
+    assert all(1 not in world.main_servers(n) for n in world.tables)
 
 
-def test_slow_down_of_everything_ejects_nobody() -> None:
+def test_common_fault_of_all_servers_ejects_none() -> None:
     world = World()
     world.run(10)
-    world.mute.update(world.capacity)
+    world.failing_servers.update(world.capacity)
     world.run(10)
     assert all(view.recovery_level > 0 for view in world.director.servers.values())
 
 
-def test_ejected_server_comes_back_by_levels() -> None:
+def test_ejected_server_is_reinstated_along_the_recovery_ramp() -> None:
     world = World()
     world.run(10)
-    world.mute.add(1)
+    world.failing_servers.add(1)
     world.run(6)
-    world.mute.clear()
+    world.failing_servers.clear()
     levels = []
     for _ in range(120):
         world.run(0.25)
@@ -53,37 +53,37 @@
     assert levels[-1] == 3
 
 
-def test_lost_probes_of_a_server_that_still_answers_eject_nobody() -> None:
+def test_failed_health_checks_of_a_responding_server_do_not_eject_it() -> None:
     world = World(health_checks_enabled=True)
     for _ in range(40):
         world.run(0.25)
-        world.tell(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
+        world.send(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
     assert world.director.servers[1].recovery_level == 3
 
 
-def test_new_server_with_nothing_to_do_is_not_suspected() -> None:
+def test_new_server_without_requests_is_not_suspected() -> None:
     world = World(health_checks_enabled=True)
     world.run(5)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
     world.run(15)
     assert world.director.servers[9].recovery_level == 3
 
 
-def test_idle_server_with_a_tiny_service_time_is_not_taken_for_a_fast_one() -> None:
+def test_short_service_time_of_an_idle_server_does_not_raise_its_capacity() -> None:
     world = World(assigner_count=2, load_value_names=("busy", "rif", "lat_ms"))
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
-    world.tell(*(ServerLoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
+    world.send(*(ServerLoadReport(0, 9, 1, 0, 0.2, 10.0, (0.01, 0.0, 3.0)) for _ in range(5)))
     world.run(5)
     fleet = max(world.director.estimator.usable_capacity(s) for s in (1, 2, 3, 4))
     assert world.director.estimator.usable_capacity(9) <= 1.1 * fleet
 
 
-def test_senseless_reports_change_no_estimate() -> None:
+def test_invalid_reports_change_no_estimate() -> None:
     world = World()
     world.run(10)
     before = {s: v.capacity_per_s for s, v in world.director.servers.items()}
-    world.tell(
+    world.send(
         ServerLoadReport(0, 1, 5, 0, 0.2, 0.0, (0.5,)),
         ServerLoadReport(0, 1, 5, 9, 0.2, 1.0, (0.5,)),
         ServerLoadReport(0, 77, 5, 0, 0.2, 1.0, (0.5,)),
@@ -95,7 +95,7 @@
     assert {s: v.capacity_per_s for s, v in world.director.servers.items()} == before
 
 
-def test_restarted_assigner_takes_the_store_for_its_default_map() -> None:
+def test_restarted_assigner_takes_default_servers_from_the_stored_tables() -> None:
     world = World()
     fresh = Director(world.settings)
     events: list[Event] = [
@@ -111,43 +111,43 @@
     assert not [a for a in orders if isinstance(a, SetWeight) and a.weight >= 1]
 
 
-def test_failed_list_call_is_asked_again() -> None:
+def test_failed_endpoint_list_is_requested_again() -> None:
     world = World(watch_on_request=True)
-    world.tell(EndpointListUpdate(ListUpdateType.FAILED, 0, ()))
+    world.send(EndpointListUpdate(ListUpdateType.FAILED, 0, ()))
     mark = len(world.log)
     world.run(2)
     assert any(isinstance(a, WatchEndpoints) for _, acts in world.log[mark:] for a in acts)
 
 
-def test_slices_stay_on_an_ejected_server_when_moving_them_would_crowd_the_next() -> None:
+def test_slices_stay_on_an_ejected_server_when_moving_them_would_overload_another() -> None:
     world = World()
-    for number in world.heat:
-        world.heat[number] = 9.0
+    for number in world.request_rates:
+        world.request_rates[number] = 9.0
     world.run(10)
-    world.mute.add(1)
+    world.failing_servers.add(1)
     world.run(4)
     assert world.director.servers[1].recovery_level == 0
     assert all(world.load(s) <= 1.25 * world.capacity[s] for s in (2, 3, 4))
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     assert all(1 not in t for t in world.tables.values())
 
 
-def test_reports_late_for_all_eject_nobody() -> None:
+def test_reports_delayed_for_all_servers_eject_none() -> None:
     world = World(health_checks_enabled=True)
     world.run(10)
-    world.tell(ServerLoadReport(0, 1, 50, 50, 0.0, 5.0, ()))
-    world.silent_reports = True
+    world.send(ServerLoadReport(0, 1, 50, 50, 0.0, 5.0, ()))
+    world.reports_stopped = True
     for _ in range(30):
         world.run(0.25)
-        world.tell(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
+        world.send(HealthCheckResult(1, HealthCheckStatus.TIMEOUT, 0.4, ()))
     assert world.director.servers[1].recovery_level == 3
 
 
-def test_refused_requests_are_no_load() -> None:
+def test_rejected_requests_do_not_count_as_load() -> None:
     world = World(admission_mode=AdmissionMode.FRACTION)
-    for number in world.heat:
-        world.heat[number] = 16.0
+    for number in world.request_rates:
+        world.request_rates[number] = 16.0
     world.run(15)
     view = world.director.slices[0]
     came = sum(rate.per_second for rate in view.request_rates.values())
@@ -158,38 +158,40 @@
     for _ in range(round(seconds * 4)):
         world.run(0.25)
         status = {s: HealthCheckStatus.TIMEOUT if s in lost else HealthCheckStatus.OK for s in world.capacity}
-        world.tell(*(HealthCheckResult(s, status[s], 0.02, ()) for s in sorted(world.capacity)))
+        world.send(*(HealthCheckResult(s, status[s], 0.02, ()) for s in sorted(world.capacity)))
 
 
-def test_lost_probes_of_one_whole_zone_are_the_links_doing() -> None:
+def test_failed_health_checks_of_a_whole_zone_eject_none() -> None:
     world = World(servers=tuple(range(1, 9)), health_checks_enabled=True, load_value_names=("rif",))
     probed(world, set(), 5)
-    for number in world.heat:
-        world.heat[number] = 0.0  # no answers to tell otherwise
+    for number in world.request_rates:
+        world.request_rates[number] = 0.0  # no answers to tell otherwise
     probed(world, {2, 4, 6, 8}, 8)  # the servers of zone 0
     assert all(view.recovery_level == 3 for view in world.director.servers.values())
     assert all(not slowed for _, slowed in list(world.director.fleet.recorded_checks)[-20:])
 
 
-def test_lost_probes_of_a_part_of_a_zone_are_the_servers_doing() -> None:
+def test_failed_health_checks_of_a_part_of_a_zone_eject_its_servers() -> None:
     world = World(servers=tuple(range(1, 9)), health_checks_enabled=True)
     probed(world, set(), 5)
-    world.mute.update({2, 4})
+    world.failing_servers.update({2, 4})
     probed(world, {2, 4}, 8)
     assert {s for s, view in world.director.servers.items() if view.recovery_level < 3} == {2, 4}
 
 
 @pytest.mark.parametrize("instances", [1, 2])
 @pytest.mark.parametrize("shown", [0.0, 0.05, 0.4, 0.7])
-def test_server_with_more_of_our_requests_than_it_reports_loses_slices(instances: int, shown: float) -> None:
+def test_server_that_reports_fewer_requests_than_we_have_in_flight_loses_slices(
+    instances: int, shown: float
+) -> None:
     """It runs slower and reports an idle, a low or an old load: answers tell otherwise."""
     world = World(slice_count=40, assigner_count=instances, load_value_names=("busy", "rif", "lat_ms"))
-    world.heat = {n: 2.2 if n % 4 == 0 else 0.8 for n in world.heat}
+    world.request_rates = {n: 2.2 if n % 4 == 0 else 0.8 for n in world.request_rates}
     world.run(10)
-    before = len([n for n in world.tables if 1 in world.main(n)])
+    before = len([n for n in world.tables if 1 in world.main_servers(n)])
     del world.capacity[1]  # what it really does is told by the reports below
     for _ in range(120):
         world.run(0.25)
         tries = round(world.load(1) * 5)
-        world.tell(ServerLoadReport(0, 1, tries, 0, 2.0, 5.0, (shown, shown * 4, 100.0)))
-    assert len([n for n in world.tables if 1 in world.main(n)]) < before
+        world.send(ServerLoadReport(0, 1, tries, 0, 2.0, 5.0, (shown, shown * 4, 100.0)))
+    assert len([n for n in world.tables if 1 in world.main_servers(n)]) < before
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -11,25 +11,25 @@
 HOME = range(0, 40, 4)  # the slices of server 1 in a world of 40 slices and four servers
 
 
-def busy_first(world: World) -> None:
+def overload_first_server(world: World) -> None:
     """A light fleet whose first server then gets more than it can do."""
-    for number in world.heat:
-        world.heat[number] = 1.2
+    for number in world.request_rates:
+        world.request_rates[number] = 1.2
     world.run(5)
     for number in HOME:
-        world.heat[number] = 3.4
+        world.request_rates[number] = 3.4
     world.run(20)
 
 
-def test_quiet_fleet_keeps_its_default_map() -> None:
+def test_slices_of_an_idle_fleet_stay_on_their_default_servers() -> None:
     world = World()
     before = {n: set(t) for n, t in world.tables.items()}
     world.run(20)
-    assert all(world.main(n) == before[n] for n in before)
-    assert world.moves() == 0
+    assert all(world.main_servers(n) == before[n] for n in before)
+    assert world.count_moves() == 0
 
 
-def test_every_table_gets_a_standby_line_once() -> None:
+def test_every_table_gets_a_standby_entry_once() -> None:
     world = World()
     world.run(10)
     lines = [a for _, acts in world.log for a in acts if isinstance(a, SetWeight)]
@@ -37,19 +37,19 @@
     assert all(len(t) == 2 for t in world.tables.values())
 
 
-def test_overloaded_server_sheds_to_alternates_with_room() -> None:
+def test_overloaded_server_sheds_to_alternates_with_capacity() -> None:
     world = World(slice_count=40)
-    busy_first(world)
+    overload_first_server(world)
     assert world.load(1) <= 0.95 * world.capacity[1]
     assert all(world.load(s) <= world.capacity[s] for s in world.capacity)
 
 
 @pytest.mark.parametrize("sign", ["none", "slowed", "lost", "failing", "some lost on the way"])
-def test_a_server_whose_probes_are_quick_sheds_only_at_a_sign_of_a_queue(sign: str) -> None:
+def test_server_sheds_only_when_health_checks_or_failures_show_queueing(sign: str) -> None:
     """The reading of its load says 0.95 of its capacity, and swings."""
     world = World(slice_count=40, health_checks_enabled=True)
-    for number in world.heat:
-        world.heat[number] = 2.85 if number in HOME else 1.2
+    for number in world.request_rates:
+        world.request_rates[number] = 2.85 if number in HOME else 1.2
     usual = world.reports
     losses = {"failing": (2, 10.0), "some lost on the way": (100, 500.0)}.get(sign)  # one of so many, in s
     failed = [ServerLoadReport(1, 1, losses[0], 1, 0.2, losses[1], ())] if losses else []
@@ -58,21 +58,21 @@
         lost = sign == "lost" and step % 2
         status = HealthCheckStatus.TIMEOUT if lost else HealthCheckStatus.OK
         took = 0.02 if sign == "slowed" and step > 8 else 0.01
-        world.tell(*(HealthCheckResult(s, HealthCheckStatus.OK, 0.01, ()) for s in (2, 3, 4)))
-        world.tell(HealthCheckResult(1, status, took, ()))
+        world.send(*(HealthCheckResult(s, HealthCheckStatus.OK, 0.01, ()) for s in (2, 3, 4)))
+        world.send(HealthCheckResult(1, status, took, ()))
         world.run(0.25)
-    assert all(world.main(n) == {1} for n in HOME) == (sign == "none")
+    assert all(world.main_servers(n) == {1} for n in HOME) == (sign == "none")
 
 
-def test_a_sinking_server_sheds_past_the_usual_room_but_no_other_above_its_capacity() -> None:
+def test_overwhelmed_server_sheds_to_alternates_up_to_their_full_capacity() -> None:
     """All others are above ROOM: one that gets over twice what it can do must not be left so for that."""
     world = World(slice_count=80)
     home = range(0, 80, 4)
-    for number in world.heat:
-        world.heat[number] = 1.14
+    for number in world.request_rates:
+        world.request_rates[number] = 1.14
     world.run(5)
     for number in home:
-        world.heat[number] = 3.5
+        world.request_rates[number] = 3.5
     world.run(20)
     assert world.load(1) < 61
     assert all(world.load(s) <= world.capacity[s] for s in world.capacity if s != 1)
@@ -92,66 +92,66 @@
 
 
 @pytest.mark.parametrize(("make", "heat"), [(World, 2.7), (Late, 3.5)])
-def test_a_full_server_that_is_not_sinking_keeps_its_slices_where_all_are_short(
+def test_server_that_is_not_overwhelmed_keeps_its_slices_when_all_are_overloaded(
     make: type[World], heat: float
 ) -> None:
     """Less than twice what it can do, or nothing that fails: moves would cost caches for little."""
     world = make(slice_count=80)
-    for number in world.heat:
-        world.heat[number] = 1.14
+    for number in world.request_rates:
+        world.request_rates[number] = 1.14
     world.run(5)
     for number in range(0, 80, 4):
-        world.heat[number] = heat
-    before = world.moves()
+        world.request_rates[number] = heat
+    before = world.count_moves()
     world.run(20)
-    assert world.moves() == before
+    assert world.count_moves() == before
 
 
-def test_detoured_slices_go_home_when_the_default_has_room_again() -> None:
+def test_moved_slices_return_when_the_default_server_has_capacity_again() -> None:
     world = World(slice_count=40)
-    busy_first(world)
-    assert any(world.main(n) != {1} for n in HOME)
+    overload_first_server(world)
+    assert any(world.main_servers(n) != {1} for n in HOME)
     for number in HOME:
-        world.heat[number] = 1.0
+        world.request_rates[number] = 1.0
     world.run(25)
-    assert all(world.main(n) == {1} for n in HOME)
+    assert all(world.main_servers(n) == {1} for n in HOME)
 
 
 def test_hot_slice_is_spread_over_several_servers() -> None:
     world = World()
     world.run(5)
-    world.heat[0] = 35.0
+    world.request_rates[0] = 35.0
     world.run(15)
-    assert len(world.main(0)) >= 2
+    assert len(world.main_servers(0)) >= 2
 
 
-def test_hot_slice_keeps_one_owner_where_there_is_a_single_writer() -> None:
+def test_hot_slice_stays_on_one_server_with_a_single_writer() -> None:
     world = World(single_writer=True)
     world.run(5)
-    world.heat[0] = 35.0
+    world.request_rates[0] = 35.0
     world.run(15)
-    assert all(len(t) <= 1 or len(world.main(n)) == 1 for n, t in world.tables.items())
+    assert all(len(t) <= 1 or len(world.main_servers(n)) == 1 for n, t in world.tables.items())
     assert len(world.director.slices[0].weights) == 1
 
 
-def test_noise_at_the_threshold_does_not_flip_slices() -> None:
+def test_noise_at_the_threshold_does_not_move_slices_back_and_forth() -> None:
     world = World()
     world.run(5)
     for number in (0, 4, 8):
-        world.heat[number] = 8.7
+        world.request_rates[number] = 8.7
     for step in range(20):
-        world.heat[0] = 8.7 + (0.6 if step % 2 else -0.6)
+        world.request_rates[0] = 8.7 + (0.6 if step % 2 else -0.6)
         world.run(1)
-    assert world.moves() <= 4
+    assert world.count_moves() <= 4
 
 
-def test_stale_reports_hold_the_ordinary_plan_still() -> None:
+def test_delayed_reports_stop_ordinary_changes() -> None:
     world = World()
     world.run(10)
-    world.silent_reports = True
+    world.reports_stopped = True
     world.run(5)
     before = len(world.log)
-    world.heat[0] = 40.0
+    world.request_rates[0] = 40.0
     world.run(10)
     late = [a for _, acts in world.log[before:] for a in acts if isinstance(a, SetWeight)]
     assert not late
@@ -161,7 +161,7 @@
     logs = []
     for _ in range(2):
         world = World()
-        world.heat[3] = 25.0
+        world.request_rates[3] = 25.0
         world.run(10)
         logs.append(world.log)
     assert logs[0] == logs[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,55 +21,55 @@
 
 
 def used(world: World, sid: int) -> list[int]:
-    return [n for n in world.tables if sid in world.open(n)]
+    return [n for n in world.tables if sid in world.admitted_weights(n)]
 
 
 @pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_drained_server_leaves_every_table_within_a_round(state: EndpointStatus) -> None:
+def test_draining_server_leaves_every_table_within_a_round(state: EndpointStatus) -> None:
     world = World()
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, state),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, state),)))
     world.run(0.5)
     assert used(world, 1) == []
     assert all(world.tables.values())
 
 
-def test_server_missing_from_a_full_list_is_gone() -> None:
+def test_server_missing_from_a_snapshot_leaves_every_table() -> None:
     world = World()
     world.run(5)
-    world.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 9, (server(2), server(3), server(4))))
+    world.send(EndpointListUpdate(ListUpdateType.SNAPSHOT, 9, (server(2), server(3), server(4))))
     world.run(0.5)
     assert used(world, 1) == []
 
 
-def test_slice_given_later_with_a_drained_server_is_moved_at_once() -> None:
+def test_slice_granted_later_with_a_draining_server_is_moved_at_once() -> None:
     world = World()
     world.run(5)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.DRAINING),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.DRAINING),)))
     world.run(2)
-    world.tell(OwnershipChanged(5, False))
+    world.send(OwnershipChanged(5, False))
     world.tables[5] = {1: 1.0}
-    world.tell(OwnershipChanged(5, True), StoredWeight(5, 1, 1.0))
+    world.send(OwnershipChanged(5, True), StoredWeight(5, 1, 1.0))
     world.run(0.5)
-    assert world.open(5) and 1 not in world.open(5)
+    assert world.admitted_weights(5) and 1 not in world.admitted_weights(5)
 
 
-def test_slice_with_an_empty_table_gets_a_line() -> None:
+def test_slice_with_an_empty_table_gets_an_entry() -> None:
     world = World()
     world.run(5)
     world.tables[5] = {}
-    world.tell(OwnershipChanged(5, False))
-    world.tell(OwnershipChanged(5, True))
+    world.send(OwnershipChanged(5, False))
+    world.send(OwnershipChanged(5, True))
     world.run(0.5)
     assert world.tables[5]
 
 
-def test_nothing_is_ordered_for_a_slice_taken_back() -> None:
+def test_revoked_slice_gets_no_changes() -> None:
     world = World()
     world.run(5)
-    world.tell(OwnershipChanged(5, False))
+    world.send(OwnershipChanged(5, False))
     mark = len(world.log)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
     world.run(3)
     later = [a for _, acts in world.log[mark:] for a in acts if isinstance(a, SetWeight)]
     assert later and all(a.slice_id != 5 for a in later)
@@ -79,15 +79,15 @@
     world = World()
     world.run(5)
     for sid in (1, 2, 3):
-        world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(sid, EndpointStatus.REMOVED),)))
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(sid, EndpointStatus.REMOVED),)))
         world.run(1)
         assert all(world.tables.values())
 
 
-def test_added_lines_come_before_removed_ones() -> None:
+def test_added_entries_come_before_removed_ones() -> None:
     world = World()
     world.run(5)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     for _, actions in world.log:
         seen_removal: set[int] = set()
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("default", [0, 1])
-def test_retries_never_go_past_proof_for_once(default: int) -> None:
+def test_non_idempotent_requests_are_retried_only_after_proof(default: int) -> None:
     world = World(default_retry_mode=default)
     world.run(10)
     orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission)]
@@ -107,12 +107,12 @@
         assert order.retry_mode <= 1 or not (order.class_mask == 0 or order.class_mask & 0b10)
 
 
-def test_returning_server_is_filled_by_its_present_capacity() -> None:
+def test_returning_server_is_filled_to_its_present_capacity() -> None:
     world = World()
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, started=world.now),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, started=world.now),)))
     born = world.now
     for _ in range(16):
         world.run(0.5)
@@ -120,49 +120,49 @@
         assert world.load(1) <= share * 30.0
 
 
-def test_restart_shown_only_by_a_start_time_sheds_what_is_too_much() -> None:
+def test_restart_visible_only_by_the_start_time_sheds_the_excess() -> None:
     world = World()
     for number in (0, 4, 8):
-        world.heat[number] = 7.0
+        world.request_rates[number] = 7.0
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     world.run(1.5)
     assert world.load(1) <= 0.5 * 30.0
 
 
 @pytest.mark.parametrize("instances", [1, 3])
-def test_cold_part_is_one_of_all_assigners(instances: int) -> None:
+def test_server_that_is_warming_up_gets_one_assigners_part(instances: int) -> None:
     world = World(assigner_count=instances, slice_count=12)
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
-    for number in world.heat:
-        world.heat[number] = 12.0
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now),)))
+    for number in world.request_rates:
+        world.request_rates[number] = 12.0
     world.capacity[9] = 30.0
     world.run(1.5)
     assert world.load(9) <= 0.5 * 30.0 / instances
 
 
 @pytest.mark.parametrize("pace", [1.0, 0.5, 0.25])
-def test_no_more_lines_wait_than_the_limit_however_slow_the_channel(pace: float) -> None:
+def test_waiting_entries_stay_below_the_limit_however_slow_the_channel(pace: float) -> None:
     world = World(
         slice_count=60,
         admission_mode=AdmissionMode.FRACTION,
         channel_capacity_entries=400.0,
         channel_entries_per_s=260.0,
     )
-    world.pace = pace
+    world.channel_speed = pace
     for step in range(40):
         sid = 1 + step // 2 % 4
-        world.tell(
+        world.send(
             EndpointListUpdate(
                 ListUpdateType.DELTA,
                 step,
                 (server(sid, EndpointStatus.READY if step % 2 else EndpointStatus.DRAINING),),
             )
         )
-        world.heat = dict.fromkeys(world.heat, 0.5 if step % 6 < 3 else 6.0)
+        world.request_rates = dict.fromkeys(world.request_rates, 0.5 if step % 6 < 3 else 6.0)
         world.run(1)
-    assert 100.0 < world.most_waiting <= 400.0
+    assert 100.0 < world.max_waiting_entries <= 400.0
 
 
 def test_messages_per_proxy_stay_under_the_limit() -> None:
@@ -170,7 +170,7 @@
     for step in range(40):
         sid = 1 + step % 4
         state = EndpointStatus.REMOVED if step % 2 else EndpointStatus.READY
-        world.tell(EndpointListUpdate(ListUpdateType.DELTA, step, (server(sid, state),)))
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, step, (server(sid, state),)))
         world.run(0.5)
     sent = [at for at, acts in world.log if any(isinstance(a, SetWeight | SetAdmission) for a in acts)]
     for first in sent:
@@ -181,20 +181,20 @@
     world = World()
     world.run(5)
     for step in range(20):
-        world.heat[step % 3] = 1.0 + 30.0 * (step // 3 % 2)
+        world.request_rates[step % 3] = 1.0 + 30.0 * (step // 3 % 2)
         world.run(0.5)
     sent = [at for at, acts in world.log if any(isinstance(a, SetWeight) for a in acts)]
     assert len(sent) > 3
     assert all(later - earlier >= 0.99 for earlier, later in pairwise(sent[1:]))
 
 
-def test_tables_are_kept_when_only_ejected_servers_are_left() -> None:
+def test_tables_stay_when_only_ejected_servers_are_left() -> None:
     world = World(servers=(1, 2, 3))
     world.run(10)
-    world.mute.add(1)
+    world.failing_servers.add(1)
     world.run(3)
     assert world.director.servers[1].recovery_level == 0
-    world.tell(
+    world.send(
         EndpointListUpdate(
             ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED), server(3, EndpointStatus.REMOVED))
         )
@@ -203,83 +203,83 @@
     assert all(set(t) == {1} for t in world.tables.values())
 
 
-def test_fleet_short_of_capacity_lets_in_less_of_the_cheapest_class() -> None:
+def test_overloaded_fleet_admits_less_of_the_class_of_least_priority() -> None:
     world = World(admission_mode=AdmissionMode.FRACTION)
     world.run(5)
-    for number in world.heat:
-        world.heat[number] = 16.0
+    for number in world.request_rates:
+        world.request_rates[number] = 16.0
     world.run(15)
     levels = world.director.fleet.admission_fractions
     assert min(levels.values()) < 0.9
     orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission) and a.fraction < 1]
     assert orders and all(a.slice_id == ALL_SLICES for a in orders)
-    for number in world.heat:
-        world.heat[number] = 3.0
+    for number in world.request_rates:
+        world.request_rates[number] = 3.0
     world.run(20)
     assert min(world.director.fleet.admission_fractions.values()) == 1
 
 
-def test_one_crowded_server_in_a_light_fleet_refuses_nobody() -> None:
+def test_one_overloaded_server_in_an_idle_fleet_sheds_no_load() -> None:
     world = World(admission_mode=AdmissionMode.FRACTION, slice_count=40)
-    for number in world.heat:
-        world.heat[number] = 1.0 if number % 4 else 3.6
+    for number in world.request_rates:
+        world.request_rates[number] = 1.0 if number % 4 else 3.6
     world.run(20)
     assert not [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission) and a.fraction < 1]
 
 
 @pytest.mark.parametrize(("default", "most"), [(0, 0), (1, 1), (3, 1)])
-def test_further_tries_stay_within_proof_and_the_sites_own_way(default: int, most: int) -> None:
+def test_retry_mode_exceeds_neither_proof_nor_the_default(default: int, most: int) -> None:
     world = World(default_retry_mode=default, admission_mode=AdmissionMode.FRACTION)
     for rate in (5.0, 14.0, 3.0):
-        world.heat = dict.fromkeys(world.heat, rate)
+        world.request_rates = dict.fromkeys(world.request_rates, rate)
         world.run(10)
     orders = [a for _, acts in world.log for a in acts if isinstance(a, SetAdmission)]
     assert orders and all(a.retry_mode == most for a in orders)
     assert default <= 1 or orders[0] == SetAdmission(ALL_SLICES, 0, 1.0, 1)
 
 
-def test_many_cold_servers_alone_get_no_more_than_a_safe_part() -> None:
+def test_only_warming_servers_get_no_more_than_a_safe_load() -> None:
     """The only warm servers are lost while the others are cold: nobody warm is left to move to."""
     world = World(slow_start_duration_s=20.0)
     world.run(10)
     born = world.now
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, started=born) for s in (1, 2))))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, started=born) for s in (1, 2))))
     for step in range(40):
         share = 0.25 + 0.75 * (world.now - born) / 20.0
         world.capacity.update({1: 30.0 * share, 2: 30.0 * share})
         world.run(0.25)
         if step == 15:
-            world.tell(
+            world.send(
                 EndpointListUpdate(
                     ListUpdateType.DELTA, 3, tuple(server(s, EndpointStatus.REMOVED) for s in (3, 4))
                 )
             )
         if step == 3:
-            world.heat = dict.fromkeys(world.heat, 9.0)
+            world.request_rates = dict.fromkeys(world.request_rates, 9.0)
         assert step < 22 or max(world.load(1), world.load(2)) <= 0.7 * 3.0 * share * 30.0
 
 
-def test_restarted_server_is_relieved_at_once_even_while_reports_are_late() -> None:
+def test_restarted_server_is_relieved_at_once_while_reports_are_delayed() -> None:
     world = World()
     for number in (0, 4, 8):
-        world.heat[number] = 7.0
+        world.request_rates[number] = 7.0
     world.run(10)
-    world.silent_reports = True
+    world.reports_stopped = True
     world.run(8)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     world.run(0.5)
     assert world.load(1) <= 0.5 * 30.0
 
 
-def test_slices_are_not_sent_home_to_an_ejected_or_cold_server_in_a_crowd() -> None:
+def test_slices_do_not_all_return_to_an_ejected_or_warming_server() -> None:
     world = World()
-    for number in world.heat:
-        world.heat[number] = 9.0
+    for number in world.request_rates:
+        world.request_rates[number] = 9.0
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(3)
-    world.mute.add(1)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, started=world.now),)))
+    world.failing_servers.add(1)
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, started=world.now),)))
     for _ in range(40):
         world.run(0.25)
         view = world.director.servers[1]
@@ -288,26 +288,26 @@
         assert view.recovery_level > 0 or world.load(1) <= 9.0
 
 
-def big_wave(world: World) -> list[list[Action]]:
+def drain_half_of_the_fleet(world: World) -> list[list[Action]]:
     """Half the fleet drains at once, more tables than the channel can rewrite within the grace."""
-    world.heat = dict.fromkeys(world.heat, 40.0 / len(world.heat))
+    world.request_rates = dict.fromkeys(world.request_rates, 40.0 / len(world.request_rates))
     world.run(5)
     mark = len(world.log)
-    world.tell(
+    world.send(
         EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, EndpointStatus.DRAINING) for s in (1, 2)))
     )
     world.run(1)
     return [acts for _, acts in world.log[mark:]]
 
 
-def test_wave_that_outlasts_the_channel_is_shut_out_at_once() -> None:
+def test_servers_are_withdrawn_when_rewriting_tables_would_take_too_long() -> None:
     world = World(
         slice_count=60,
         channel_entries_per_s=100.0,
         channel_capacity_entries=150.0,
         channel_header_entries=2.0,
     )
-    orders = big_wave(world)
+    orders = drain_half_of_the_fleet(world)
     assert {a.server_id for acts in orders for a in acts if isinstance(a, SetWithdrawn) and a.withdrawn} == {
         1,
         2,
@@ -315,21 +315,21 @@
     assert used(world, 1) == [] and used(world, 2) == []
 
 
-def test_small_drain_is_answered_by_tables_alone() -> None:
+def test_small_drain_rewrites_tables_without_withdrawals() -> None:
     world = World()
-    assert not any(isinstance(a, SetWithdrawn) for acts in big_wave(world) for a in acts)
+    assert not any(isinstance(a, SetWithdrawn) for acts in drain_half_of_the_fleet(world) for a in acts)
     assert used(world, 1) == []
 
 
-def test_server_shut_out_comes_back_only_when_no_table_holds_it_against_the_plan() -> None:
+def test_withdrawn_server_is_readmitted_only_when_no_table_has_it_against_the_plan() -> None:
     world = World(
         slice_count=60,
         channel_entries_per_s=100.0,
         channel_capacity_entries=150.0,
         channel_header_entries=2.0,
     )
-    big_wave(world)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, tuple(server(s) for s in (1, 2))))
+    drain_half_of_the_fleet(world)
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, tuple(server(s) for s in (1, 2))))
     for _ in range(240):
         shut, before = set(world.withdrawn), [set(table) for table in world.tables.values()]
         world.run(0.25)
@@ -337,16 +337,16 @@
     assert world.withdrawn == set()
 
 
-def test_proxies_that_join_later_hear_of_servers_shut_out() -> None:
+def test_withdrawals_are_resent_to_proxies_that_connect_later() -> None:
     world = World(
         slice_count=60,
         channel_entries_per_s=100.0,
         channel_capacity_entries=150.0,
         channel_header_entries=2.0,
     )
-    big_wave(world)
+    drain_half_of_the_fleet(world)
     mark = len(world.log)
-    world.tell(ProxyConnected(3, 0, 5.0, True))
+    world.send(ProxyConnected(3, 0, 5.0, True))
     world.run(2)
     again = {
         a.server_id
@@ -377,15 +377,15 @@
     assert director.fleet.urgent_change_pending == (sent < 3)
 
 
-def test_new_places_of_a_slice_on_a_cold_server_are_urgent() -> None:
+def test_additional_servers_of_a_slice_on_a_warming_server_are_urgent() -> None:
     world = World(slice_count=40, slow_start_duration_s=60.0)
-    world.heat = dict.fromkeys(world.heat, 0.8)
+    world.request_rates = dict.fromkeys(world.request_rates, 0.8)
     world.run(10)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
     world.run(4)
     director = world.director
-    kept = next(n for n in world.tables if 1 in world.main(n))
-    plan = {n: sorted(world.main(n)) for n in world.tables}
+    kept = next(n for n in world.tables if 1 in world.main_servers(n))
+    plan = {n: sorted(world.main_servers(n)) for n in world.tables}
     further = next(s for s in (2, 3, 4) if s not in plan[kept])
     director.fleet.urgent_change_pending = True
     director.fleet.last_report_s = world.now - 20.0  # reports are late
@@ -394,10 +394,10 @@
     assert {a.slice_id for a in actions if isinstance(a, SetWeight)} == {kept}
 
 
-def test_levels_rise_where_servers_are_less_busy_than_meant() -> None:
+def test_admission_rises_when_servers_are_below_the_target_load() -> None:
     """Refused clients come again and count in the heat, while the servers have room."""
     world = World(admission_mode=AdmissionMode.FRACTION)
-    world.heat = dict.fromkeys(world.heat, 16.0)
+    world.request_rates = dict.fromkeys(world.request_rates, 16.0)
     world.run(12)
     low = min(world.director.fleet.admission_fractions.values())
     assert low < 0.9
@@ -409,7 +409,7 @@
     assert min(world.director.fleet.admission_fractions.values()) > low + 0.1
 
 
-def test_slices_on_ejected_servers_do_not_all_go_home_to_a_cold_one() -> None:
+def test_slices_on_ejected_servers_do_not_all_return_to_a_warming_one() -> None:
     world = World()
     world.run(5)
     director = world.director
@@ -421,28 +421,30 @@
         director.servers[sid].recovery_level = 0
     director.servers[1].endpoint = server(1, started=world.now)
     plan = plan_slices(director.fleet, director.estimator, director.ranking)
-    assert sum(world.heat[n] for n, places in plan.items() if places == [1]) <= 0.5 * 30.0
+    assert sum(world.request_rates[n] for n, places in plan.items() if places == [1]) <= 0.5 * 30.0
 
 
-def test_a_slice_that_is_large_for_a_cold_server_is_not_sent_there() -> None:
+def test_slice_that_is_large_for_a_warming_server_is_not_moved_there() -> None:
     """A hot key shows first as such a slice, and would push the server over before the next report."""
     world = World(servers=(1, 2, 3), slice_count=12)
-    world.heat = dict.fromkeys(world.heat, 1.5) | {0: 5.0}  # slices 0, 3, 6 and 9 are at home on server 1
-    world.heat |= {n: 6.0 for n in world.heat if n % 3}
+    world.request_rates = dict.fromkeys(world.request_rates, 1.5) | {
+        0: 5.0
+    }  # slices 0, 3, 6 and 9 are at home on server 1
+    world.request_rates |= {n: 6.0 for n in world.request_rates if n % 3}
     world.run(10)
-    world.tell(
+    world.send(
         EndpointListUpdate(ListUpdateType.DELTA, 2, (server(9, started=world.now - 0.5),))
     )  # good for 40% of 30 soon
     world.capacity[9] = 12.0
     world.run(1)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, EndpointStatus.DRAINING),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(1, EndpointStatus.DRAINING),)))
     world.run(1)
-    assert 9 not in world.main(0)
-    cold = [n for n in (3, 6, 9) if 9 in world.main(n)]
+    assert 9 not in world.main_servers(0)
+    cold = [n for n in (3, 6, 9) if 9 in world.main_servers(n)]
     # What does stand there stands elsewhere too: a key that becomes hot now would be told of too late.
-    assert cold and all(len(world.main(n)) == 2 for n in cold)
-    world.heat[cold[0]] = 40.0
+    assert cold and all(len(world.main_servers(n)) == 2 for n in cold)
+    world.request_rates[cold[0]] = 40.0
     assert world.load(9) < 3 * 12.0 < world.load(9) + 20.0  # alone it would be pushed over
-    world.heat[cold[0]] = 1.5
+    world.request_rates[cold[0]] = 1.5
     world.run(5)  # while it is cold, one place is enough again: it could bear that
-    assert world.director.fleet.warm_up_fraction(9) < 1 and all(len(world.main(n)) == 1 for n in cold)
+    assert world.director.fleet.warm_up_fraction(9) < 1 and all(len(world.main_servers(n)) == 1 for n in cold)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -301,17 +301,17 @@
     events += [ProxyConnected(p, 0, 10.0, True) for p in range(3)]
     for number in range(12):
         events += [OwnershipChanged(number, True), StoredWeight(number, 1 + number % 4, 1.0)]
-    world.tell(*events, TimerFired(1))
+    world.send(*events, TimerFired(1))
     world.run(6)
-    world.mute = {2}
-    world.heat[3] = 40.0
+    world.failing_servers = {2}
+    world.request_rates[3] = 40.0
     world.run(8)
     gone = Endpoint(3, 0, 0, 0, EndpointStatus.REMOVED, 1.0, 0.0)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (gone,)))
-    world.mute = set()
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (gone,)))
+    world.failing_servers = set()
     world.run(5)
     back = Endpoint(3, 0, 0, 0, EndpointStatus.READY, 1.0, world.now - 0.5)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (back,)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (back,)))
     world.run(12)
     assert through.batches > 100 and through.ordered > 10
 
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -95,7 +95,7 @@
             self.hear(director, EndpointListUpdate(ListUpdateType.DELTA, 2, entries))
 
 
-def test_where_nothing_tells_load_an_idle_fleet_refuses_nobody() -> None:
+def test_idle_fleet_without_load_reports_sheds_no_load() -> None:
     """No load reports, and most servers hold no slice of one assigner; the start brings heat before answers."""
     fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION)
     before = dict(fleet.on)
@@ -108,14 +108,14 @@
         assert director.estimator.capacity_per_weight == pytest.approx(2 * 60 * 3.5 / 40, rel=0.3)
 
 
-def test_nobody_is_refused_before_anything_told_what_servers_can_do() -> None:
+def test_no_load_is_shed_before_a_capacity_is_learned() -> None:
     fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION)
     fleet.answered = 0.0
     fleet.run(6)
     assert fleet.lowest == 1.0
 
 
-def test_where_nothing_tells_load_a_new_server_is_not_taken_for_as_full_as_the_rest() -> None:
+def test_new_server_without_load_reports_is_estimated_as_idle() -> None:
     fleet = Fleet(heat=8.0, servers=range(1, 21), load_value_names=())
     fleet.run(10)
     fleet.tell(*(server(s, started=fleet.now) for s in range(21, 31)))
@@ -125,7 +125,7 @@
         assert max(load[s] for s in range(21, 31)) < 0.1 < min(load[s] for s in range(1, 21))
 
 
-def test_where_nothing_tells_load_a_crowd_is_refused_in_part() -> None:
+def test_overloaded_fleet_without_load_reports_sheds_load() -> None:
     fleet = Fleet(heat=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION)
     fleet.run(10)
     fleet.heat = 60.0  # 90 on servers that can do 30
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("killed", [False, True])
-def test_after_a_release_the_new_servers_are_used_and_none_is_crowded(killed: bool) -> None:
+def test_after_a_release_new_servers_are_used_and_none_is_overloaded(killed: bool) -> None:
     fleet = Fleet(heat=3.5)
     fleet.run(10)
     fleet.tell(*(server(s, started=fleet.now) for s in range(11, 16)))
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 5])
-def test_each_server_is_one_assigners_and_slices_of_the_dead_bring_theirs(count: int) -> None:
+def test_each_server_is_exclusive_to_one_assigner_and_passes_on_with_slices(count: int) -> None:
     for held in (1, count):
         owners = []
         for k in range(count):
@@ -161,44 +161,46 @@
         assert {sum(each) for each in zip(*owners, strict=True)} == {held}
 
 
-def test_who_brings_a_full_server_most_of_its_load_sheds_most_of_it() -> None:
+def test_assigner_with_most_of_a_servers_load_sheds_most_of_it() -> None:
     world = World(servers=tuple(range(1, 9)), assigner_count=5, slice_count=48, load_value_names=("busy",))
-    world.heat = {n: 10.0 if world.tables[n] == {1: 1.0} else 0.5 for n in world.heat}
+    world.request_rates = {n: 10.0 if world.tables[n] == {1: 1.0} else 0.5 for n in world.request_rates}
     world.run(2)
-    assert sum(world.heat[n] for n in world.tables if world.main(n) == {1}) <= 30.0
+    assert sum(world.request_rates[n] for n in world.tables if world.main_servers(n) == {1}) <= 30.0
 
 
-def test_a_stream_of_urgent_changes_does_not_put_ordinary_ones_off_for_ever() -> None:
+def test_urgent_changes_do_not_delay_ordinary_ones_for_ever() -> None:
     world = World(servers=tuple(range(1, 25)), assigner_count=5, slice_count=96, load_value_names=("busy",))
     world.run(10)
     for sid in range(2, 16):  # a server drains each half second
         if sid == 4:
-            world.heat = {n: 10.0 if world.main(n) == {1} else 0.5 for n in world.heat}
-        world.tell(EndpointListUpdate(ListUpdateType.DELTA, sid, (server(sid, EndpointStatus.DRAINING),)))
+            world.request_rates = {
+                n: 10.0 if world.main_servers(n) == {1} else 0.5 for n in world.request_rates
+            }
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, sid, (server(sid, EndpointStatus.DRAINING),)))
         world.run(0.5)
     assert (
-        sum(world.main(n) == {1} for n in world.tables if world.heat[n] > 1) <= 1
+        sum(world.main_servers(n) == {1} for n in world.tables if world.request_rates[n] > 1) <= 1
     )  # of four, too hot for it
 
 
 @pytest.mark.parametrize("left", [0, 4])
-def test_answers_of_slices_that_were_taken_raise_no_capacity(left: int) -> None:
+def test_responses_for_revoked_slices_do_not_raise_the_capacity(left: int) -> None:
     world = World(servers=tuple(range(1, 9)), assigner_count=5, slice_count=48)
-    world.heat = dict.fromkeys(world.heat, 3.0)
+    world.request_rates = dict.fromkeys(world.request_rates, 3.0)
     world.run(20)
     before = world.director.estimator.usable_capacity(1)
-    world.tell(*(OwnershipChanged(n, False) for n in range(left, 48)))
+    world.send(*(OwnershipChanged(n, False) for n in range(left, 48)))
     for step in range(160):
         world.now += 0.25
         # Reports of before still come for 4 s, late; then those of what is left.
         met = range(1, 9) if step < 16 and not left else range(1, left + 1)
         rate = 18 if step < 16 and not left else 3
         told = [ServerLoadReport(0, sid, 10 * rate, 0, 0.2, 10.0, (0.6,)) for sid in met]
-        world.tell(*told, TimerFired(1))
+        world.send(*told, TimerFired(1))
         assert 0.6 * before < world.director.estimator.usable_capacity(1) < 1.6 * before
 
 
-def test_what_others_found_out_counts_until_it_is_found_out_here() -> None:
+def test_peer_observations_count_until_replaced_by_own_ones() -> None:
     fresh = Director(settings(assigner_count=3))
     fresh.handle(START, [EndpointListUpdate(ListUpdateType.CACHED, 1, (server(1), server(2)))])
     fresh.handle(START, [PeerObservation(-1, capacity_per_s=7.0), PeerObservation(1, recovery_level=0)])
@@ -210,5 +212,5 @@
     world = World(assigner_count=3)
     world.run(20)
     own = world.director.findings()
-    world.tell(PeerObservation(-1, capacity_per_s=900.0), PeerObservation(1, recovery_level=0))
+    world.send(PeerObservation(-1, capacity_per_s=900.0), PeerObservation(1, recovery_level=0))
     assert own[0] and world.director.findings() == own
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -23,7 +23,7 @@
         servers=tuple(range(1, servers + 1)), slice_count=servers * per_server, load_value_names=names
     )
     world.settings = world.director.fleet.settings
-    world.heat = {n: 2.0 + 3.0 * (n % 7 == 0) for n in world.heat}
+    world.request_rates = {n: 2.0 + 3.0 * (n % 7 == 0) for n in world.request_rates}
     return world
 
 
@@ -50,40 +50,40 @@
         world = big_world(size)
         world.run(6)
         counts.append(max(calls_in_a_round(world) for _ in range(5)))
-        assert counts[-1] <= 120 * (size + len(world.heat))
+        assert counts[-1] <= 120 * (size + len(world.request_rates))
     assert counts[1] <= 2.6 * counts[0] and counts[2] <= 2.6 * counts[1]
 
 
-def test_orders_of_alternates_are_kept_while_the_list_stands() -> None:
+def test_rankings_are_cached_while_the_same_servers_are_ready() -> None:
     world = big_world(40)
     world.run(6)
-    orders = {n: id(world.director.ranking.alternates(n)) for n in world.heat}
+    orders = {n: id(world.director.ranking.alternates(n)) for n in world.request_rates}
     world.run(6)
-    assert {n: id(world.director.ranking.alternates(n)) for n in world.heat} == orders
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
-    assert all(1 not in world.director.ranking.alternates(n) for n in world.heat)
+    assert {n: id(world.director.ranking.alternates(n)) for n in world.request_rates} == orders
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
+    assert all(1 not in world.director.ranking.alternates(n) for n in world.request_rates)
 
 
 @pytest.mark.parametrize("left", [0, 1])
-def test_list_that_shrinks_to_one_or_none_does_no_harm(left: int) -> None:
+def test_every_slice_is_served_again_after_the_list_shrank_to_one_or_none(left: int) -> None:
     world = big_world(20)
     world.run(4)
-    world.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(server(s) for s in range(1, left + 1))))
+    world.send(EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(server(s) for s in range(1, left + 1))))
     world.run(8)
-    world.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 3, tuple(server(s) for s in range(1, 21))))
+    world.send(EndpointListUpdate(ListUpdateType.SNAPSHOT, 3, tuple(server(s) for s in range(1, 21))))
     world.run(20)
-    assert all(world.open(n) for n in world.heat)
+    assert all(world.admitted_weights(n) for n in world.request_rates)
 
 
-def test_site_without_proxies_is_planned_for_all_the_same() -> None:
+def test_tables_are_planned_without_proxies() -> None:
     world = World(proxy_count=0)
     world.run(5)
-    world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     assert all(1 not in t for t in world.tables.values())
 
 
-def test_capacity_is_not_learned_from_the_first_of_many_reports() -> None:
+def test_capacity_is_not_learned_from_the_first_report_after_a_revocation() -> None:
     """After a start only some servers have been heard of; what they answered is not the whole."""
     world = big_world(40)
     world.run(12)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -77,7 +77,7 @@
                 self.tell(ServerLoadReport(of, s, 20, round(20 * share), 0.05, 0.5, ()))
 
 
-def test_a_lost_zone_spills_up_to_the_stated_limit_and_the_rest_is_told() -> None:
+def test_load_of_a_lost_zone_spills_over_up_to_the_configured_limit() -> None:
     plan = Plan(spill=0.5)
     plan.run(60)
     plan.zone(0, EndpointStatus.REMOVED)
@@ -91,7 +91,7 @@
     assert lost.unplaced_fraction == pytest.approx(0.5, abs=0.03)
 
 
-def test_a_first_return_grows_while_it_is_stood_and_goes_back_when_not() -> None:
+def test_first_recovery_advances_while_load_is_low_and_goes_back_when_high() -> None:
     plan = Plan()
     plan.run(20)
     plan.zone(0, EndpointStatus.REMOVED)
@@ -115,7 +115,7 @@
     assert plan.phase(0) == ZonePhase.HEALTHY and set(plan.run(1).values()) == {1.0}
 
 
-def test_cold_servers_are_left_to_the_module_and_a_return_ends_when_they_are_warm() -> None:
+def test_warming_servers_are_not_limited_and_recovery_ends_when_they_are_warm() -> None:
     plan = Plan()
     plan.run(20)
     plan.zone(0, EndpointStatus.REMOVED)
@@ -126,18 +126,18 @@
     assert plan.phase(0) == ZonePhase.HEALTHY
 
 
-def test_servers_that_are_told_one_by_one_as_restarted_are_cold_before_the_module_has_seen_it() -> None:
+def test_restarted_servers_count_as_warming_before_the_director_knows_them() -> None:
     """Asking the module would take them for warm, and hold them at the start of the ramp in an overload."""
     world = eight(Zoned)
     world.zone(0, EndpointStatus.REMOVED)
     world.run(12)
     for s in (2, 4, 6, 8):
-        world.tell(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(s, started=world.now),)))
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(s, started=world.now),)))
         assert world.director.plan.capacity_limits[s] == 1.0
         world.run(0.25)
 
 
-def test_a_return_goes_on_where_all_are_as_full() -> None:
+def test_recovery_advances_when_other_zones_are_as_loaded() -> None:
     plan = Plan()
     plan.run(20)
     plan.zone(0, EndpointStatus.REMOVED)
@@ -148,7 +148,7 @@
     assert plan.phase(0) == ZonePhase.HEALTHY
 
 
-def test_a_server_that_falls_on_return_waits_until_the_rest_is_done() -> None:
+def test_server_lost_during_recovery_waits_for_the_others() -> None:
     plan = Plan()
     plan.run(20)
     plan.zone(0, EndpointStatus.REMOVED)
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("period", [3, 8, 20, 60])
-def test_flaps_cost_few_returns(period: int) -> None:
+def test_flapping_zone_recovers_only_a_few_times(period: int) -> None:
     plan = Plan()
     plan.run(20)
     returns = 0
@@ -186,7 +186,7 @@
     assert plan.phase(0) == ZonePhase.HEALTHY
 
 
-def test_a_hold_is_not_ended_by_the_list() -> None:
+def test_hold_down_is_not_ended_by_the_endpoint_list() -> None:
     plan = Plan()
     plan.run(20)
     for _ in range(2):
@@ -199,7 +199,7 @@
     assert plan.phase(0) == ZonePhase.RECOVERING
 
 
-def test_a_deploy_is_no_loss() -> None:
+def test_rolling_deploy_is_no_loss() -> None:
     plan = Plan()
     plan.run(20)
     for s in (2, 4, 6):
@@ -210,7 +210,7 @@
     assert set(plan.run(1).values()) == {1.0}
 
 
-def test_silent_servers_are_a_loss_unless_all_zones_are_silent() -> None:
+def test_unresponsive_servers_are_a_loss_unless_in_all_zones() -> None:
     plan = Plan()
     plan.run(20)
     plan.view |= {s: ServerHealth(False, None) for s in SERVERS if ZONE[s] == 0}
@@ -231,9 +231,7 @@
         ({"w00": 0.6, "w11": 0.6, "w01": 0.6, "w10": 0.6}, ZonePhase.HEALTHY, ""),  # a common slowdown
     ],
 )
-def test_a_bad_way_is_told_from_a_lost_zone_and_nothing_is_moved(
-    ways: dict[str, float], phase: str, cause: str
-) -> None:
+def test_path_fault_is_reported_and_limits_nothing(ways: dict[str, float], phase: str, cause: str) -> None:
     plan = Plan()
     plan.run(20)
     for _ in range(8):
@@ -243,7 +241,7 @@
     assert set(bounds.values()) == {1.0}
 
 
-def test_reports_that_stop_are_told_from_a_loss() -> None:
+def test_missing_reports_are_no_loss() -> None:
     plan = Plan()
     plan.tell(ProxyConnected(1, 0, 1.0, True), ProxyConnected(2, 1, 1.0, True))
     for _ in range(20):
@@ -253,7 +251,7 @@
     assert plan.plan.states()[0].cause == "reports" and set(bounds.values()) == {1.0}
 
 
-def test_two_of_three_zones_lost_one_after_the_other() -> None:
+def test_second_lost_zone_does_not_raise_the_limit() -> None:
     plan = Plan(spill=0.5, zones=3)
     plan.tell(EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(entry(s, zone=s % 3) for s in SERVERS)))
     plan.run(30)
@@ -266,7 +264,7 @@
     assert list(bounds.values()) == pytest.approx([0.75 / OVERLOAD_UTILIZATION] * len(bounds), abs=0.01)
 
 
-def test_the_hand_drains_by_steps_holds_at_once_and_returns_at_its_pace() -> None:
+def test_operator_drains_in_steps_holds_at_once_and_returns_at_a_pace() -> None:
     plan = Plan()
     plan.run(20)
     plan.tell(ZoneCommandReceived(0, ZoneOperation.DRAIN, 2.0))
@@ -293,7 +291,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(STEPS)
-def test_whatever_happens_a_return_stays_within_its_steps_and_a_hold_is_kept(
+def test_recovery_stays_within_its_steps_and_holds_last_for_random_events(
     steps: list[tuple[str, int, int]],
 ) -> None:
     plan = Plan()
@@ -333,7 +331,7 @@
             last = bounds
 
 
-def test_between_lost_and_back_nothing_flips() -> None:
+def test_phase_does_not_flip_between_lost_and_regained() -> None:
     plan = Plan()
     plan.run(20)
     plan.zone(0, EndpointStatus.REMOVED)
@@ -357,7 +355,7 @@
     def zone(self, zone: int, state: EndpointStatus) -> None:
         """Struck from the list or told again; its servers go on running all the time."""
         ids = [s for s in self.capacity if s % 2 == zone]
-        self.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, state) for s in ids)))
+        self.send(EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, state) for s in ids)))
 
     def waves(self, since: float) -> list[int]:
         """New lines of each batch of orders."""
@@ -375,18 +373,18 @@
 
 def eight(make: type[Zoned], **changes: object) -> Zoned:
     world = make(servers=SERVERS, slice_count=64, proxy_count=3, **changes)
-    world.heat = dict.fromkeys(world.heat, 1.2)  # 0.32 of the capacity
+    world.request_rates = dict.fromkeys(world.request_rates, 1.2)  # 0.32 of the capacity
     world.run(30)
     return world
 
 
-def test_a_warm_return_comes_in_smaller_waves_than_without_the_plan() -> None:
+def test_recovery_of_warm_servers_moves_fewer_slices_at_once_than_without_the_plan() -> None:
     largest = {}
     for make in (Plain, Zoned):
         world = eight(make)
         world.zone(0, EndpointStatus.REMOVED)
         world.run(12)
-        assert all(world.open(n) for n in world.tables)
+        assert all(world.admitted_weights(n) for n in world.tables)
         began = world.now
         world.zone(0, EndpointStatus.READY)
         world.run(60)
@@ -396,51 +394,51 @@
     assert largest[Zoned] < 0.7 * largest[Plain], largest
 
 
-def test_a_drain_by_hand_empties_a_zone_as_far_as_there_is_room_and_never_a_slice() -> None:
+def test_operator_drain_empties_a_zone_and_no_slice() -> None:
     world = eight(Zoned)
-    world.tell(ZoneCommandReceived(0, ZoneOperation.DRAIN, 1.0))
+    world.send(ZoneCommandReceived(0, ZoneOperation.DRAIN, 1.0))
     world.run(30)
-    assert all(s % 2 for n in world.tables for s in world.main(n))
-    assert all(world.open(n) for n in world.tables)
-    world.tell(
+    assert all(s % 2 for n in world.tables for s in world.main_servers(n))
+    assert all(world.admitted_weights(n) for n in world.tables)
+    world.send(
         ZoneCommandReceived(1, ZoneOperation.HOLD, 1.0)
     )  # now all are out: tables stay, and new ones are filled
     world.tables[3] = {}
-    world.tell(OwnershipChanged(3, False), OwnershipChanged(3, True))
+    world.send(OwnershipChanged(3, False), OwnershipChanged(3, True))
     world.run(10)
-    assert all(world.open(n) for n in world.tables)
+    assert all(world.admitted_weights(n) for n in world.tables)
 
 
-def test_a_full_zone_is_not_pushed_over_by_a_drain() -> None:
+def test_drain_does_not_overload_a_full_zone() -> None:
     world = eight(Zoned)
-    world.heat = dict.fromkeys(world.heat, 3.2)  # 0.85: one zone can't carry both
+    world.request_rates = dict.fromkeys(world.request_rates, 3.2)  # 0.85: one zone can't carry both
     world.run(20)
-    world.tell(ZoneCommandReceived(0, ZoneOperation.DRAIN, 1.0))
+    world.send(ZoneCommandReceived(0, ZoneOperation.DRAIN, 1.0))
     world.run(40)
     for s in SERVERS:
         assert world.load(s) <= 1.1 * world.capacity[s]
 
 
-def test_with_tiers_a_lost_servers_slices_stay_in_its_zone() -> None:
+def test_slices_of_a_lost_server_stay_in_its_zone_with_zone_distances() -> None:
     spread = {}
     for tiers in ((), ((0, 1), (1, 0))):
         world = eight(Zoned, zone_distances=tiers)
-        mine = [n for n in world.tables if world.main(n) == {2}]
-        world.tell(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
+        mine = [n for n in world.tables if world.main_servers(n) == {2}]
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
         world.run(3)
-        spread[bool(tiers)] = {s % 2 for n in mine for s in world.main(n)}
+        spread[bool(tiers)] = {s % 2 for n in mine for s in world.main_servers(n)}
     assert spread == {False: {0, 1}, True: {0}}
 
 
-def test_those_left_use_the_part_of_a_dead_assigner() -> None:
+def test_remaining_assigners_use_the_quota_of_a_dead_one() -> None:
     """Server 2 is too full; how much room others have for its slices depends on how many take from it."""
     moved = {}
     for count in (4, 1):
         world = Plain(
             servers=SERVERS, slice_count=64, proxy_count=3, assigner_count=4, load_value_names=("busy", "rif")
         )
-        world.heat = {n: 1.2 if world.tables[n] != {2: 1.0} else 4.5 for n in world.heat}
-        world.tell(AssignerCountChanged(count))
+        world.request_rates = {n: 1.2 if world.tables[n] != {2: 1.0} else 4.5 for n in world.request_rates}
+        world.send(AssignerCountChanged(count))
         world.run(20)
-        moved[count] = sum(2 not in world.main(n) for n in world.tables if n % 8 == 1)
+        moved[count] = sum(2 not in world.main_servers(n) for n in world.tables if n % 8 == 1)
     assert moved[1] > moved[4]
--- a/tests/world.py
+++ b/tests/world.py
@@ -84,15 +84,15 @@
         self.now = START
         self.tables: dict[int, dict[int, float]] = {}
         self.log: list[tuple[float, list[Action]]] = []
-        self.heat = dict.fromkeys(range(self.settings.slice_count), 5.0)
+        self.request_rates = dict.fromkeys(range(self.settings.slice_count), 5.0)
         self.capacity = dict.fromkeys(servers, 30.0)
-        self.mute: set[int] = set()
-        self.silent_reports = False
+        self.failing_servers: set[int] = set()
+        self.reports_stopped = False
         self.withdrawn: set[int] = set()
-        self.pace = 1.0  # the channel's real speed against the stated one
+        self.channel_speed = 1.0  # the channel's real speed against the stated one
         self.busy_until = START
-        self.under_way: list[tuple[float, int]] = []  # when a marked message will be applied by all
-        self.most_waiting = 0.0
+        self.pending_checkpoints: list[tuple[float, int]] = []  # when a marked message will be applied by all
+        self.max_waiting_entries = 0.0
         events: list[Event] = [
             EndpointListUpdate(ListUpdateType.CACHED, 1, tuple(server(s) for s in servers))
         ]
@@ -101,20 +101,22 @@
             home = servers[number % len(servers)]
             events += [OwnershipChanged(number, True), StoredWeight(number, home, 1.0)]
             self.tables[number] = {home: 1.0}
-        self.tell(*events)
+        self.send(*events)
 
-    def tell(self, *events: Event) -> list[Action]:
+    def send(self, *events: Event) -> list[Action]:
         actions: list[Action] = self.director.handle(self.now, events)
         self.log.append((self.now, actions))
         lines = sum(isinstance(a, SetWeight | SetAdmission | SetWithdrawn | SendCheckpoint) for a in actions)
         if lines:
-            speed = self.settings.channel_entries_per_s * self.pace
+            speed = self.settings.channel_entries_per_s * self.channel_speed
             sent = (lines + self.settings.channel_header_entries) * self.settings.proxy_count
             self.busy_until = max(self.busy_until, self.now) + sent / speed
-            self.most_waiting = max(self.most_waiting, (self.busy_until - self.now) * speed)
+            self.max_waiting_entries = max(self.max_waiting_entries, (self.busy_until - self.now) * speed)
         for action in actions:
             if isinstance(action, SendCheckpoint):
-                self.under_way.append((self.busy_until + self.settings.channel_delay_s, action.checkpoint_id))
+                self.pending_checkpoints.append(
+                    (self.busy_until + self.settings.channel_delay_s, action.checkpoint_id)
+                )
             if isinstance(action, SetWithdrawn):
                 (self.withdrawn.add if action.withdrawn else self.withdrawn.discard)(action.server_id)
             if isinstance(action, SetWeight):
@@ -130,9 +132,9 @@
     def load(self, sid: int) -> float:
         total = 0.0
         for number in self.tables:
-            table = self.open(number)
+            table = self.admitted_weights(number)
             if sid in table:
-                total += self.heat[number] * table[sid] / sum(table.values())
+                total += self.request_rates[number] * table[sid] / sum(table.values())
         return total
 
     def run(self, seconds: float) -> None:
@@ -140,36 +142,36 @@
         for step in range(round(seconds * 4)):
             self.now += 0.25
             events: list[Event] = [TimerFired(1)]
-            if step % 2 == 0 and not self.silent_reports:
+            if step % 2 == 0 and not self.reports_stopped:
                 events = self.reports() + events
-            for due, number in [(d, n) for d, n in self.under_way if d <= self.now]:
-                self.under_way.remove((due, number))
+            for due, number in [(d, n) for d, n in self.pending_checkpoints if d <= self.now]:
+                self.pending_checkpoints.remove((due, number))
                 events += [CheckpointAcknowledged(p, number, 0.0) for p in range(self.settings.proxy_count)]
-            self.tell(*events)
+            self.send(*events)
 
     def reports(self) -> list[Event]:
         events: list[Event] = []
-        for number, rate in sorted(self.heat.items()):
+        for number, rate in sorted(self.request_rates.items()):
             events.append(SliceLoadReport(number, 0, round(rate * 10), 0, 10.0))
         for sid, capacity in sorted(self.capacity.items()):
             rate = self.load(sid)
             tries = round(rate * 10)
             if tries == 0:
                 continue
-            good = 0 if sid in self.mute else round(min(rate, capacity) * 10)
-            values = () if sid in self.mute else (min(1.0, rate / capacity),)
+            good = 0 if sid in self.failing_servers else round(min(rate, capacity) * 10)
+            values = () if sid in self.failing_servers else (min(1.0, rate / capacity),)
             events.append(ServerLoadReport(0, sid, tries, tries - good, 0.2, 10.0, values))
         return events
 
-    def open(self, number: int) -> dict[int, float]:
+    def admitted_weights(self, number: int) -> dict[int, float]:
         """A slice's lines without those of servers that are shut out."""
         return {s: w for s, w in self.tables[number].items() if s not in self.withdrawn}
 
-    def main(self, number: int) -> set[int]:
+    def main_servers(self, number: int) -> set[int]:
         """The servers that carry a slice, standby lines left out."""
-        table = self.open(number)
+        table = self.admitted_weights(number)
         top = max(table.values(), default=0.0)
         return {s for s, w in table.items() if w > top / 2}
 
-    def moves(self) -> int:
+    def count_moves(self) -> int:
         return sum(isinstance(a, SetWeight) and a.weight >= 1 for _, acts in self.log for a in acts)
