--- a/tests/test_several_assigners.py
+++ b/tests/test_several_assigners.py
@@ -96,7 +96,7 @@
 
 
 def test_idle_fleet_without_load_reports_sheds_no_load() -> None:
-    """No load reports, and most servers hold no slice of one assigner; the start brings requests before responses."""
+    """Most servers have no slice of one assigner; at the start requests come before responses."""
     fleet = Fleet(
         request_rate=3.5, servers=range(1, 41), load_value_names=(), admission_mode=AdmissionMode.FRACTION
     )
