--- a/puffintide/assigner/operator_requests.py
+++ b/puffintide/assigner/operator_requests.py
@@ -18,7 +18,7 @@
     statuses = [
         m.ZoneStatus(
             state.zone,
-            state.phase,
+            state.phase.value,
             state.cause,
             round(state.available_fraction, DECIMALS),
             round(state.min_capacity_fraction, DECIMALS),
