--- a/puffintide/assigner/health_checks.py
+++ b/puffintide/assigner/health_checks.py
@@ -28,12 +28,12 @@
     """How health checks are made.
 
     Attributes:
-        make_greeting: Returns the Hello of a connection.
+        greeting_factory: Returns the Hello of a connection.
         timeout_s: After which a check has failed.
         tls: Certificates; None for plain TCP.
     """
 
-    make_greeting: Callable[[], m.Hello]
+    greeting_factory: Callable[[], m.Hello]
     timeout_s: float
     tls: TlsContextFactory | None
 
@@ -80,7 +80,7 @@
         return StreamClient(
             self.reactor,
             self.address,
-            self.options.make_greeting,
+            self.options.greeting_factory,
             self._on_message,
             self._on_connection_lost,
             reconnect=False,
--- a/puffintide/protocol/client.py
+++ b/puffintide/protocol/client.py
@@ -31,7 +31,7 @@
 
     def buildProtocol(self, _addr: IAddress | None) -> Stream:
         client = self.client
-        session = Session(client.make_greeting(), client.heartbeat_interval_s, client.heartbeat_timeout_s)
+        session = Session(client.greeting_factory(), client.heartbeat_interval_s, client.heartbeat_timeout_s)
         return Stream(client.reactor, session, client.on_message, client.stream_lost)
 
     def clientConnectionFailed(self, _connector: Any, reason: Failure) -> None:
@@ -44,7 +44,7 @@
     Args:
         reactor: For connections and timers.
         address: HOST:PORT.
-        make_greeting: Returns this end's Hello, once for each connection.
+        greeting_factory: Returns this end's Hello, once for each connection.
         on_message: As of Stream.
         on_lost: Called with the reason for each stream that was lost, and each connection that failed.
         jitter: Returns a number from 0 to 1 for each backoff, which is then 0.5 to 1.5 times as long.
@@ -60,7 +60,7 @@
         self,
         reactor: ConnectingReactor,
         address: str,
-        make_greeting: Callable[[], Greeting],
+        greeting_factory: Callable[[], Greeting],
         on_message: MessageHandler,
         on_lost: Callable[[str], None] | None = None,
         jitter: Callable[[], float] = lambda: 0.5,
@@ -74,7 +74,7 @@
         self.reactor = reactor
         self.host, _, port = address.rpartition(":")
         self.port = int(port)
-        self.make_greeting = make_greeting
+        self.greeting_factory = greeting_factory
         self.on_message = on_message
         self.on_lost = on_lost
         self.jitter = jitter
--- a/puffintide/protocol/session.py
+++ b/puffintide/protocol/session.py
@@ -106,9 +106,9 @@
         Raises:
             HeartbeatTimeoutError: The peer has been silent for heartbeat_timeout_s.
         """
-        silent_s = now_s - self.last_received_s
-        if silent_s > self.heartbeat_timeout_s:
-            raise HeartbeatTimeoutError(f"peer silent for {silent_s:.1f} s")
+        unresponsive_s = now_s - self.last_received_s
+        if unresponsive_s > self.heartbeat_timeout_s:
+            raise HeartbeatTimeoutError(f"peer silent for {unresponsive_s:.1f} s")
         last_activity_s = max(self.last_received_s, self.last_ping_s)
         if self.peer_greeting is not None and now_s - last_activity_s >= self.heartbeat_interval_s:
             self.last_ping_s = now_s
--- a/puffintide/protocol/stream.py
+++ b/puffintide/protocol/stream.py
@@ -194,7 +194,7 @@
 
     Args:
         clock: For heartbeats.
-        make_greeting: Returns this end's Welcome, once for each connection.
+        greeting_factory: Returns this end's Welcome, once for each connection.
         on_message: As of Stream.
         on_lost: As of Stream.
         check_peer: Decides whether the peer's Hello is accepted.
@@ -207,7 +207,7 @@
     def __init__(
         self,
         clock: Clock,
-        make_greeting: Callable[[], Greeting],
+        greeting_factory: Callable[[], Greeting],
         on_message: MessageHandler,
         on_lost: MessageHandler | None = None,
         check_peer: PeerCheck = accept_any_peer,
@@ -215,7 +215,7 @@
         heartbeat_timeout_s: float = HEARTBEAT_TIMEOUT_S,
     ) -> None:
         self.clock = clock
-        self.make_greeting = make_greeting
+        self.greeting_factory = greeting_factory
         self.on_message = on_message
         self.on_lost = on_lost
         self.check_peer = check_peer
@@ -225,6 +225,6 @@
     def buildProtocol(self, _addr: IAddress | None) -> Stream:
         """Makes the stream of one connection."""
         session = Session(
-            self.make_greeting(), self.heartbeat_interval_s, self.heartbeat_timeout_s, self.check_peer
+            self.greeting_factory(), self.heartbeat_interval_s, self.heartbeat_timeout_s, self.check_peer
         )
         return Stream(self.clock, session, self.on_message, self.on_lost)
--- a/puffintide/protocol/validation.py
+++ b/puffintide/protocol/validation.py
@@ -103,8 +103,8 @@
             return f"server {server.server_id}: {counts}, {latency_s:g} s"
     for usage in report.slices:
         if not (0 <= usage.slice_id < max(1, slice_count) and 0 <= usage.class_index < class_count):
-            place = f"slice {usage.slice_id}, class {usage.class_index}"
-            return f"{place}: there are {slice_count} and {class_count}"
+            subject = f"slice {usage.slice_id}, class {usage.class_index}"
+            return f"{subject}: there are {slice_count} and {class_count}"
         if not 0 <= usage.unanswered <= MAX_COUNT or not 0 <= usage.requests <= MAX_COUNT:
             return f"slice {usage.slice_id}: {usage.unanswered} unanswered of {usage.requests} requests"
     return None
--- a/puffintide/store/commits.py
+++ b/puffintide/store/commits.py
@@ -136,7 +136,7 @@
         changes = self.pending
         self.pending = PendingChanges()
         commands = changes.zone_commands
-        slices = self.ledger.take_changed()
+        slices = self.ledger.pop_changed()
         commit = Commit(
             self.durable.revision + 1,
             self.ledger.highest_token,
--- a/puffintide/store/engine.py
+++ b/puffintide/store/engine.py
@@ -76,7 +76,7 @@
             StoreError: There is no backup.
         """
 
-    def keep_alive(self) -> None:
+    def renew_lease(self) -> None:
         """Renews what the engine has to renew, such as a lease; to be called about once a second.
 
         Raises:
--- a/puffintide/store/etcd/client.py
+++ b/puffintide/store/etcd/client.py
@@ -18,7 +18,7 @@
 PAGE_KEYS = 500  # of one range request
 MAX_MESSAGE_BYTES = 64 << 20
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 
 class TlsFiles(Protocol):
@@ -76,7 +76,7 @@
         self._kv = KVStub(self.channel)  # type: ignore[no-untyped-call]
         self._leases = LeaseStub(self.channel)  # type: ignore[no-untyped-call]
 
-    def _call(self, call: Callable[[], T]) -> T:
+    def _call(self, call: Callable[[], Result]) -> Result:
         """Makes a call; where no member or no leader answers, it is retried at the next member.
 
         A transaction may have been carried out though its response is lost: the caller finds out by what it
@@ -106,13 +106,13 @@
         self._endpoint_index += 1
         self._connect()
 
-    def key(self, place: str) -> bytes:
-        """The full key of a place below the prefix."""
-        return (self.prefix + place).encode()
+    def key(self, name: str) -> bytes:
+        """The full key of a name below the prefix."""
+        return (self.prefix + name).encode()
 
-    def put(self, place: str, value: bytes, lease_id: int = 0) -> pb.RequestOp:
+    def put(self, name: str, value: bytes, lease_id: int = 0) -> pb.RequestOp:
         """An operation that sets a key, which ends with the lease if one is given."""
-        return pb.RequestOp(request_put=pb.PutRequest(key=self.key(place), value=value, lease=lease_id))
+        return pb.RequestOp(request_put=pb.PutRequest(key=self.key(name), value=value, lease=lease_id))
 
     def delete_range(self, first: str, end: str) -> pb.RequestOp:
         """An operation that deletes the keys from first up to end."""
@@ -123,16 +123,14 @@
     def transaction(
         self, compare: list[pb.Compare], operations: list[pb.RequestOp], read_on_failure: tuple[str, ...]
     ) -> pb.TxnResponse:
-        """Carries out operations if all comparisons hold, and otherwise reads some places. Raises StoreError."""
-        reads = [
-            pb.RequestOp(request_range=pb.RangeRequest(key=self.key(place))) for place in read_on_failure
-        ]
+        """Carries out operations if all comparisons hold, and otherwise reads some keys. Raises StoreError."""
+        reads = [pb.RequestOp(request_range=pb.RangeRequest(key=self.key(name))) for name in read_on_failure]
         request = pb.TxnRequest(compare=compare, success=operations, failure=reads)
         response: pb.TxnResponse = self._call(lambda: self._kv.Txn(request, timeout=CALL_TIMEOUT_S))
         return response
 
     def read(self, first: str, end: str) -> list[tuple[str, pb.KeyValue]]:
-        """Reads all places from first up to end, as of one revision.
+        """Reads all keys from first up to end, as of one revision.
 
         Raises:
             StoreError: The cluster can't be read, or the revision was compacted at every attempt.
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -4,7 +4,7 @@
 that key and the last revision: a process that was paused beyond its lease writes nothing once another has begun.
 
 A commit that fits one transaction is one. A larger one is staged: its rows are put under keys of their own in
-several transactions, then one transaction makes them valid together, and they are moved to their places after that.
+several transactions, then one transaction makes them valid together, and they are moved to their keys after that.
 A reader applies what is staged and valid, so that a commit is there whole or not at all here too.
 """
 
@@ -31,7 +31,7 @@
 from puffintide.store.etcd.rows import (
     COMMAND_PREFIX,
     SLICE_PREFIX,
-    PlacedRow,
+    KeyedRow,
     Row,
     add_to_snapshot,
     decode_chunk,
@@ -71,7 +71,7 @@
     Args:
         endpoints: HOST:PORT of the members.
         name: Of the deployment, below whose prefix all keys are.
-        ttl_s: Of the lease, in whole seconds; keep_alive() is to be called at least every third of it.
+        ttl_s: Of the lease, in whole seconds; renew_lease() is to be called at least every third of it.
         credentials: Of read_credentials; None for no TLS.
     """
 
@@ -86,16 +86,16 @@
         self._holder_revision = 0  # create revision of this process's `holder`; 0: not held
         self._meta = Meta(FORMAT, "", 0, 0)
         self._meta_revision = 0  # mod revision of `meta` in etcd, as last written or read
-        self._staged_rows: list[PlacedRow] = []  # valid, but still to be moved to their places
+        self._staged_rows: list[KeyedRow] = []  # valid, but still to be moved to their keys
 
     def _acquire(self) -> None:
         """Sets the key `holder` under a new lease. Raises StoreInUseError while another process has it."""
         self._lease_id = self.client.grant_lease(self.ttl_s)
-        is_free = pb.Compare(
+        has_no_holder = pb.Compare(
             result=pb.Compare.EQUAL, target=pb.Compare.VERSION, key=self.client.key("holder"), version=0
         )
         put_holder = self.client.put("holder", self._holder_value, self._lease_id)
-        response = self.client.transaction([is_free], [put_holder], ("holder", "meta"))
+        response = self.client.transaction([has_no_holder], [put_holder], ("holder", "meta"))
         if response.succeeded:
             self._holder_revision = response.header.revision
             return
@@ -132,7 +132,7 @@
 
         Args:
             operations: To carry out together.
-            is_own_meta: Whether a `meta` found in place of the compared one is what the operations set.
+            is_own_meta: Whether a `meta` found instead of the compared one is what the operations set.
 
         Raises:
             StoreOvertakenError: Another process holds the store, or has written.
@@ -154,7 +154,7 @@
                 raise StoreOvertakenError(f"{self.prefix} in etcd is held by another store")
         raise StoreError(f"{self.prefix} in etcd: the lease runs out again and again")
 
-    def keep_alive(self) -> None:
+    def renew_lease(self) -> None:
         """Renews the lease, or acquires it anew.
 
         Raises:
@@ -181,8 +181,8 @@
             return StoreSnapshot(self._meta.store_id)
         self._read_meta(stored["meta"])
         snapshot = StoreSnapshot(self._meta.store_id, self._meta.revision, self._meta.highest_token)
-        for place, row in sorted(self._read_rows(stored).items()):
-            add_to_snapshot(snapshot, self.prefix, place, row)
+        for name, row in sorted(self._read_rows(stored).items()):
+            add_to_snapshot(snapshot, self.prefix, name, row)
         return snapshot
 
     def _read_meta(self, pair: pb.KeyValue) -> None:
@@ -195,22 +195,22 @@
             raise StoreFormatError(f"{self.prefix}meta: format {self._meta.format} is not {FORMAT}")
 
     def _read_rows(self, stored: dict[str, pb.KeyValue]) -> dict[str, Row]:
-        """The rows in their places, and over them those that are staged and valid."""
+        """The rows at their keys, and over them those that are staged and valid."""
         rows: dict[str, Row] = {}
         try:
-            for place, pair in stored.items():
-                if place.startswith((SLICE_PREFIX, COMMAND_PREFIX)):
-                    rows[place] = decode_row(pair.value)
+            for name, pair in stored.items():
+                if name.startswith((SLICE_PREFIX, COMMAND_PREFIX)):
+                    rows[name] = decode_row(pair.value)
             self._staged_rows = []
             for chunk_number in range(self._meta.staged_chunks):
-                place = self._stage_place(self._meta.revision, chunk_number)
-                self._staged_rows += decode_chunk(stored[place].value)
+                name = self._staging_key(self._meta.revision, chunk_number)
+                self._staged_rows += decode_chunk(stored[name].value)
         except (msgspec.DecodeError, KeyError) as error:
             raise StoreDamagedError(f"{self.prefix}: {error}") from error
         return rows | dict(self._staged_rows)
 
     @staticmethod
-    def _stage_place(revision: int, chunk_number: int) -> str:
+    def _staging_key(revision: int, chunk_number: int) -> str:
         return f"stage/{revision}/{chunk_number}"
 
     def _write_meta(self, meta: Meta, operations: list[pb.RequestOp]) -> None:
@@ -222,8 +222,8 @@
             self._meta_revision = response.header.revision
         self._meta = meta
 
-    def _put_rows(self, rows: list[PlacedRow]) -> list[pb.RequestOp]:
-        return [self.client.put(place, encode_row(row)) for place, row in rows]
+    def _put_rows(self, rows: list[KeyedRow]) -> list[pb.RequestOp]:
+        return [self.client.put(name, encode_row(row)) for name, row in rows]
 
     def commit(self, commit: Commit) -> None:
         """Writes a commit, staged if it does not fit one transaction.
@@ -241,8 +241,8 @@
             return
         chunks = list(split_into_chunks(rows))
         for chunk_number, chunk in enumerate(chunks):
-            place = self._stage_place(commit.revision, chunk_number)
-            self._fenced_transaction([self.client.put(place, encode_chunk(chunk))])
+            name = self._staging_key(commit.revision, chunk_number)
+            self._fenced_transaction([self.client.put(name, encode_chunk(chunk))])
         self._write_meta(self._meta_of(commit, len(chunks)), [])
         self._staged_rows = rows
 
@@ -250,7 +250,7 @@
         return Meta(FORMAT, self._meta.store_id, commit.revision, commit.highest_token, staged_chunks)
 
     def _move_staged_rows(self) -> None:
-        """Moves staged rows to their places; they are valid already, so this may be left half done."""
+        """Moves staged rows to their keys; they are valid already, so this may be left half done."""
         if not self._staged_rows:
             return
         for chunk in split_into_chunks(self._staged_rows):
--- a/puffintide/store/etcd/rows.py
+++ b/puffintide/store/etcd/rows.py
@@ -13,7 +13,7 @@
 
 MAX_TRANSACTION_ROWS = 100  # etcd takes 128 operations by default
 MAX_TRANSACTION_BYTES = 1 << 20  # etcd takes requests of 1.5 MiB by default
-ROW_OVERHEAD_BYTES = 20  # of a staged row, besides place and body
+ROW_OVERHEAD_BYTES = 20  # of a staged row, besides name and body
 
 SLICE_PREFIX = "slice/"
 COMMAND_PREFIX = "hand/"
@@ -27,17 +27,17 @@
     body: bytes
 
 
-PlacedRow = tuple[str, Row]  # a key below the deployment's prefix, and its row
+KeyedRow = tuple[str, Row]  # a key below the deployment's prefix, and its row
 
 _row_decoder = msgspec.msgpack.Decoder(Row)
-_chunk_decoder = msgspec.msgpack.Decoder(list[PlacedRow])
+_chunk_decoder = msgspec.msgpack.Decoder(list[KeyedRow])
 _slice_decoder = msgspec.msgpack.Decoder(StoredSlice)
 _command_decoder = msgspec.msgpack.Decoder(ZoneCommand)
 
 
-def checksum(place: str, revision: int, body: bytes) -> int:
-    """xxh64 of a row and its place."""
-    return xxhash.xxh64_intdigest(b"%s:%d:" % (place.encode(), revision) + body)
+def checksum(name: str, revision: int, body: bytes) -> int:
+    """xxh64 of a row and its name."""
+    return xxhash.xxh64_intdigest(b"%s:%d:" % (name.encode(), revision) + body)
 
 
 def encode_row(row: Row) -> bytes:
@@ -50,17 +50,17 @@
     return _row_decoder.decode(value)
 
 
-def encode_chunk(chunk: list[PlacedRow]) -> bytes:
+def encode_chunk(chunk: list[KeyedRow]) -> bytes:
     """The value of a chunk of staged rows."""
     return msgspec.msgpack.encode(chunk)
 
 
-def decode_chunk(value: bytes) -> list[PlacedRow]:
+def decode_chunk(value: bytes) -> list[KeyedRow]:
     """The staged rows of a chunk. Raises msgspec.DecodeError."""
     return _chunk_decoder.decode(value)
 
 
-def rows_of_commit(commit: Commit) -> list[PlacedRow]:
+def rows_of_commit(commit: Commit) -> list[KeyedRow]:
     """The rows that a commit sets."""
     bodies = [
         (f"{SLICE_PREFIX}{stored.slice_id:07d}", msgspec.msgpack.encode(stored)) for stored in commit.slices
@@ -70,48 +70,48 @@
         for command in commit.zone_commands
     ]
     return [
-        (place, Row(commit.revision, checksum(place, commit.revision, body), body)) for place, body in bodies
+        (name, Row(commit.revision, checksum(name, commit.revision, body), body)) for name, body in bodies
     ]
 
 
-def fits_transaction(rows: list[PlacedRow]) -> bool:
+def fits_transaction(rows: list[KeyedRow]) -> bool:
     """Whether rows can be written by one transaction."""
     total_bytes = sum(len(row.body) for _, row in rows)
     return len(rows) <= MAX_TRANSACTION_ROWS and total_bytes <= MAX_TRANSACTION_BYTES
 
 
-def split_into_chunks(rows: list[PlacedRow]) -> Iterator[list[PlacedRow]]:
+def split_into_chunks(rows: list[KeyedRow]) -> Iterator[list[KeyedRow]]:
     """Divides rows into chunks that each fit a transaction."""
-    chunk: list[PlacedRow] = []
+    chunk: list[KeyedRow] = []
     size = 0
-    for place, row in rows:
+    for name, row in rows:
         full = len(chunk) >= MAX_TRANSACTION_ROWS or size + len(row.body) > MAX_TRANSACTION_BYTES // 2
         if chunk and full:
             yield chunk
             chunk = []
             size = 0
-        chunk.append((place, row))
-        size += len(row.body) + len(place) + ROW_OVERHEAD_BYTES
+        chunk.append((name, row))
+        size += len(row.body) + len(name) + ROW_OVERHEAD_BYTES
     if chunk:
         yield chunk
 
 
-def add_to_snapshot(snapshot: StoreSnapshot, prefix: str, place: str, row: Row) -> None:
+def add_to_snapshot(snapshot: StoreSnapshot, prefix: str, name: str, row: Row) -> None:
     """Checks and decodes a row into a snapshot.
 
     Args:
         snapshot: Takes the row's content.
         prefix: Of the deployment's keys, for errors.
-        place: Key of the row below the prefix.
+        name: Key of the row below the prefix.
         row: As stored.
 
     Raises:
         StoreDamagedError: The checksum does not fit.
     """
-    if row.checksum != checksum(place, row.revision, row.body):
-        raise StoreDamagedError(f"{prefix}{place}: checksum of the row does not fit")
-    number = int(place.split("/")[1])
-    if place.startswith(SLICE_PREFIX):
+    if row.checksum != checksum(name, row.revision, row.body):
+        raise StoreDamagedError(f"{prefix}{name}: checksum of the row does not fit")
+    number = int(name.split("/")[1])
+    if name.startswith(SLICE_PREFIX):
         snapshot.slices[number] = _slice_decoder.decode(row.body)
         snapshot.slice_revisions[number] = row.revision
     else:
--- a/puffintide/store/initial_tables.py
+++ b/puffintide/store/initial_tables.py
@@ -21,20 +21,20 @@
         raise TableFileError(f"{path}: {error}") from error
     tables: dict[int, list[TableEntry]] = {}
     for line_number, line in enumerate(text.splitlines(), 1):
-        place = f"{path}:{line_number}"
-        slice_id, entry = _parse_line(line, place)
+        location = f"{path}:{line_number}"
+        slice_id, entry = _parse_line(line, location)
         if not 0 <= slice_id < slice_count:
-            raise TableFileError(f"{place}: slice {slice_id} is not among the {slice_count}")
+            raise TableFileError(f"{location}: slice {slice_id} is not among the {slice_count}")
         if not entry.weight > 0:
-            raise TableFileError(f"{place}: weight {entry.weight} is not above 0")
+            raise TableFileError(f"{location}: weight {entry.weight} is not above 0")
         table = tables.setdefault(slice_id, [])
         if any(known.server_id == entry.server_id for known in table):
-            raise TableFileError(f"{place}: server {entry.server_id} is named twice for slice {slice_id}")
+            raise TableFileError(f"{location}: server {entry.server_id} is named twice for slice {slice_id}")
         table.append(entry)
     return tables
 
 
-def _parse_line(line: str, place: str) -> tuple[int, TableEntry]:
+def _parse_line(line: str, location: str) -> tuple[int, TableEntry]:
     try:
         row = json.loads(line)
         slice_id = int(row["slice"])
@@ -42,4 +42,4 @@
         weight = float(row.get("weight", 1.0))
         return slice_id, TableEntry(server_id, weight, str(row.get("address", "")))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise TableFileError(f"{place}: not a table's line: {error!r}") from error
+        raise TableFileError(f"{location}: not a table's line: {error!r}") from error
--- a/puffintide/store/memory.py
+++ b/puffintide/store/memory.py
@@ -23,7 +23,7 @@
         """Raises BackupError, always."""
         raise BackupError(f"{path}: a store in memory has nothing to back up")
 
-    def keep_alive(self) -> None:
+    def renew_lease(self) -> None:
         """Does nothing."""
 
     def close(self) -> None:
--- a/puffintide/store/operator_commands.py
+++ b/puffintide/store/operator_commands.py
@@ -61,8 +61,8 @@
 
     def _problem(self, command: m.ZoneCommand) -> str | None:
         if not 0 <= command.zone < self.zone_count or command.operation not in ZONE_OPERATIONS:
-            place = f"{command.operation!r} of zone {command.zone}"
-            return f"{place}: there are {self.zone_count} zones; drain, hold or return"
+            subject = f"{command.operation!r} of zone {command.zone}"
+            return f"{subject}: there are {self.zone_count} zones; drain, hold or return"
         if not MIN_PACE <= command.pace <= MAX_PACE:
             return f"pace {command.pace:g} is not from {MIN_PACE:g} to {MAX_PACE:g}"
         return None
--- a/puffintide/store/ownership.py
+++ b/puffintide/store/ownership.py
@@ -122,7 +122,7 @@
             return []
         transfers: list[OwnershipTransfer] = []
         for slice_id, record in sorted(self.slices.items()):
-            new_owner_id = self._due_owner(now_s, slice_id, record)
+            new_owner_id = self._next_owner(now_s, slice_id, record)
             if new_owner_id is not None:
                 transfers.append(self._grant(slice_id, new_owner_id))
         return transfers
@@ -133,7 +133,7 @@
         self._transfer_credit = min(limit, self._transfer_credit + self.max_transfers_per_s * elapsed_s)
         self._credited_at_s = now_s
 
-    def _due_owner(self, now_s: float, slice_id: int, record: SliceRecord) -> int | None:
+    def _next_owner(self, now_s: float, slice_id: int, record: SliceRecord) -> int | None:
         """The assigner that is to own the slice in place of its present owner; a return home uses up credit."""
         home = self.home_of(slice_id)
         if record.owner_id in self.connected:
@@ -218,7 +218,7 @@
             record.incarnation,
         )
 
-    def take_changed(self) -> tuple[StoredSlice, ...]:
+    def pop_changed(self) -> tuple[StoredSlice, ...]:
         """The slices changed since this was last called."""
         changed = tuple(self.stored_slice(slice_id) for slice_id in sorted(self.changed))
         self.changed = set()
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -28,7 +28,7 @@
 from puffintide.store.sessions import Sessions
 
 REASSIGN_INTERVAL_S = 0.1
-KEEP_ALIVE_INTERVAL_S = 1.0
+LEASE_RENEWAL_INTERVAL_S = 1.0
 STATS_INTERVAL_S = 10.0
 MAX_STREAMS = 5000
 
@@ -102,7 +102,7 @@
         """Starts the timers."""
         self._reassign()
         self._schedule("stats", STATS_INTERVAL_S, self._log_stats)
-        self._schedule("keep_alive", KEEP_ALIVE_INTERVAL_S, self._keep_alive)
+        self._schedule("lease_renewal", LEASE_RENEWAL_INTERVAL_S, self._renew_lease)
 
     def stop(self) -> None:
         """Cancels all timers. The engine is closed by whoever opened it."""
@@ -120,10 +120,10 @@
         if not self._stopped:
             self._timers[name] = self.reactor.callLater(delay_s, fire)
 
-    def _keep_alive(self) -> None:
-        done = self.run(self.engine.keep_alive)
-        done.addErrback(self._log_failure, "keep_alive_failed")
-        done.addBoth(lambda _: self._schedule("keep_alive", KEEP_ALIVE_INTERVAL_S, self._keep_alive))
+    def _renew_lease(self) -> None:
+        done = self.run(self.engine.renew_lease)
+        done.addErrback(self._log_failure, "lease_renewal_failed")
+        done.addBoth(lambda _: self._schedule("lease_renewal", LEASE_RENEWAL_INTERVAL_S, self._renew_lease))
 
     def _commit_failed(self, failure: Failure) -> None:
         self._log_failure(failure, "commit_failed")
--- a/puffintide/store/sqlite.py
+++ b/puffintide/store/sqlite.py
@@ -257,7 +257,7 @@
         self.db.execute("commit")
         return store_id
 
-    def keep_alive(self) -> None:
+    def renew_lease(self) -> None:
         """Does nothing: the lock lasts as long as the process."""
 
     def close(self) -> None:
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -298,7 +298,7 @@
     def backup(self, path: str) -> int:
         raise StoreError("not in tests")
 
-    def keep_alive(self) -> None:
+    def renew_lease(self) -> None:
         pass
 
     def close(self) -> None:
@@ -391,7 +391,7 @@
         }
         book = OwnershipLedger(d.slices, d.assigners, 1.0, d.single_writer)
         book.load_tables(rows)
-        self.engine.commit(Commit(1, 0, book.take_changed()))
+        self.engine.commit(Commit(1, 0, book.pop_changed()))
 
     def _begin(self) -> None:
         config, out, place = self.config, self.out, self.place
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -65,7 +65,7 @@
     assert (snapshot.revision, snapshot.slices, snapshot.zone_commands) == (0, {}, {})
     engine.commit(Commit(1, 5, slices_at(range(30), 1)))
     engine.commit(Commit(2, 6, slices_at(range(3), 2), (m.ZoneCommand(1, "hold", 1.0, "me", 1),)))
-    engine.keep_alive()
+    engine.renew_lease()
     engine.close()
     again = open_engine()
     found = again.load()
@@ -120,7 +120,7 @@
     with pytest.raises(StoreOvertakenError):
         first.commit(Commit(2, 2, slices_at(range(2), 2)))
     with pytest.raises(StoreOvertakenError):
-        first.keep_alive()
+        first.renew_lease()
     second.commit(Commit(2, 3, slices_at(range(1), 3)))
     assert stored_slices(etcd, second)[0].fencing_token == 3
 
@@ -139,7 +139,7 @@
     advance(etcd, 30)
     engine.commit(Commit(1, 1, slices_at(range(2), 1)))
     advance(etcd, 30)
-    engine.keep_alive()
+    engine.renew_lease()
     with pytest.raises(StoreInUseError, match="open in another store"):
         etcd_engine(etcd).load()
 
