--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -20,7 +20,8 @@
 from puffintide.protocol import messages as m
 from puffintide.replication.replica import Replica
 from puffintide.scenarios.results import summarize_service
-from tests.deployment import START, Deployment
+from tests.deployment import Deployment
+from tests.virtual_network import START
 
 LOAD = 95  # a second; the stand-ins can do some 125
 KILL_S, AFTER_S = 10, 10.0
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,23 +1,19 @@
-"""A whole deployment in one process on a virtual clock: the program's real services and stand-ins, joined by
-connections in memory through the days' relay, whose records `puffintide.audit` judges. Seeded; nothing sleeps.
+"""A whole deployment in one process on a virtual clock.
+
+The program's real services and emulators, joined by connections in memory through the recording proxy, whose
+records `puffintide.audit` evaluates. Seeded; nothing sleeps.
 """
 
 from __future__ import annotations
 
 import configparser
 import json
-from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
 from itertools import permutations
 from pathlib import Path
 from typing import Any, cast
 
-import msgspec
-from twisted.internet.error import ConnectionDone, ConnectionRefusedError
-from twisted.internet.task import Clock
-from twisted.python.failure import Failure
-
 from puffintide.assigner.service import AssignerService
 from puffintide.config.loader import read_config
 from puffintide.config.model import Config
@@ -31,13 +27,11 @@
 from puffintide.scenarios.place import Place, at
 from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.tap import Bend, Link, Tap
-from puffintide.store.engine import Commit, StoreSnapshot
-from puffintide.store.errors import StoreError
+from puffintide.store.engine import Commit
 from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.service import StoreService
-
-START = 1000.0
-WINDOW = 64 << 10  # bytes under way to a reader before its writer is told to pause
+from tests.surviving_store_engine import SurvivingStoreEngine, copied
+from tests.virtual_network import START, Party, Reactor
 
 SECTIONS: dict[str, dict[str, Any]] = {
     "day": {"name": "t", "length_s": 20, "seed": 5, "settle_s": 3},
@@ -72,243 +66,6 @@
 }
 
 
-def _failure(kind: Any) -> Any:
-    made: Any = Failure  # both untyped in Twisted
-    return made(kind())
-
-
-class Reactor(Clock):
-    """Time, ports and connections of the made-up machine."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.rightNow = START
-        self.ports: dict[int, tuple[Any, Party]] = {}
-
-    def until(self, when: float) -> None:
-        while self.calls and self.calls[0].getTime() <= when:
-            self.advance(max(0.0, self.calls[0].getTime() - self.rightNow))
-        self.rightNow = max(self.rightNow, when)
-
-
-class Later:
-    """A timer of a process: while that stands still it comes due, and may yet be cancelled by what runs first."""
-
-    def __init__(self, party: Party, delay: float, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        self.party, self.call, self.args, self.open = party, call, args, True
-        self.due: Any = party.net.callLater(delay, party.run, self._go)
-
-    def _go(self) -> None:
-        if self.open:
-            self.open = False
-            self.call(*self.args)
-
-    def active(self) -> bool:
-        return self.open
-
-    def getTime(self) -> float:
-        return float(self.due.getTime())
-
-    def cancel(self) -> None:
-        assert self.open
-        self.open = False
-        if self.due.active():
-            self.due.cancel()
-
-
-class Party:
-    """What one process sees of the reactor. It ends with the process, and stands still with it."""
-
-    def __init__(self, net: Reactor) -> None:
-        self.net, self.alive, self.stopped = net, True, False
-        self.backlog: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
-        self.pipes: list[Pipe] = []
-        self.running = True
-
-    def seconds(self) -> float:
-        return float(self.net.seconds())
-
-    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:
-        return Later(self, delay, call, args)
-
-    def run(self, call: Callable[..., Any], *args: Any) -> None:
-        if self.alive and self.stopped:
-            self.backlog.append((call, args))
-        elif self.alive:
-            call(*args)
-
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Listener:
-        self.net.ports[port] = (factory, self)
-        return Listener(self.net, port)
-
-    def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30.0) -> Connector:
-        return Connector(self, port, factory)
-
-    def connectSSL(self, host: str, port: int, factory: Any, context: Any, timeout: float = 30.0) -> Any:
-        raise NotImplementedError("connections in memory have no TLS")
-
-    def stop(self) -> None:
-        self.running = False
-
-    def kill(self) -> None:
-        self.alive = False
-        self.net.ports = {p: row for p, row in self.net.ports.items() if row[1] is not self}
-        for pipe in self.pipes:
-            pipe.abortConnection()
-
-    def wake(self) -> None:
-        self.stopped = False
-        while self.backlog and self.alive and not self.stopped:
-            call, args = self.backlog.popleft()
-            call(*args)
-
-
-class Listener:
-    def __init__(self, net: Reactor, port: int) -> None:
-        self.net, self.port = net, port
-
-    def stopListening(self) -> None:
-        self.net.ports.pop(self.port, None)
-
-
-class Connector:
-    def __init__(self, party: Party, port: int, factory: Any) -> None:
-        self.party, self.port, self.factory = party, port, factory
-        self.pipe: Pipe | None = None
-        self.call: Any = party.callLater(0.0002, self._connect)
-
-    def _connect(self) -> None:
-        factory, other = self.party.net.ports.get(self.port, (None, None))
-        if factory is None or other is None:
-            self.factory.clientConnectionFailed(self, _failure(ConnectionRefusedError))
-            return
-        near, far = Pipe(self.party), Pipe(other)
-        near.peer, far.peer, self.pipe = far, near, near
-        far.accept(factory)
-        near.made(self.factory.buildProtocol(None))
-
-    def disconnect(self) -> None:
-        if self.pipe is not None:
-            self.pipe.loseConnection()
-        elif self.call.active():
-            self.call.cancel()
-
-
-class Pipe:
-    """One end of a connection in memory, as a transport."""
-
-    def __init__(self, party: Party) -> None:
-        self.party = party
-        party.pipes.append(self)
-        self.peer: Any = None
-        self.protocol: Any = None
-        self.inbox: deque[bytes | None] = deque()
-        self.size = 0
-        self.reading, self.gone, self.held_back = True, False, False
-        self.disconnecting = False
-        self.producer: Any = None
-
-    def accept(self, factory: Any) -> None:
-        self.party.run(lambda: self.made(factory.buildProtocol(None)))
-
-    def made(self, protocol: Any) -> None:
-        self.protocol = protocol
-        protocol.makeConnection(self)
-        self._pump()
-
-    def write(self, data: bytes) -> None:
-        if self.gone or self.peer.gone:
-            return
-        self.peer.inbox.append(data)
-        self.peer.size += len(data)
-        if self.peer.size > WINDOW and self.producer is not None and not self.held_back:
-            self.held_back = True
-            self.producer.pauseProducing()
-        self.peer.party.callLater(0.0, self.peer._pump)
-
-    def _pump(self) -> None:
-        while self.inbox and self.reading and self.protocol is not None and not self.gone:
-            data = self.inbox.popleft()
-            if data is None:
-                self._lost()
-                return
-            self.size -= len(data)
-            self.protocol.dataReceived(data)
-        if self.peer.held_back and self.size <= WINDOW:
-            self.peer.held_back = False
-            self.peer.party.callLater(0.0, self.peer._drained)
-
-    def _drained(self) -> None:
-        if self.producer is not None and not self.gone:
-            self.producer.resumeProducing()
-
-    def _lost(self) -> None:
-        if not self.gone:
-            self.gone = True
-            self.party.pipes.remove(self)
-            if self.protocol is not None:
-                self.protocol.connectionLost(_failure(ConnectionDone))
-
-    def loseConnection(self) -> None:
-        self.disconnecting = True
-        if not self.gone and not self.peer.gone:
-            self.peer.inbox.append(None)
-            self.peer.party.callLater(0.0, self.peer._pump)
-        self.party.callLater(0.0, self._lost)
-
-    def abortConnection(self) -> None:
-        self.peer.inbox.clear()
-        self.peer.party.callLater(0.0, self.peer._lost)
-        self.party.callLater(0.0, self._lost)
-
-    def registerProducer(self, producer: Any, streaming: bool) -> None:
-        self.producer = producer
-
-    def unregisterProducer(self) -> None:
-        self.producer = None
-
-    def pauseProducing(self) -> None:
-        self.reading = False
-
-    def resumeProducing(self) -> None:
-        self.reading = True
-        self.party.callLater(0.0, self._pump)
-
-    def setTcpNoDelay(self, on: bool) -> None:
-        pass
-
-
-class Kept:
-    """A store's engine that outlives its process, and refuses while `full`."""
-
-    def __init__(self, identity: str = "t") -> None:
-        self.image, self.full = StoreSnapshot(identity), False
-
-    def load(self) -> StoreSnapshot:
-        return self.image
-
-    def commit(self, change: Commit) -> None:
-        if self.full:
-            raise StoreError("no space left")
-        self.image.revision, self.image.highest_token = change.revision, change.highest_token
-        self.image.slices |= {s.slice_id: s for s in change.slices}
-        self.image.slice_revisions |= {s.slice_id: change.revision for s in change.slices}
-        self.image.zone_commands |= {h.zone: h for h in change.zone_commands}
-
-    def backup(self, path: str) -> int:
-        raise StoreError("not in tests")
-
-    def keep_alive(self) -> None:
-        pass
-
-    def close(self) -> None:
-        pass
-
-
-def copied(image: StoreSnapshot) -> StoreSnapshot:
-    return msgspec.convert(msgspec.to_builtins(image), StoreSnapshot)
-
-
 class Log:
     """Events of one process, as the program logs them."""
 
@@ -345,7 +102,7 @@
         assert self.config.day is not None
         assert self.config.fleet is not None
         self.day = self.config.day
-        self.net, self.engine, self.notes = Reactor(), Kept(), list[dict[str, Any]]()
+        self.net, self.engine, self.notes = Reactor(), SurvivingStoreEngine(), list[dict[str, Any]]()
         self.log: dict[str, Log] = {}
         self.party: dict[str, Party] = {}
         self.lives: dict[str, int] = {}
@@ -459,12 +216,12 @@
                 self.party[name].kill()
             case "lose":
                 self.party[name].kill()
-                self.engine = Kept("u")
+                self.engine = SurvivingStoreEngine("u")
             case "backup":
                 self.saved = copied(self.engine.image)
             case "restore":  # as the command does it
                 self.party[name].kill()
-                self.engine = Kept()
+                self.engine = SurvivingStoreEngine()
                 self.engine.image = replace(
                     copied(self.saved),
                     store_id="r",
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -11,9 +11,9 @@
 
 from puffintide.platform.config import load_config
 from puffintide.platform.service import Service
-from tests.deployment import Party, Reactor
 from tests.platform_config import CONFIG
 from tests.test_bench_adapter import CONF
+from tests.virtual_network import Party, Reactor
 
 LISTEN = 3000
 DISCOVERY = 8500
