--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -37,10 +37,11 @@
     StoredWeight,
 )
 from puffintide.decisions.settings import Settings
+from puffintide.scenarios.errors import PlayError
 from puffintide.scenarios.faults import plan
 from puffintide.scenarios.results import evaluate
-from puffintide.scenarios.runner import DayError, Player
-from puffintide.scenarios.scenes import SCENES, script
+from puffintide.scenarios.runner import ScenarioRunner
+from puffintide.scenarios.zone_scenarios import ZONE_SCENARIOS, script
 
 WAYS = ("plan", "module", "alike")
 STEP_S = 2.0
@@ -102,19 +103,19 @@
     out.mkdir(parents=True, exist_ok=True)
     path = out / "script.ini"
     path.write_text(variant(text, way), encoding="utf-8")
-    player = Player(read_config(str(path)), path.read_text(), out, seed, port_start=number * 997)
+    runner = ScenarioRunner(read_config(str(path)), path.read_text(), out, seed, port_start=number * 997)
     if way == "alike":
-        player.assigner = ("benchmarks.zone_days", "--assigner")
-    player.play()
+        runner.assigner_command = ("benchmarks.zone_days", "--assigner")
+    runner.play()
     return figures(out, seed)
 
 
 def figures(out: Path, seed: int) -> dict[str, Any]:
     config = read_config(str(out / "day.ini"))
     verdict = evaluate(out)
-    steps = [s for s in plan(config, seed) if s.what in ("crash", "start") and s.party == "fleet"]
-    lost = min((s.at for s in steps if s.what == "crash"), default=0.0)
-    back = max((s.at for s in steps if s.what == "start"), default=0.0)
+    steps = [s for s in plan(config, seed) if s.operation in ("crash", "start") and s.party == "fleet"]
+    lost = min((s.at_s for s in steps if s.operation == "crash"), default=0.0)
+    back = max((s.at_s for s in steps if s.operation == "start"), default=0.0)
     got: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     kinds = list(config.classes.values())
     for row in read_json_lines(out / "clients.jsonl"):
@@ -161,7 +162,7 @@
 
 
 @click.command()
-@click.argument("scenes", nargs=-1, type=click.Choice(list(SCENES)))
+@click.argument("scenes", nargs=-1, type=click.Choice(list(ZONE_SCENARIOS)))
 @click.option("--base", default="days/bad-day.ini")
 @click.option("--ways", multiple=True, type=click.Choice(WAYS), help="By default all.")
 @click.option("--seeds", default=3)
@@ -179,7 +180,7 @@
     table: str,
     plot: str,
 ) -> None:
-    days = scenes or tuple(SCENES)
+    days = scenes or tuple(ZONE_SCENARIOS)
     text = Path(base).read_text(encoding="utf-8")
     played = ways or WAYS
     work = [(day, way, seed) for day in days for seed in range(1, seeds + 1) for way in played]
@@ -188,7 +189,7 @@
         folder = Path(out) / f"{day}-{way}-{seed}"
         try:
             return day, way, play(script(text, day), way, seed, folder, number)
-        except DayError as error:
+        except PlayError as error:
             click.echo(f"{folder}: {error}", err=True)
             return None
 
@@ -229,7 +230,7 @@
             runs = [r["series"] for d, w, r in found if (d, w) == (day, way)]
             times = sorted(set.intersection(*(set(r) for r in runs))) if runs else []
             axis.plot(times, [statistics.median(r[t] for r in runs) for t in times], label=way)
-        axis.set_title(f"{day}: {SCENES[day].shows}", fontsize=9)
+        axis.set_title(f"{day}: {ZONE_SCENARIOS[day].description}", fontsize=9)
         axis.set_ylabel("worth served")
         axis.set_ylim(0, 1.05)
     axes[-1, 0].set_xlabel("seconds")
--- a/puffintide/cli/scenario_commands.py
+++ b/puffintide/cli/scenario_commands.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from puffintide.scenarios.results import ScenarioResult
-    from puffintide.scenarios.runner import Player
+    from puffintide.scenarios.runner import ScenarioRunner
 
 SCENARIO_SECTIONS = ("day", "fleet", "load")
 
@@ -47,12 +47,13 @@
 @click.option("--length", type=float, default=None, help="Cuts the scenario, seconds.")
 def import_(source: str, target: str, scale: float, length: float | None) -> None:
     """Turns a day drawn by the users' bench into a script."""
-    from puffintide.scenarios.importer import ImportFailure, turn
+    from puffintide.scenarios.errors import ImportFormatError
+    from puffintide.scenarios.importer import import_day
 
     try:
-        text = turn(json.loads(Path(source).read_text(encoding="utf-8")), scale, length)
+        text = import_day(json.loads(Path(source).read_text(encoding="utf-8")), scale, length)
         Path(target).write_text(text, encoding="utf-8")
-    except (OSError, ValueError, ImportFailure) as error:
+    except (OSError, ValueError, ImportFormatError) as error:
         raise CommandError(f"{source}: {error}") from error
     load_config(target, *SCENARIO_SECTIONS)
     click.echo(f"{target}: written")
@@ -68,21 +69,21 @@
 
     Exit: 0 rules kept, 1 a rule broke, 2 bad input, 3 can't tell.
     """
-    from puffintide.scenarios.place import PortError
-    from puffintide.scenarios.runner import DayError, Player
+    from puffintide.scenarios.errors import PlayError, PortError
+    from puffintide.scenarios.runner import ScenarioRunner
 
     config = load_config(file, *SCENARIO_SECTIONS)
     assert config.day is not None
     text = Path(file).read_text(encoding="utf-8")
     if seed is not None:
         text = _with_seed(text, seed)
-    player = Player(config, text, Path(out), config.day.seed if seed is None else seed)
+    runner = ScenarioRunner(config, text, Path(out), config.day.seed if seed is None else seed)
     try:
         if quiet:
-            player.play()
+            runner.play()
         else:
-            _play_with_progress(player)
-    except (DayError, PortError) as error:
+            _play_with_progress(runner)
+    except (PlayError, PortError) as error:
         raise CommandError(str(error)) from error
     except KeyboardInterrupt as error:
         raise CommandError("stopped by hand; no verdict") from error
@@ -99,14 +100,14 @@
     return changed.getvalue()
 
 
-def _play_with_progress(player: Player) -> None:
+def _play_with_progress(runner: ScenarioRunner) -> None:
     from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task("starting", total=1.0)
-        player.tell = lambda text, share: progress.update(task, description=text, completed=share)
-        player.play()
+        runner.on_progress = lambda text, played: progress.update(task, description=text, completed=played)
+        runner.play()
 
 
 @day.command("kinds")
--- a/puffintide/scenarios/faults.py
+++ b/puffintide/scenarios/faults.py
@@ -1,187 +1,299 @@
-"""What each kind of trouble does, as steps in time. Pure: a day's faults in, steps out.
-
-A step goes to a party: "fleet" and "tap" by name and arguments, "process" for assigners and the store (kill,
-start, stop, wake). Clients read their own kinds from the day's file.
-"""
+"""What each type of fault does, as steps in time. No I/O: a scenario's faults in, steps out."""
 
 from __future__ import annotations
 
 import random
-from dataclasses import dataclass, field
+from collections.abc import Callable
 from typing import Any
 
 from puffintide.config.model import Config
 from puffintide.config.schema import Fault
+from puffintide.scenarios.steps import Party, Step
 
-BY_CLIENTS = ("hot_key", "heavy_tail", "give_up", "shift")
-
-
-@dataclass(frozen=True, slots=True)
-class Step:
-    at: float  # seconds since the first request may come
-    party: str  # "fleet", "tap", "process"
-    what: str
-    args: dict[str, Any] = field(default_factory=dict)
+FAULTS_OF_CLIENTS = (
+    "hot_key",
+    "heavy_tail",
+    "give_up",
+    "shift",
+)  # read from the configuration by the clients
+MIN_PAUSE_INTERVAL_S = 0.1
+MIN_FLAP_PERIOD_S = 0.5
+RESTART_DELAY_S = 0.2
+DEPLOY_START_DELAY_S = 0.5
+MIN_SHRINK_DRAIN_S = 3.0
+MAX_SPARE_START_DELAY_S = 1.0
 
 
 def plan(config: Config, seed: int) -> list[Step]:
-    """All steps of a day, in order of time; the same seed draws the same servers."""
+    """All steps of a scenario, in order of time; the same seed selects the same servers."""
     steps: list[Step] = []
     for name, fault in sorted(config.faults.items()):
-        steps += steps_of(name, fault, config, random.Random(f"fault:{seed}:{name}"))
-    return sorted(steps, key=lambda s: s.at)
+        steps += FaultPlanner(name, fault, config, random.Random(f"fault:{seed}:{name}")).steps()
+    return sorted(steps, key=lambda step: step.at_s)
+
+
+class FaultPlanner:
+    """Plans one fault.
+
+    Args:
+        name: Of the fault's section.
+        fault: Its section; what `size` and `extra` mean depends on its type.
+        config: Of the scenario.
+        random_source: Selects servers and proxies.
+    """
+
+    def __init__(self, name: str, fault: Fault, config: Config, random_source: random.Random) -> None:
+        assert config.fleet is not None
+        self.name = name
+        self.fault = fault
+        self.random = random_source
+        self.begin_s = fault.at_s
+        self.end_s = fault.at_s + fault.for_s
+        self.zone_count = len(config.deployment.zones)
+        self.proxy_count = config.deployment.proxies
+        self.assigners = list(range(config.deployment.assigners))
+        self.servers = list(range(config.fleet.servers))
+        self.spare_servers = list(range(config.fleet.servers, config.fleet.servers + config.fleet.spare))
+
+    def steps(self) -> list[Step]:
+        """The fault's steps; none for a fault of the clients."""
+        if self.fault.kind in FAULTS_OF_CLIENTS:
+            return []
+        planners: dict[str, Callable[[], list[Step]]] = {
+            "crash": self._crash,
+            "hang": lambda: self._during("hang", self._selected_servers(), 1, 0),
+            "slow": lambda: self._during("slow", self._selected_servers(), self.fault.size, 1),
+            "shared_slow": lambda: self._during("slow", self.servers, self.fault.size, 1),
+            "pauses": self._pauses,
+            "false_reports": lambda: self._during(
+                "false_reports", self._selected_servers(), self.fault.size, 1
+            ),
+            "conn_squeeze": lambda: self._during("connections", self._selected_servers(), self.fault.size, 0),
+            "handshake_slow": lambda: self._during("handshake", self._selected_servers(), self.fault.size, 1),
+            "mass_restart": self._mass_restart,
+            "zone_loss": self._zone_loss,
+            "zone_flap": self._zone_flap,
+            "deploy": self._deploy,
+            "shrink": self._shrink,
+            "grow": self._grow,
+            "preempt": self._preempt,
+            "balancer_crash": lambda: self._assigners_during("kill", "start"),
+            "balancer_stop": lambda: self._assigners_during("stop", "wake"),
+            "store_crash": lambda: self._store_during("kill", "start"),
+            "store_lost": lambda: self._store_during("lose", "start"),
+            "store_restored": self._store_restored,
+            "store_down": lambda: self._store_during("stop", "wake"),
+            "peer_cut": self._peer_cut,
+            "peer_mess": self._peer_mess,
+            "list_down": self._list_down,
+            "report_late": self._late_reports,
+            "counter_down": self._proxies_cut_off,
+            "slow_link": self._slow_link,
+            "one_sided": self._one_sided,
+            "slow_reader": self._slow_reader,
+        }
+        return planners[self.fault.kind]()
+
+    # Steps ---------------------------------------------------------------------------------------
+
+    def _fleet(
+        self, at_s: float, operation: str, server_ids: list[int], value: float = 0.0, extra: float = 0.0
+    ) -> Step:
+        arguments = {"servers": server_ids, "value": value, "extra": extra}
+        return Step(at_s, Party.FLEET, operation, arguments)
+
+    def _during(
+        self, operation: str, server_ids: list[int], value: float, normal: float, extra: float = 0.0
+    ) -> list[Step]:
+        """A value of servers for the time of the fault."""
+        return [
+            self._fleet(self.begin_s, operation, server_ids, value, extra),
+            self._fleet(self.end_s, operation, server_ids, normal),
+        ]
+
+    def _link_fault(self, **effects: Any) -> list[Step]:
+        """A fault of the links for the time of this fault."""
+        begin = {"name": self.name, **effects}
+        return [
+            Step(self.begin_s, Party.RECORDING_PROXY, "bend", begin),
+            Step(self.end_s, Party.RECORDING_PROXY, "straighten", {"name": self.name}),
+        ]
+
+    def _processes(self, at_s: float, operation: str, *names: str) -> Step:
+        return Step(at_s, Party.PROCESS, operation, {"who": list(names)})
+
+    def _assigners_during(self, begin_operation: str, end_operation: str) -> list[Step]:
+        names = [f"assigner:{a}" for a in self.fault.assigners or [0]]
+        return [
+            self._processes(self.begin_s, begin_operation, *names),
+            self._processes(self.end_s, end_operation, *names),
+        ]
+
+    def _store_during(self, begin_operation: str, end_operation: str) -> list[Step]:
+        return [
+            self._processes(self.begin_s, begin_operation, "store"),
+            self._processes(self.end_s, end_operation, "store"),
+        ]
+
+    # Selections ----------------------------------------------------------------------------------
+
+    def _selected_servers(self) -> list[int]:
+        if self.fault.servers:
+            return sorted(self.fault.servers)
+        return self._sample(self.servers)
 
+    def _selected_proxies(self) -> list[int]:
+        count = max(1, round(self.fault.part * self.proxy_count))
+        return sorted(self.random.sample(range(self.proxy_count), count))
 
-def _chosen(fault: Fault, config: Config, draw: random.Random, zone: int | None = None) -> list[int]:
-    if fault.servers:
-        return sorted(fault.servers)
-    assert config.fleet is not None
-    zones = len(config.deployment.zones)
-    pool = [s for s in range(config.fleet.servers) if zone is None or s % zones == zone]
-    return sorted(draw.sample(pool, min(len(pool), max(1, round(fault.part * len(pool))))))
+    def _sample(self, pool: list[int]) -> list[int]:
+        """A random part of a pool, at least one."""
+        count = min(len(pool), max(1, round(self.fault.part * len(pool))))
+        return sorted(self.random.sample(pool, count))
 
+    def _zone_servers(self) -> list[int]:
+        return [server_id for server_id in self.servers if server_id % self.zone_count == self.fault.zone]
 
-def steps_of(name: str, fault: Fault, config: Config, draw: random.Random) -> list[Step]:
-    """Steps of one fault. size and extra mean what the schema's page says for its kind."""
-    begin, end = fault.at_s, fault.at_s + fault.for_s
-    assert config.fleet is not None
-    zones = len(config.deployment.zones)
-    every = list(range(config.fleet.servers))
-    spare = list(range(config.fleet.servers, config.fleet.servers + config.fleet.spare))
+    # Servers -------------------------------------------------------------------------------------
 
-    def fleet(at: float, what: str, ids: list[int], value: float = 0.0, extra: float = 0.0) -> Step:
-        return Step(at, "fleet", what, {"servers": ids, "value": value, "extra": extra})
+    def _crash(self) -> list[Step]:
+        server_ids = self._selected_servers()
+        return [
+            self._fleet(self.begin_s, "crash", server_ids),
+            self._fleet(self.end_s, "start", server_ids),
+        ]
+
+    def _pauses(self) -> list[Step]:
+        """Size: seconds of a pause; extra: mean seconds between them."""
+        interval_s = max(self.fault.extra, MIN_PAUSE_INTERVAL_S)
+        return self._during("pauses", self._selected_servers(), interval_s, 0, self.fault.size)
+
+    def _mass_restart(self) -> list[Step]:
+        server_ids = self._selected_servers()
+        return [
+            self._fleet(self.begin_s, "crash", server_ids),
+            self._fleet(self.begin_s + self.fault.extra + RESTART_DELAY_S, "start", server_ids),
+        ]
+
+    def _zone_loss(self) -> list[Step]:
+        """Way "all": its assigners too, unless there are no others."""
+        server_ids = self._zone_servers()
+        steps = [self._fleet(self.begin_s, "crash", server_ids), self._fleet(self.end_s, "start", server_ids)]
+        in_zone = [a for a in self.assigners if a % self.zone_count == self.fault.zone]
+        if self.fault.way == "all" and len(in_zone) < len(self.assigners):
+            names = [f"assigner:{assigner_id}" for assigner_id in in_zone]
+            steps.append(self._processes(self.begin_s, "kill", *names))
+            steps.append(self._processes(self.end_s, "start", *names))
+        return steps
+
+    def _zone_flap(self) -> list[Step]:
+        """Size: seconds of a period, in the first half of which the zone is lost."""
+        server_ids = self._zone_servers()
+        period_s = self.fault.size
+        steps = []
+        for k in range(max(1, int(self.fault.for_s / max(period_s, MIN_FLAP_PERIOD_S)))):
+            steps.append(self._fleet(self.begin_s + k * period_s, "crash", server_ids))
+            steps.append(self._fleet(self.begin_s + (k + 0.5) * period_s, "start", server_ids))
+        return steps
+
+    def _deploy(self) -> list[Step]:
+        """Size: servers at a time, below 1 a part of the fleet; extra: seconds from drain to stop."""
+        server_ids = self._selected_servers()
+        size = self.fault.size
+        batch_size = max(1, round(size * len(self.servers))) if size < 1 else round(size)
+        batches = [server_ids[k : k + batch_size] for k in range(0, len(server_ids), batch_size)]
+        steps = []
+        for k, batch in enumerate(batches):
+            drain_at_s = self.begin_s + k * self.fault.for_s / len(batches)
+            stop_at_s = drain_at_s + self.fault.extra
+            steps.append(self._fleet(drain_at_s, "drain", batch))
+            steps.append(self._fleet(stop_at_s, "stop", batch))
+            steps.append(self._fleet(stop_at_s + DEPLOY_START_DELAY_S, "start", batch))
+        return steps
+
+    def _shrink(self) -> list[Step]:
+        """Extra: seconds from drain to stop."""
+        server_ids = self._selected_servers()
+        steps = []
+        for k, server_id in enumerate(server_ids):
+            drain_at_s = self.begin_s + k * self.fault.for_s / len(server_ids)
+            stop_at_s = drain_at_s + max(self.fault.extra, MIN_SHRINK_DRAIN_S)
+            steps.append(self._fleet(drain_at_s, "drain", [server_id]))
+            steps.append(self._fleet(stop_at_s, "stop", [server_id]))
+        return steps
+
+    def _grow(self) -> list[Step]:
+        count = max(1, len(self.spare_servers))
+        return [
+            self._fleet(self.begin_s + k * self.fault.for_s / count, "start", [server_id])
+            for k, server_id in enumerate(self.spare_servers)
+        ]
 
-    def tap(**bend: Any) -> list[Step]:
+    def _preempt(self) -> list[Step]:
+        """Extra: seconds of notice; as many spare servers start."""
+        server_ids = self._selected_servers()
+        spares = self.spare_servers[: len(server_ids)]
+        spares_start_s = self.begin_s + min(MAX_SPARE_START_DELAY_S, self.fault.extra)
         return [
-            Step(begin, "tap", "bend", {"name": name, **bend}),
-            Step(end, "tap", "straighten", {"name": name}),
+            self._fleet(self.begin_s, "drain", server_ids),
+            self._fleet(self.begin_s + self.fault.extra, "stop", server_ids),
+            self._fleet(spares_start_s, "start", spares),
         ]
 
-    def process(at: float, what: str, *who: str) -> Step:
-        return Step(at, "process", what, {"who": list(who)})
-
-    def others(who: list[int]) -> list[int]:
-        return [k for k in range(config.deployment.assigners) if k not in who]
-
-    def both(what: str, ids: list[int], on: float, off: float, extra: float = 0.0) -> list[Step]:
-        return [fleet(begin, what, ids, on, extra), fleet(end, what, ids, off)]
-
-    match fault.kind:
-        case "crash":
-            ids = _chosen(fault, config, draw)
-            return [fleet(begin, "crash", ids), fleet(end, "start", ids)]
-        case "hang":
-            return both("hang", _chosen(fault, config, draw), 1, 0)
-        case "slow":
-            return both("slow", _chosen(fault, config, draw), fault.size, 1)
-        case "shared_slow":
-            return both("slow", every, fault.size, 1)
-        case "pauses":  # size: seconds of a pause, extra: mean seconds between them
-            return both("pauses", _chosen(fault, config, draw), max(fault.extra, 0.1), 0, fault.size)
-        case "false_reports":  # size: factor on what servers report
-            return both("false_reports", _chosen(fault, config, draw), fault.size, 1)
-        case "conn_squeeze":  # size: connections accepted
-            return both("connections", _chosen(fault, config, draw), fault.size, 0)
-        case "handshake_slow":
-            return both("handshake", _chosen(fault, config, draw), fault.size, 1)
-        case "mass_restart":
-            ids = _chosen(fault, config, draw)
-            return [fleet(begin, "crash", ids), fleet(begin + fault.extra + 0.2, "start", ids)]
-        case "zone_loss":
-            ids = [s for s in every if s % zones == fault.zone]
-            who = [f"assigner:{k}" for k in range(config.deployment.assigners) if k % zones == fault.zone]
-            steps = [fleet(begin, "crash", ids), fleet(end, "start", ids)]
-            if fault.way == "all" and len(who) < config.deployment.assigners:
-                steps += [process(begin, "kill", *who), process(end, "start", *who)]
-            return steps
-        case "zone_flap":  # size: seconds of a period, half of it away; the last time it stays
-            ids = [s for s in every if s % zones == fault.zone]
-            flaps = max(1, int(fault.for_s / max(fault.size, 0.5)))
-            return [
-                step
-                for k in range(flaps)
-                for step in (
-                    fleet(begin + k * fault.size, "crash", ids),
-                    fleet(begin + (k + 0.5) * fault.size, "start", ids),
-                )
-            ]
-        case "deploy":  # size: share of the fleet at a time, extra: seconds from drain to stop
-            ids = _chosen(fault, config, draw)
-            batch = max(1, round(fault.size * config.fleet.servers)) if fault.size < 1 else round(fault.size)
-            groups = [ids[k : k + batch] for k in range(0, len(ids), batch)]
-            steps = []
-            for k, group in enumerate(groups):
-                at = begin + k * fault.for_s / len(groups)
-                steps += [fleet(at, "drain", group), fleet(at + fault.extra, "stop", group)]
-                steps.append(fleet(at + fault.extra + 0.5, "start", group))
-            return steps
-        case "shrink":
-            ids = _chosen(fault, config, draw)
-            return [
-                step
-                for k, s in enumerate(ids)
-                for step in (
-                    fleet(begin + k * fault.for_s / len(ids), "drain", [s]),
-                    fleet(begin + k * fault.for_s / len(ids) + max(fault.extra, 3.0), "stop", [s]),
-                )
-            ]
-        case "grow":
-            return [
-                fleet(begin + k * fault.for_s / max(1, len(spare)), "start", [s]) for k, s in enumerate(spare)
-            ]
-        case "preempt":  # extra: seconds of notice; as many spares start
-            ids = _chosen(fault, config, draw)
-            return [
-                fleet(begin, "drain", ids),
-                fleet(begin + fault.extra, "stop", ids),
-                fleet(begin + min(1.0, fault.extra), "start", spare[: len(ids)]),
-            ]
-        case "balancer_crash" | "balancer_stop":
-            who = [f"assigner:{k}" for k in fault.assigners or [0]]
-            on, off = ("kill", "start") if fault.kind == "balancer_crash" else ("stop", "wake")
-            return [process(begin, on, *who), process(end, off, *who)]
-        case "store_crash":  # killed; it starts again from what it has kept
-            return [process(begin, "kill", "store"), process(end, "start", "store")]
-        case "store_lost":  # killed, and all that it kept is gone; it starts empty
-            return [process(begin, "lose", "store"), process(end, "start", "store")]
-        case (
-            "store_restored"
-        ):  # killed; it starts from a backup that it had made, size: so many seconds before
-            return [
-                process(max(0.0, begin - fault.size), "backup", "store"),
-                process(begin, "restore", "store"),
-                process(end, "start", "store"),
-            ]
-        case "peer_cut":  # these assigners and the others do not hear each other, or only one way
-            who_ids = sorted(fault.assigners or [0])
-            there = sorted(fault.others) or others(who_ids)
-            ends = {"out": {"senders": who_ids}, "in": {"senders": there}}
-            return tap(kinds=["peer"], cut="silent", parties=who_ids, facing=there, **ends.get(fault.way, {}))
-        case (
-            "peer_mess"
-        ):  # between all: size: seconds late at most, out of order; extra: share that comes twice
-            words = ["copies", "digest"]
-            return tap(kinds=["peer"], words=words, late_s=fault.size, mixed=True, double=fault.extra)
-        case "store_down":
-            return [process(begin, "stop", "store"), process(end, "wake", "store")]
-        case "list_down":
-            return [Step(begin, "fleet", "list_down"), Step(end, "fleet", "list_up")]
-        case "report_late":
-            return tap(kinds=["order"], words=["sums"], direction=0, late_s=fault.size)
-        case "counter_down":  # part of the proxies; way: refuse, silent or empty
-            proxies = config.deployment.proxies
-            who_ids = sorted(draw.sample(range(proxies), max(1, round(fault.part * proxies))))
-            if fault.way == "empty":
-                return tap(kinds=["order"], words=["order"], direction=1, cut="silent", proxies=who_ids)
-            return tap(kinds=["order"], cut=fault.way or "refuse", proxies=who_ids)
-        case "slow_link":  # size: seconds more each way, extra: share lost
-            return tap(kinds=["try"], crossing=True, late_s=fault.size, lose=fault.extra)
-        case "one_sided":  # proxies of the zone lose size of what they send to the other zones
-            return tap(kinds=["try"], words=["try"], from_zone=fault.zone, crossing=True, lose=fault.size)
-        case "slow_reader":
-            proxies = config.deployment.proxies
-            ids = sorted(draw.sample(range(proxies), max(1, round(fault.part * proxies))))
-            return tap(kinds=["order"], direction=1, hold=True, proxies=ids)
-    assert fault.kind in BY_CLIENTS
-    return []
+    # Store, list and assigners -------------------------------------------------------------------
+
+    def _store_restored(self) -> list[Step]:
+        """Killed, and started from a backup that was made `size` seconds before."""
+        backup_at_s = max(0.0, self.begin_s - self.fault.size)
+        return [
+            self._processes(backup_at_s, "backup", "store"),
+            self._processes(self.begin_s, "restore", "store"),
+            self._processes(self.end_s, "start", "store"),
+        ]
+
+    def _list_down(self) -> list[Step]:
+        return [Step(self.begin_s, Party.FLEET, "list_down"), Step(self.end_s, Party.FLEET, "list_up")]
+
+    def _peer_cut(self) -> list[Step]:
+        """Assigners and the others don't hear each other; way "out" or "in": in one direction only."""
+        inside = sorted(self.fault.assigners or [0])
+        outside = sorted(self.fault.others) or [a for a in self.assigners if a not in inside]
+        senders = {"out": {"senders": inside}, "in": {"senders": outside}}.get(self.fault.way, {})
+        return self._link_fault(kinds=["peer"], cut="silent", parties=inside, facing=outside, **senders)
+
+    def _peer_mess(self) -> list[Step]:
+        """Size: seconds late at most, out of order; extra: part of the messages that is delivered twice."""
+        return self._link_fault(
+            kinds=["peer"],
+            words=["copies", "digest"],
+            late_s=self.fault.size,
+            mixed=True,
+            double=self.fault.extra,
+        )
+
+    # Links ---------------------------------------------------------------------------------------
+
+    def _late_reports(self) -> list[Step]:
+        return self._link_fault(kinds=["order"], words=["sums"], direction=0, late_s=self.fault.size)
+
+    def _proxies_cut_off(self) -> list[Step]:
+        """A part of the proxies; way "refuse", "silent", or "empty": only updates are lost."""
+        proxy_ids = self._selected_proxies()
+        if self.fault.way == "empty":
+            return self._link_fault(
+                kinds=["order"], words=["order"], direction=1, cut="silent", proxies=proxy_ids
+            )
+        return self._link_fault(kinds=["order"], cut=self.fault.way or "refuse", proxies=proxy_ids)
+
+    def _slow_link(self) -> list[Step]:
+        """Size: seconds more in each direction; extra: part of the messages that is lost."""
+        return self._link_fault(kinds=["try"], crossing=True, late_s=self.fault.size, lose=self.fault.extra)
+
+    def _one_sided(self) -> list[Step]:
+        """Proxies of the zone lose a part, size, of what they send to the other zones."""
+        return self._link_fault(
+            kinds=["try"], words=["try"], from_zone=self.fault.zone, crossing=True, lose=self.fault.size
+        )
+
+    def _slow_reader(self) -> list[Step]:
+        return self._link_fault(kinds=["order"], direction=1, hold=True, proxies=self._selected_proxies())
--- /dev/null
+++ b/puffintide/scenarios/imported_faults.py
@@ -0,0 +1,69 @@
+"""Faults of a day drawn by the users' bench, as sections of a script."""
+
+from __future__ import annotations
+
+from typing import Any
+
+MICROSECONDS_PER_S = 1e6
+MILLISECONDS_PER_S = 1000
+RESTART_S = 0.3
+MIN_CONNECTIONS = 4
+DEFAULT_DEPLOY_SIZE = 0.1
+
+Section = dict[str, Any]
+
+FIXED_FAULT_DETAILS: dict[str, Section] = {"mass_restart": {"extra": RESTART_S}, "zone_loss": {"way": "all"}}
+
+
+def seconds(microseconds: float) -> float:
+    """Microseconds as seconds."""
+    return microseconds / MICROSECONDS_PER_S
+
+
+def fault_section(fault: Any, balancer_count: int, server_count: int, zone_count: int) -> Section:
+    """The section of a drawn fault.
+
+    Args:
+        fault: Its tree.
+        balancer_count: Proxies of the drawn day; assigners are numbered after them.
+        server_count: Servers that run in the drawn day.
+        zone_count: Zones of the day.
+    """
+    stopped = sum(len(step["stop"]) for step in fault["steps"])
+    section: Section = {
+        "kind": fault["kind"],
+        "at_s": round(seconds(fault["at"]), 2),
+        "for_s": round(seconds(fault["len"]), 2),
+        "part": round(min(1.0, (len(fault["on"]) or stopped or 1) / server_count), 3),
+        "size": round(fault["size"], 4),
+        "extra": round(fault["extra"], 3),
+        "zone": fault["which"] % zone_count,
+    }
+    return section | _details(fault, balancer_count, server_count)
+
+
+def _details(fault: Any, balancer_count: int, server_count: int) -> Section:
+    """What differs for some types of fault."""
+    match fault["kind"]:
+        case "pauses":
+            return {"size": round(fault["size"] / MILLISECONDS_PER_S, 4)}
+        case "deploy":
+            steps = fault["steps"]
+            size = round(len(steps[0]["stop"]) / server_count, 3) if steps else DEFAULT_DEPLOY_SIZE
+            return {"size": size}
+        case "preempt":
+            return {"extra": round(min(fault["extra"], seconds(fault["len"])), 2)}
+        case "balancer_crash":
+            assigners = [number - balancer_count for number in fault["on"] if number >= balancer_count]
+            return {"assigners": ", ".join(map(str, assigners or [0]))}
+        case "counter_down":
+            way = fault.get("how")
+            part = round(min(1.0, fault["size"]), 3)
+            return {"part": part, "way": way if way in ("refuse", "empty") else "silent"}
+        case "conn_squeeze":
+            return {"size": max(MIN_CONNECTIONS, round(balancer_count / max(fault["size"], 1)))}
+        case "false_reports" if fault.get("how") == "zero":
+            return {"size": 0}
+        case "handshake_slow":
+            return {"size": round(fault["extra"], 2)}
+    return FIXED_FAULT_DETAILS.get(fault["kind"], {})
--- a/puffintide/scenarios/kinds.py
+++ b/puffintide/scenarios/kinds.py
@@ -1,4 +1,4 @@
-"""Every kind of trouble, one by one, over the same quiet day: what the rules and the service make of each."""
+"""Plays every type of fault, one by one, over the same scenario, and evaluates each."""
 
 from __future__ import annotations
 
@@ -9,10 +9,17 @@
 from pathlib import Path
 
 from puffintide.config.loader import parse_config
+from puffintide.config.model import Config
+from puffintide.scenarios.errors import PlayError
 from puffintide.scenarios.results import ScenarioResult, evaluate
-from puffintide.scenarios.runner import DayError, Player
+from puffintide.scenarios.runner import ScenarioRunner
+
+# The fault of each scenario; it begins at FAULT_AT_S, when all has settled.
+FAULT_AT_S = 8
+LENGTH_S = 32.0
+PORTS_PER_SCENARIO = 400
+GROWTH_SERVERS = 3
 
-# What each kind is played with. at 8 s, so that all is at rest before; long enough to hurt.
 KINDS: dict[str, dict[str, str]] = {
     "none": {},
     "crash": {"part": "0.17", "for_s": "12"},
@@ -53,8 +60,14 @@
 }
 
 
-def script(base: str, name: str, length_s: float = 32.0) -> str:
-    """The base day without its own faults, with this kind alone."""
+def script(base: str, name: str, length_s: float = LENGTH_S) -> str:
+    """The base script with this type of fault alone.
+
+    Args:
+        base: INI text of a scenario; its own faults are left out.
+        name: A key of KINDS.
+        length_s: Length of the scenario.
+    """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     parser.read_string(base)
     for section in parser.sections():
@@ -63,9 +76,10 @@
     parser["day"]["name"] = name
     parser["day"]["length_s"] = str(length_s)
     if name == "grow":
-        parser["fleet"]["spare"] = "3"
+        parser["fleet"]["spare"] = str(GROWTH_SERVERS)
     if KINDS[name]:
-        parser[f"fault {name}"] = {"kind": name.split()[0], "at_s": "8", **KINDS[name]}
+        fault_type = name.split()[0]
+        parser[f"fault {name}"] = {"kind": fault_type, "at_s": str(FAULT_AT_S), **KINDS[name]}
     text = io.StringIO()
     parser.write(text)
     return text.getvalue()
@@ -77,26 +91,42 @@
     names: list[str],
     seed: int,
     jobs: int,
-    tell: Callable[[str, ScenarioResult | str], None],
+    on_result: Callable[[str, ScenarioResult | str], None],
 ) -> dict[str, ScenarioResult | str]:
-    """Plays each kind; a day that could not be played gives its reason instead of a verdict."""
-
-    def one(name: str) -> tuple[str, ScenarioResult | str]:
-        text = script(base, name)
-        folder = out / name.replace(" ", "-")
-        sections = configparser.ConfigParser(interpolation=None)
-        sections.read_string(text)
-        config = parse_config(
-            name, {s: dict(sections.items(s)) for s in sections.sections()}, ("day", "fleet", "load")
-        )
-        found: ScenarioResult | str
-        try:
-            Player(config, text, folder, seed, port_start=names.index(name) * 400).play()
-            found = evaluate(folder)
-        except DayError as error:
-            found = str(error)
-        tell(name, found)
-        return name, found
+    """Play each type of fault.
+
+    Args:
+        base: INI text of a scenario.
+        out: Folder for the scenarios' own folders.
+        names: Keys of KINDS.
+        seed: Of all scenarios.
+        jobs: Scenarios played at once.
+        on_result: Called with each name and result as it ends.
+
+    Returns:
+        The results by name; a text where the scenario could not be played.
+    """
+
+    def play(name: str) -> tuple[str, ScenarioResult | str]:
+        port_start = names.index(name) * PORTS_PER_SCENARIO
+        result = _play(script(base, name), name, out / name.replace(" ", "-"), seed, port_start)
+        on_result(name, result)
+        return name, result
 
     with ThreadPoolExecutor(jobs) as pool:
-        return dict(pool.map(one, names))
+        return dict(pool.map(play, names))
+
+
+def _play(text: str, name: str, folder: Path, seed: int, port_start: int) -> ScenarioResult | str:
+    try:
+        ScenarioRunner(_parse(text, name), text, folder, seed, port_start=port_start).play()
+        return evaluate(folder)
+    except PlayError as error:
+        return str(error)
+
+
+def _parse(text: str, name: str) -> Config:
+    parser = configparser.ConfigParser(interpolation=None)
+    parser.read_string(text)
+    sections = {title: dict(parser.items(title)) for title in parser.sections()}
+    return parse_config(name, sections, ("day", "fleet", "load"))
--- a/puffintide/scenarios/place.py
+++ b/puffintide/scenarios/place.py
@@ -1,4 +1,4 @@
-"""Where everything of a day listens: ports picked free, the relay's beside the real ones."""
+"""Where everything of a scenario listens: free ports of the parties, and those of the recording proxy."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from pathlib import Path
 
 from puffintide.config.model import Config
+from puffintide.scenarios.errors import PortError
 from puffintide.scenarios.tap import Link
 
 FIRST_PORT = 20000
@@ -16,10 +17,6 @@
 FIRST_SCENARIO_PORT = 26000  # the range below is for tests that run beside a scenario
 
 
-class PortError(Exception):
-    """No port is free."""
-
-
 class Ports:
     """Allocates free ports of a range, each once.
 
@@ -55,60 +52,75 @@
 
 
 def at(port: int) -> str:
+    """The loopback address of a port."""
     return f"127.0.0.1:{port}"
 
 
 @dataclass
 class Place:
-    """Real ports of the parties, and the relay's links in front of them."""
+    """Ports of the parties, and the recording proxy's links in front of them."""
 
     store: int
-    news: int  # the list of servers
+    news: int  # of the endpoint list
     assigners: list[int]
     servers: list[int]
-    fronts: list[int]
+    fronts: list[int]  # of proxies, for clients
     links: list[Link] = field(default_factory=list)
 
     def tapped(self, name: str) -> str:
-        """The address by which others reach a party."""
+        """The address by which others reach a party: that of the recording proxy."""
         return at(next(link.port for link in self.links if link.name == name))
 
-    def peers(self, me: int) -> list[str]:
-        """The addresses by which an assigner reaches the others: through the relay."""
-        ways = {link.name: at(link.port) for link in self.links}
-        return [ways.get(f"peer:{me}:{k}", at(port)) for k, port in enumerate(self.assigners)]
+    def peers(self, assigner_id: int) -> list[str]:
+        """The addresses by which an assigner reaches each of them, others through the recording proxy."""
+        addresses = {link.name: at(link.port) for link in self.links}
+        return [
+            addresses.get(f"peer:{assigner_id}:{peer_id}", at(port))
+            for peer_id, port in enumerate(self.assigners)
+        ]
 
     def save(self, path: Path) -> None:
+        """Write it to a file."""
         path.write_text(json.dumps(asdict(self)), encoding="utf-8")
 
     @staticmethod
     def read(path: Path) -> Place:
+        """Read it from a file."""
         row = json.loads(path.read_text(encoding="utf-8"))
         row["links"] = [Link(**link) for link in row["links"]]
         return Place(**row)
 
 
 def lay(config: Config, start: int) -> Place:
-    """Ports for a day's configuration. start: where to look first. Raises PortError."""
+    """Select the ports of a scenario.
+
+    Args:
+        config: Of the scenario.
+        start: Where to look first.
+
+    Raises:
+        PortError: There are not enough free ports.
+    """
     ports = Ports(start, FIRST_SCENARIO_PORT)
-    d, fleet = config.deployment, config.fleet
+    deployment = config.deployment
+    fleet = config.fleet
     assert fleet is not None
-    zones = len(d.zones)
+    zone_count = len(deployment.zones)
     place = Place(
         store=ports.take(),
         news=ports.take(),
-        assigners=[ports.take() for _ in range(d.assigners)],
+        assigners=[ports.take() for _ in range(deployment.assigners)],
         servers=[ports.take() for _ in range(fleet.servers + fleet.spare)],
-        fronts=[ports.take() for _ in range(d.proxies)],
+        fronts=[ports.take() for _ in range(deployment.proxies)],
     )
     place.links.append(Link("store", "store", ports.take(), at(place.store)))
     place.links.append(Link("list", "list", ports.take(), at(place.news)))
     for k, port in enumerate(place.assigners):
-        place.links.append(Link(f"order:{k}", "order", ports.take(), at(port), k % zones, k))
-    if config.peers is not None:  # two ways for each pair: either may dial
-        for a, b in permutations(range(d.assigners), 2):
+        place.links.append(Link(f"order:{k}", "order", ports.take(), at(port), k % zone_count, k))
+    if config.peers is not None:  # two links for each pair: either may dial
+        for a, b in permutations(range(deployment.assigners), 2):
             target = at(place.assigners[b])
-            place.links.append(Link(f"peer:{a}:{b}", "peer", ports.take(), target, b % zones, b))
+            place.links.append(Link(f"peer:{a}:{b}", "peer", ports.take(), target, b % zone_count, b))
     for k, port in enumerate(place.servers):
-        place.links.append(Link(f"try:{k}", "try", ports.take(), at(port), k % zones, k))
+        place.links.append(Link(f"try:{k}", "try", ports.take(), at(port), k % zone_count, k))
     return place
--- /dev/null
+++ b/puffintide/scenarios/processes.py
@@ -0,0 +1,132 @@
+"""The processes of a scenario: started, controlled by lines on standard input, and ended."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import signal
+import subprocess
+import sys
+from dataclasses import dataclass
+from pathlib import Path
+from typing import IO, Any
+
+from puffintide.scenarios.errors import PlayError
+
+EXIT_TIMEOUT_S = 10
+KILLED_BY_SCENARIO = ("assigner", "store")
+LAST_TO_END = ("store", "fleet", "tap")  # in this order, so that the records are complete
+
+
+@dataclass
+class RunningProcess:
+    """A process, and its log."""
+
+    name: str
+    process: subprocess.Popen[str]
+    log: IO[str]
+
+    def kill(self) -> None:
+        """Kill it, and wait for its end."""
+        self.process.kill()
+        self.process.wait()
+
+    def pause(self) -> None:
+        """Stop it until it is resumed."""
+        self.process.send_signal(signal.SIGSTOP)
+
+    def resume(self) -> None:
+        """Let it run on."""
+        self.process.send_signal(signal.SIGCONT)
+
+
+class ProcessGroup:
+    """All processes of one scenario, by name, such as store or assigner:0.
+
+    Args:
+        folder: For the logs.
+    """
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self.running: dict[str, RunningProcess] = {}
+
+    def spawn(self, name: str, *words: str, module: str = "puffintide") -> None:
+        """Start a process: python -m MODULE WORDS."""
+        log = self._log_path(name).open("a", encoding="utf-8")
+        process = subprocess.Popen(
+            [sys.executable, "-m", module, *words],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=log,
+            text=True,
+            start_new_session=True,  # Ctrl-C goes to the runner, which ends them in order
+        )
+        self.running[name] = RunningProcess(name, process, log)
+
+    def _log_path(self, name: str) -> Path:
+        return self.folder / f"{name.replace(':', '-')}.log"
+
+    def wait_ready(self, name: str) -> None:
+        """Wait until a process listens.
+
+        Raises:
+            PlayError: It has ended instead.
+        """
+        stdout = self.running[name].process.stdout
+        assert stdout is not None
+        if stdout.readline().strip() != "ready":
+            raise PlayError(f"{name} did not start; see {self._log_path(name)}")
+
+    def send(self, name: str, operation: str, arguments: dict[str, Any]) -> None:
+        """Send a command to an emulator.
+
+        Raises:
+            PlayError: It has ended.
+        """
+        stdin = self.running[name].process.stdin
+        assert stdin is not None
+        try:
+            stdin.write(json.dumps({"what": operation, "args": arguments}) + "\n")
+            stdin.flush()
+        except BrokenPipeError as error:
+            raise PlayError(f"{name} has ended; see its log in {self.folder}") from error
+
+    def check_running(self) -> None:
+        """Check that no process has ended by itself.
+
+        Raises:
+            PlayError: One has.
+        """
+        for name, running in self.running.items():
+            code = running.process.poll()
+            if code is None or (name == "clients" and code == 0):
+                continue  # the clients end after their last response
+            if not (name.startswith(KILLED_BY_SCENARIO) and code == -signal.SIGKILL):
+                raise PlayError(f"{name} ended by itself with code {code}; see its log in {self.folder}")
+
+    def end_all(self) -> None:
+        """End all processes, whatever state they are in."""
+        for name in sorted(self.running, key=_end_order):
+            self._end(self.running[name])
+
+    def _end(self, running: RunningProcess) -> None:
+        process = running.process
+        if process.poll() is None:
+            running.resume()
+            if process.stdin is not None:
+                with contextlib.suppress(BrokenPipeError):
+                    process.stdin.close()  # emulators end with it, after closing their records
+            if running.name.startswith(KILLED_BY_SCENARIO):
+                process.terminate()
+            try:
+                process.wait(EXIT_TIMEOUT_S)
+            except subprocess.TimeoutExpired:
+                running.kill()
+        if process.stdout is not None:
+            process.stdout.close()
+        running.log.close()
+
+
+def _end_order(name: str) -> tuple[int, str]:
+    return (LAST_TO_END.index(name) + 1 if name in LAST_TO_END else 0, name)
--- a/puffintide/scenarios/runner.py
+++ b/puffintide/scenarios/runner.py
@@ -1,308 +1,242 @@
-"""Plays a scripted day: starts every process, injects the faults, stops all, and leaves the records in a folder."""
+"""Plays a scenario: starts every process, injects the faults, ends all, and leaves the records in a folder."""
 
 from __future__ import annotations
 
-import configparser
-import contextlib
 import json
 import os
-import signal
 import subprocess
 import sys
 import time
+from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from pathlib import Path
-from typing import IO, Any
+from typing import Any
 
 from puffintide.config.model import Config
-from puffintide.emulators.fleet import dealt
-from puffintide.scenarios.faults import Step, plan
-from puffintide.scenarios.place import Place, at, lay
-
-READY_S = 20.0  # for a process to listen
-FRONTS_PER_PROCESS = 40  # dispatchers in one process
+from puffintide.scenarios.config_files import (
+    BACKUPS,
+    DATABASE,
+    EMPTY_STORE_CONFIG,
+    OPERATOR_CONFIG,
+    STORE_CONFIG,
+    ConfigFiles,
+)
+from puffintide.scenarios.errors import PlayError
+from puffintide.scenarios.faults import plan
+from puffintide.scenarios.place import lay
+from puffintide.scenarios.processes import ProcessGroup
+from puffintide.scenarios.steps import Party, Step
+
+PROXIES_PER_PROCESS = 40
 BACKUP = "day"
-
-
-class DayError(Exception):
-    """The day could not be played; the text says what went wrong."""
-
-
-@dataclass
-class Running:
-    name: str
-    process: subprocess.Popen[str]
-    log: IO[str]
-
-
-@dataclass
-class Player:
-    config: Config
-    source: str  # the day's INI text
-    out: Path
-    seed: int
-    tell: Callable[[str, float], None] = lambda text, share: None
-    running: dict[str, Running] = field(default_factory=dict)
-    lives: dict[str, int] = field(default_factory=dict)
-    notes: list[dict[str, Any]] = field(default_factory=list)
-    place: Place | None = None
-    lost: bool = False  # the store's disk, with all that it kept
-    assigner: tuple[str, ...] = ("puffintide", "assigner")  # the module that plays it, and its first words
-    port_start: int = 0  # days played side by side look for ports in different places
-
-    # Processes ----------------------------------------------------------------------------------------
-
-    def _spawn(self, name: str, *words: str, module: str = "puffintide") -> Running:
-        log = (self.out / f"{name.replace(':', '-')}.log").open("a", encoding="utf-8")
-        process = subprocess.Popen(
-            [sys.executable, "-m", module, *words],
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            stderr=log,
-            text=True,
-            start_new_session=True,  # Ctrl-C comes to us, and we end them in order
-        )
-        self.running[name] = Running(name, process, log)
-        return self.running[name]
-
-    def _wait_ready(self, name: str) -> None:
-        stdout = self.running[name].process.stdout
-        assert stdout is not None
-        line = stdout.readline()
-        if line.strip() != "ready":
-            raise DayError(f"{name} did not start; see {self.out / (name.replace(':', '-') + '.log')}")
-
-    def _say(self, name: str, what: str, args: dict[str, Any]) -> None:
-        stdin = self.running[name].process.stdin
-        assert stdin is not None
-        try:
-            stdin.write(json.dumps({"what": what, "args": args}) + "\n")
-            stdin.flush()
-        except BrokenPipeError:
-            raise DayError(f"{name} has ended; see its log in {self.out}") from None
-
-    def _start_store(self) -> None:
-        name = "store-refill.ini" if self.lost else "store.ini"
-        self._spawn("store", "store", "--config", str(self.out / name))
-
-    def _start_assigner(self, number: int) -> None:
-        name = f"assigner:{number}"
-        life = self.lives[name] = self.lives.get(name, 0) + 1
-        path = self.out / f"assigner-{number}.ini"
-        module, *first = self.assigner
-        self._spawn(name, *first, "--config", str(path), "--life", str(life), module=module)
-        self.note("start", assigner=number, life=life)
-
-    def note(self, what: str, **more: Any) -> None:
-        self.notes.append({"t": time.monotonic(), "what": what, **more})
-
-    def _write_configs(self, place: Place) -> None:
-        base = configparser.ConfigParser(interpolation=None)
-        base.read_string(self.source)
-        zones = len(self.config.deployment.zones)
-        keep = ("deployment", "channel", "reports", "list", "probes", "rules", "charge", "zones")
-        for number, port in enumerate(place.assigners):
-            section = {
-                "id": str(number),
-                "zone": str(number % zones),
-                "listen": at(port),
-                "store": place.tapped("store"),
-                "list": place.tapped("list"),
-                "list_cache": str(self.out / f"list-{number}.json"),
-                "seed": str(self.seed),
-            }
-            extra = {"assigner": section}
-            if self.config.peers is not None:
-                extra["peers"] = dict(base.items("peers")) | {"addresses": ", ".join(place.peers(number))}
-            self._config(base, keep, extra, self.out / f"assigner-{number}.ini")
-        tables = self.out / "tables.jsonl"
-        self._first_tables(place, tables)
-        store = {
-            "listen": at(place.store),
-            "start_tables": str(tables),
-            "file": str(self.out / "kept.db"),
-            "backups": str(self.out / "backups"),
-        }
-        (self.out / "backups").mkdir(exist_ok=True)
-        operator = {"store": at(place.store), "assigners": ", ".join(map(at, place.assigners))}
-        self._config(base, keep, {"operator": operator}, self.out / "operator.ini")
-        self._config(base, keep, {"store": store}, self.out / "store.ini")
-        empty = {"listen": store["listen"], "file": store["file"], "refill": "yes"}
-        self._config(base, keep, {"store": empty}, self.out / "store-refill.ini")
-
-    @staticmethod
-    def _config(
-        base: configparser.ConfigParser, keep: tuple[str, ...], extra: dict[str, dict[str, str]], path: Path
+MAX_WAIT_S = 0.25  # between two checks of the processes
+COMPLETION_MARGIN_S = 3  # after the longest deadline, for the clients to end
+PORTS_PER_PROCESS_ID = 7919  # runners side by side start to look for ports in different places
+OLD_FILE_SUFFIXES = (".log", ".jsonl", ".ini", ".json")
+NO_ASSIGNER = -1
+
+Progress = Callable[[str, float], None]  # what is done, and the part of the scenario that was played
+
+
+def _no_progress(_text: str, _fraction: float) -> None:
+    pass
+
+
+class ScenarioRunner:
+    """Plays one scenario.
+
+    Args:
+        config: Of the scenario.
+        source: Its INI text.
+        folder: For records, logs and configurations.
+        seed: Of faults, requests and assigners.
+        assigner_command: Module that runs an assigner, and its first words.
+        port_start: Offset at which free ports are looked for.
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        source: str,
+        folder: Path,
+        seed: int,
+        assigner_command: tuple[str, ...] = ("puffintide", "assigner"),
+        port_start: int = 0,
     ) -> None:
-        made = configparser.ConfigParser(interpolation=None)
-        for title in base.sections():
-            if title in keep or title.startswith(("class ", "zone ")):
-                made[title] = dict(base.items(title))
-        for title, values in extra.items():
-            made[title] = values
-        with path.open("w", encoding="utf-8") as file:
-            made.write(file)
-
-    def _first_tables(self, place: Place, path: Path) -> None:
-        """Each slice begins on one server; servers have slices by their size, as the users' store does."""
-        fleet = self.config.fleet
-        assert fleet is not None
-        zones = len(self.config.deployment.zones)
-        seats: list[tuple[float, int]] = []
-        count = fleet.servers + fleet.spare
-        sizes = [dealt(fleet.cores, s, zones, count) for s in range(fleet.servers)]
-        for server, size in enumerate(sizes):
-            seats += [((k + 0.5) / size, server) for k in range(size)]
-        order = [server for _, server in sorted(seats)]
-        with path.open("w", encoding="utf-8") as file:
-            for number in range(self.config.deployment.slices):
-                server = order[number % len(order)]
-                row = {"slice": number, "server": server, "address": place.tapped(f"try:{server}")}
-                file.write(json.dumps(row) + "\n")
-
-    # The day ------------------------------------------------------------------------------------------
+        assert config.day is not None
+        self.config = config
+        self.scenario = config.day
+        self.source = source
+        self.folder = folder
+        self.seed = seed
+        self.assigner_command = assigner_command
+        self.port_start = port_start
+        self.on_progress: Progress = _no_progress
+        self.processes = ProcessGroup(folder)
+        self._incarnations: Counter[str] = Counter()
+        self._notes: list[dict[str, Any]] = []
+        self._store_lost = False  # with all that it had; it restores its tables from replicas
 
     def play(self) -> None:
-        """Raises DayError; whatever happens, no process is left behind."""
-        day = self.config.day
-        assert day is not None
-        self.out.mkdir(parents=True, exist_ok=True)
-        for old in self.out.glob("*"):
-            if old.suffix in (".log", ".jsonl", ".ini", ".json") or old.name.startswith("kept.db"):
-                old.unlink()
-        (self.out / "day.ini").write_text(self.source, encoding="utf-8")
-        self.place = lay(self.config, os.getpid() * 7919 + self.port_start)
-        self.place.save(self.out / "place.json")
-        self._write_configs(self.place)
+        """Play the scenario; whatever happens, no process is left behind.
+
+        Raises:
+            PlayError: It could not be played.
+        """
+        self._prepare_folder()
+        place = lay(self.config, os.getpid() * PORTS_PER_PROCESS_ID + self.port_start)
+        place.save(self.folder / "place.json")
+        ConfigFiles(self.config, self.source, self.folder, place, self.seed).write()
         try:
-            self._begin()
-            began = time.monotonic()
+            self._start_all()
+            began_s = time.monotonic()
             self.note("begin")
-            self._say("clients", "go", {})
-            self._through(began, plan(self.config, self.seed), day.length_s)
-            self._finish()
+            self.processes.send("clients", "go", {})
+            self._play_steps(began_s, plan(self.config, self.seed))
+            self._wait_for_clients()
         finally:
-            self._end_all()
-            with (self.out / "day.jsonl").open("w", encoding="utf-8") as file:
-                for row in self.notes:
+            self.processes.end_all()
+            with (self.folder / "day.jsonl").open("w", encoding="utf-8") as file:
+                for row in self._notes:
                     file.write(json.dumps(row) + "\n")
 
-    def _begin(self) -> None:
-        where = ["--out", str(self.out)]
-        self.tell("starting", 0.0)
+    def note(self, event: str, **fields: Any) -> None:
+        """Add a line to the runner's own record."""
+        self._notes.append({"t": time.monotonic(), "what": event, **fields})
+
+    def _prepare_folder(self) -> None:
+        self.folder.mkdir(parents=True, exist_ok=True)
+        for old in self.folder.glob("*"):
+            if old.suffix in OLD_FILE_SUFFIXES or old.name.startswith(DATABASE):
+                old.unlink()
+        (self.folder / "day.ini").write_text(self.source, encoding="utf-8")
+
+    # Start ---------------------------------------------------------------------------------------
+
+    def _start_all(self) -> None:
+        """Start every process, and wait until all have connected."""
+        out = ["--out", str(self.folder)]
+        self.on_progress("starting", 0.0)
         for name in ("tap", "fleet"):
-            self._spawn(name, "standin", name, *where)
+            self.processes.spawn(name, "standin", name, *out)
         self._start_store()
         for name in ("tap", "fleet", "store"):
-            self._wait_ready(name)
-        for number in range(self.config.deployment.assigners):
-            self._start_assigner(number)
-        count = self.config.deployment.proxies
+            self.processes.wait_ready(name)
+        assigner_ids = range(self.config.deployment.assigners)
+        for assigner_id in assigner_ids:
+            self._start_assigner(assigner_id)
+        proxy_names = self._start_proxies(out)
+        for assigner_id in assigner_ids:
+            self.processes.wait_ready(f"assigner:{assigner_id}")
+        for name in proxy_names:
+            self.processes.wait_ready(name)
+        self.processes.spawn("clients", "standin", "clients", *out)
+        self.processes.wait_ready("clients")
+        time.sleep(self.scenario.settle_s)
+
+    def _start_proxies(self, out: list[str]) -> list[str]:
         names = []
-        for first in range(0, count, FRONTS_PER_PROCESS):
-            last = min(count, first + FRONTS_PER_PROCESS)
-            names.append(f"proxies:{first}")
-            self._spawn(names[-1], "standin", "proxies", *where, "--first", str(first), "--last", str(last))
-        for number in range(self.config.deployment.assigners):
-            self._wait_ready(f"assigner:{number}")
-        for name in names:
-            self._wait_ready(name)
-        self._spawn("clients", "standin", "clients", *where)
-        self._wait_ready("clients")
-        assert self.config.day is not None
-        time.sleep(self.config.day.settle_s)
+        proxy_count = self.config.deployment.proxies
+        for first in range(0, proxy_count, PROXIES_PER_PROCESS):
+            last = min(proxy_count, first + PROXIES_PER_PROCESS)
+            name = f"proxies:{first}"
+            names.append(name)
+            self.processes.spawn(name, "standin", "proxies", *out, "--first", str(first), "--last", str(last))
+        return names
 
-    def _through(self, began: float, steps: list[Step], length: float) -> None:
-        for step in [*steps, Step(length, "end", "")]:
-            while (left := began + step.at - time.monotonic()) > 0:
-                self.tell("playing", min(1.0, (time.monotonic() - began) / length))
-                self._watch()
-                time.sleep(min(left, 0.25))
-            if step.at < length and step.party != "end":
-                self._do(step)
-        self.tell("playing", 1.0)
-
-    def _do(self, step: Step) -> None:
-        self.note("step", party=step.party, step=step.what, args=step.args)
-        if step.party in ("fleet", "tap"):
-            self._say(step.party, step.what, step.args)
+    def _start_store(self) -> None:
+        name = EMPTY_STORE_CONFIG if self._store_lost else STORE_CONFIG
+        self.processes.spawn("store", "store", "--config", str(self.folder / name))
+
+    def _start_assigner(self, assigner_id: int) -> None:
+        name = f"assigner:{assigner_id}"
+        self._incarnations[name] += 1
+        incarnation = self._incarnations[name]
+        path = self.folder / f"assigner-{assigner_id}.ini"
+        module, *words = self.assigner_command
+        self.processes.spawn(name, *words, "--config", str(path), "--life", str(incarnation), module=module)
+        self.note("start", assigner=assigner_id, life=incarnation)
+
+    # Play ----------------------------------------------------------------------------------------
+
+    def _play_steps(self, began_s: float, steps: list[Step]) -> None:
+        length_s = self.scenario.length_s
+        for step in [*steps, Step(length_s, Party.END, "")]:
+            while (wait_s := began_s + step.at_s - time.monotonic()) > 0:
+                played = (time.monotonic() - began_s) / length_s
+                self.on_progress("playing", min(1.0, played))
+                self.processes.check_running()
+                time.sleep(min(wait_s, MAX_WAIT_S))
+            if step.at_s < length_s and step.party is not Party.END:
+                self._carry_out(step)
+        self.on_progress("playing", 1.0)
+
+    def _carry_out(self, step: Step) -> None:
+        self.note("step", party=str(step.party), step=step.operation, args=step.arguments)
+        if step.party is not Party.PROCESS:
+            self.processes.send(str(step.party), step.operation, step.arguments)
             return
-        for name in step.args["who"]:
-            running = self.running[name]
-            number = int(name.split(":")[1]) if ":" in name else -1
-            match step.what:
-                case "kill":
-                    running.process.kill()
-                    running.process.wait()
-                    self.note("kill", assigner=number)
-                case "lose":  # its disk with it
-                    running.process.kill()
-                    running.process.wait()
-                    for file in self.out.glob("kept.db*"):
-                        file.unlink()
-                    self.lost = self.config.peers is not None
-                case "backup":
-                    self._command("store", "backup", BACKUP, "--config", str(self.out / "operator.ini"))
-                case "restore":
-                    running.process.kill()
-                    running.process.wait()
-                    folder = str(self.out / "backups" / BACKUP)
-                    self._command("store", "restore", folder, str(self.out / "kept.db"))
-                case "start" if name == "store":
-                    self._start_store()
-                case "start":
-                    self._start_assigner(number)
-                case "stop":
-                    running.process.send_signal(signal.SIGSTOP)
-                    self.note("stop", assigner=number)
-                case "wake":
-                    running.process.send_signal(signal.SIGCONT)
-                    self.note("wake", assigner=number)
-
-    def _command(self, *words: str) -> None:
-        """What an operator would type."""
-        done = subprocess.run([sys.executable, "-m", "puffintide", *words], capture_output=True, text=True)
+        for name in step.arguments["who"]:
+            if name == "store":
+                self._control_store(step.operation)
+            else:
+                self._control_assigner(step.operation, int(name.split(":")[1]))
+
+    def _control_assigner(self, operation: str, assigner_id: int) -> None:
+        if operation == "start":
+            self._start_assigner(assigner_id)
+        else:
+            self._signal(f"assigner:{assigner_id}", operation, assigner_id)
+
+    def _control_store(self, operation: str) -> None:
+        match operation:
+            case "start":
+                self._start_store()
+            case "lose":
+                self.processes.running["store"].kill()
+                for file in self.folder.glob(f"{DATABASE}*"):
+                    file.unlink()
+                self._store_lost = self.config.peers is not None
+            case "backup":
+                config = str(self.folder / OPERATOR_CONFIG)
+                self._run_command("store", "backup", BACKUP, "--config", config)
+            case "restore":
+                self.processes.running["store"].kill()
+                backup = str(self.folder / BACKUPS / BACKUP)
+                self._run_command("store", "restore", backup, str(self.folder / DATABASE))
+            case _:
+                self._signal("store", operation, NO_ASSIGNER)
+
+    def _signal(self, name: str, operation: str, assigner_id: int) -> None:
+        """Kill, pause or resume a process."""
+        running = self.processes.running[name]
+        match operation:
+            case "kill":
+                running.kill()
+            case "stop":
+                running.pause()
+            case "wake":
+                running.resume()
+        self.note(operation, assigner=assigner_id)
+
+    def _run_command(self, *words: str) -> None:
+        """Run a command of the operator."""
+        command = [sys.executable, "-m", "puffintide", *words]
+        done = subprocess.run(command, capture_output=True, text=True, check=False)
         self.note("command", words=words, code=done.returncode, said=done.stdout)
         if done.returncode:
-            raise DayError(f"puffintide {' '.join(words)}: {done.stdout}{done.stderr}")
-
-    def _watch(self) -> None:
-        for name, running in self.running.items():
-            code = running.process.poll()
-            if name == "clients" and code == 0:
-                continue  # all was answered before the day's last second
-            if code is not None and not (name.startswith(("assigner", "store")) and code == -signal.SIGKILL):
-                raise DayError(f"{name} ended by itself with code {code}; see its log in {self.out}")
+            raise PlayError(f"puffintide {' '.join(words)}: {done.stdout}{done.stderr}")
 
-    def _finish(self) -> None:
-        """Waits until all is answered, then ends clients first and the tap last, so that the records are whole."""
-        self.tell("finishing", 1.0)
-        longest = max(c.deadline_s for c in self.config.classes.values()) + 3
-        clients = self.running["clients"].process
+    def _wait_for_clients(self) -> None:
+        """Wait until every request has ended."""
+        self.on_progress("finishing", 1.0)
+        longest_deadline_s = max(section.deadline_s for section in self.config.classes.values())
+        clients = self.processes.running["clients"].process
         try:
-            clients.wait(longest)
-        except subprocess.TimeoutExpired:
-            raise DayError("the clients did not come to an end") from None
+            clients.wait(longest_deadline_s + COMPLETION_MARGIN_S)
+        except subprocess.TimeoutExpired as error:
+            raise PlayError("the clients did not come to an end") from error
         if clients.returncode:
-            raise DayError(f"the clients ended with code {clients.returncode}; see their log in {self.out}")
-
-    def _end_all(self) -> None:
-        order = sorted(self.running, key=lambda n: (n == "tap", n == "fleet", n == "store", n))
-        for name in order:
-            running = self.running[name]
-            if running.process.poll() is None:
-                running.process.send_signal(signal.SIGCONT)
-                if running.process.stdin is not None:
-                    with contextlib.suppress(BrokenPipeError):
-                        running.process.stdin.close()  # stand-ins end with it, after closing their records
-                if name.startswith(("assigner", "store")):
-                    running.process.terminate()
-                try:
-                    running.process.wait(10)
-                except subprocess.TimeoutExpired:
-                    running.process.kill()
-                    running.process.wait()
-            if running.process.stdout is not None:
-                running.process.stdout.close()
-            running.log.close()
+            raise PlayError(
+                f"the clients ended with code {clients.returncode}; see their log in {self.folder}"
+            )
--- a/puffintide/scenarios/scenes.py
+++ b/puffintide/scenarios/zone_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenes of a lost zone: changes of a base day and the faults that make each. Pure text in, text out."""
+"""Scenarios of a lost zone: the faults of each, and how it differs from a base script. No I/O."""
 
 from __future__ import annotations
 
@@ -10,46 +10,47 @@
 
 
 @dataclass(frozen=True)
-class Scene:
-    """What it shows, the faults, and what of the base day is changed. Times are seconds."""
+class ZoneScenario:
+    """One scenario."""
 
-    shows: str
-    faults: Sections
-    changes: Sections = field(default_factory=dict)
+    description: str
+    faults: Sections  # by name
+    changes: Sections = field(default_factory=dict)  # of the base script
     length_s: float = 60.0
 
 
 LOSS = {"kind": "zone_loss", "at_s": "12", "for_s": "15", "zone": "0"}
-LEVELS = {
+ADMISSION_CONTROL = {
     "deployment": {"admit": "fraction"},
     "reports": {"names": "busy, rif"},
-}  # as sites with levels report
-THREE = {"deployment": {"zones": "north, south, east", "proxies": "9"}, "fleet": {"servers": "12"}}
+}
+THREE_ZONES = {"deployment": {"zones": "north, south, east", "proxies": "9"}, "fleet": {"servers": "12"}}
 
 
-def _flap(period: float, times: int) -> Sections:
+def _flap(period_s: float, times: int) -> Sections:
+    """A zone that is lost and returns several times."""
     return {
         "flap": {
             "kind": "zone_flap",
             "at_s": "12",
-            "for_s": f"{period * times:g}",
+            "for_s": f"{period_s * times:g}",
             "zone": "0",
-            "size": f"{period:g}",
+            "size": f"{period_s:g}",
         }
     }
 
 
-SCENES: dict[str, Scene] = {
-    "loss": Scene("half of the fleet lost for 15 s, the rest has room", {"zone": LOSS}),
-    "loss-full": Scene(
-        "lost at a load that the rest can't carry; proxies let in as told",
+ZONE_SCENARIOS: dict[str, ZoneScenario] = {
+    "loss": ZoneScenario("half of the fleet lost for 15 s, the rest has room", {"zone": LOSS}),
+    "loss-full": ZoneScenario(
+        "lost at a load that the rest can't carry; proxies shed load",
         {"zone": LOSS},
-        LEVELS | {"load": {"requests_per_s": "190"}},
+        ADMISSION_CONTROL | {"load": {"requests_per_s": "190"}},
     ),
-    "loss-full-silent": Scene(
-        "the same where proxies let everything in", {"zone": LOSS}, {"load": {"requests_per_s": "190"}}
+    "loss-full-silent": ZoneScenario(
+        "the same where proxies admit everything", {"zone": LOSS}, {"load": {"requests_per_s": "190"}}
     ),
-    "loss-in-deploy": Scene(
+    "loss-in-deploy": ZoneScenario(
         "lost during a rolling deploy of the other zone",
         {
             "zone": LOSS,
@@ -63,38 +64,38 @@
             },
         },
     ),
-    "loss-with-assigner": Scene("lost with the assigner in it", {"zone": LOSS | {"way": "all"}}),
-    "return-while-hot": Scene(
+    "loss-with-assigner": ZoneScenario("lost with the assigner in it", {"zone": LOSS | {"way": "all"}}),
+    "return-while-hot": ZoneScenario(
         "it returns while demand rises past what the other can carry",
         {"zone": LOSS},
-        LEVELS | {"load": {"requests_per_s": "190", "shape": "0:0.6, 24:0.6, 30:1.0, 60:1.0"}},
+        ADMISSION_CONTROL | {"load": {"requests_per_s": "190", "shape": "0:0.6, 24:0.6, 30:1.0, 60:1.0"}},
     ),
-    "half-back": Scene(
+    "half-back": ZoneScenario(
         "half of its servers do not return",
         {"zone": LOSS, "dead": {"kind": "crash", "at_s": "27.5", "for_s": "20", "servers": "0, 4, 8"}},
     ),
-    "flap-3": Scene("away and back every 3 s, eight times", _flap(3, 8)),
-    "flap-8": Scene("every 8 s, five times", _flap(8, 5), length_s=75),
-    "flap-20": Scene("every 20 s, three times", _flap(20, 3), length_s=95),
-    "both-degraded": Scene(
+    "flap-3": ZoneScenario("away and back every 3 s, eight times", _flap(3, 8)),
+    "flap-8": ZoneScenario("every 8 s, five times", _flap(8, 5), length_s=75),
+    "flap-20": ZoneScenario("every 20 s, three times", _flap(20, 3), length_s=95),
+    "both-degraded": ZoneScenario(
         "a third of each zone crashes",
         {"some": {"kind": "crash", "at_s": "12", "for_s": "15", "servers": "0, 1, 2, 3"}},
     ),
-    "late-reports": Scene(
+    "late-reports": ZoneScenario(
         "all is well and reports come 5 s late",
         {"late": {"kind": "report_late", "at_s": "12", "for_s": "15", "size": "5"}},
     ),
-    "late-list": Scene(
+    "late-list": ZoneScenario(
         "the list tells of the loss 6 s late and of the return 4 s late",
         {"zone": LOSS},
         {"fleet": {"notice_s": "6", "add_s": "4"}},
     ),
-    "two-of-three": Scene(
+    "two-of-three": ZoneScenario(
         "two of three zones lost, one after the other",
         {"zone": LOSS, "next": LOSS | {"at_s": "18", "zone": "1"}},
-        THREE | {"load": {"requests_per_s": "90"}},
+        THREE_ZONES | {"load": {"requests_per_s": "90"}},
     ),
-    "one-server": Scene(
+    "one-server": ZoneScenario(
         "a zone of one server among three",
         {"zone": {"kind": "crash", "at_s": "12", "for_s": "15", "servers": "0"}},
         {
@@ -103,11 +104,11 @@
             "load": {"requests_per_s": "30"},
         },
     ),
-    "slow-link": Scene(
+    "slow-link": ZoneScenario(
         "350 ms more each way between the zones, 20% lost",
         {"link": {"kind": "slow_link", "at_s": "12", "for_s": "20", "size": "0.35", "extra": "0.2"}},
     ),
-    "one-sided": Scene(
+    "one-sided": ZoneScenario(
         "proxies of one zone lose 60% of what they send to the other",
         {"side": {"kind": "one_sided", "at_s": "12", "for_s": "20", "size": "0.6", "zone": "1"}},
     ),
@@ -115,18 +116,22 @@
 
 
 def script(base: str, name: str) -> str:
-    """The base day without its own faults, as this scene has it. Raises KeyError for an unknown scene."""
-    scene = SCENES[name]
+    """The base script with this scenario's faults and changes.
+
+    Raises:
+        KeyError: There is no such scenario.
+    """
+    scenario = ZONE_SCENARIOS[name]
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     parser.read_string(base)
     for section in parser.sections():
         if section.startswith("fault "):
             parser.remove_section(section)
-    parser["day"].update({"name": name, "length_s": f"{scene.length_s:g}"})
+    parser["day"].update({"name": name, "length_s": f"{scenario.length_s:g}"})
     parser["load"]["shape"] = "0:1"
-    for section, values in scene.changes.items():
+    for section, values in scenario.changes.items():
         parser[section].update(values)
-    for fault, values in scene.faults.items():
+    for fault, values in scenario.faults.items():
         parser[f"fault {fault}"] = values
     text = io.StringIO()
     parser.write(text)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -27,9 +27,10 @@
 from puffintide.protocol.messages import TableEntry
 from puffintide.proxy.service import ProxyService
 from puffintide.replication.table_restore import FENCING_TOKEN_GAP, TableRestore
-from puffintide.scenarios.faults import Step, plan
+from puffintide.scenarios.faults import plan
 from puffintide.scenarios.place import Place, at
 from puffintide.scenarios.results import ScenarioResult, evaluate
+from puffintide.scenarios.steps import Step
 from puffintide.scenarios.tap import Bend, Link, Tap
 from puffintide.store.engine import Commit, StoreSnapshot
 from puffintide.store.errors import StoreError
@@ -486,12 +487,14 @@
 
     def _do(self, step: Step) -> None:
         if step.party == "fleet":
-            self.fleet.control(step.what, step.args)
+            self.fleet.control(step.operation, step.arguments)
         elif step.party == "process":
-            for name in step.args["who"]:
-                self.process(step.what, name)
+            for name in step.arguments["who"]:
+                self.process(step.operation, name)
         else:
-            self.bend(**({k: v for k, v in step.args.items() if step.what == "bend" or k == "name"}))
+            self.bend(
+                **({k: v for k, v in step.arguments.items() if step.operation == "bend" or k == "name"})
+            )
 
     # The day --------------------------------------------------------------------------------------
 
@@ -501,7 +504,7 @@
         self.net.until(begun)
         self.clients.start()
         for step in plan(self.config, self.day.seed):
-            self.net.callLater(step.at, self._do, step)
+            self.net.callLater(step.at_s, self._do, step)
         for when, call in self.steps:
             self.net.callLater(when, call, self)
         self.net.until(begun + self.day.length_s + more_s)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -19,8 +19,9 @@
 from puffintide.emulators.model import Make, ServerModel
 from puffintide.protocol import messages as m
 from puffintide.proxy.weight_tables import WeightTables
-from puffintide.scenarios.faults import BY_CLIENTS, plan
-from puffintide.scenarios.importer import ImportFailure, turn
+from puffintide.scenarios.errors import ImportFormatError
+from puffintide.scenarios.faults import FAULTS_OF_CLIENTS, plan
+from puffintide.scenarios.importer import import_day
 from puffintide.scenarios.kinds import KINDS, script
 from puffintide.store.ownership import OwnershipLedger
 
@@ -172,7 +173,7 @@
         arrivals = draw(config)
         if name == "none":
             plain = arrivals
-        elif name.split()[0] not in BY_CLIENTS:
+        elif name.split()[0] not in FAULTS_OF_CLIENTS:
             assert steps and arrivals == plain, name
         elif name != "give_up":
             assert arrivals != plain, name
@@ -281,7 +282,7 @@
 def test_a_drawn_day_is_turned_into_a_script_at_any_scale(tmp_path: Path) -> None:
     for scale in (0.5, 1.0):
         path = tmp_path / "day.ini"
-        path.write_text(turn(bench_day(), scale))
+        path.write_text(import_day(bench_day(), scale))
         config = read_config(str(path), ("day", "fleet", "load"))
         assert config.fleet is not None and config.load is not None
         assert config.fleet.servers == round(10 * scale) and config.deployment.assigners == 2
@@ -299,8 +300,8 @@
 def test_what_is_no_such_day_is_refused(bend: Any) -> None:
     day = bench_day()
     bend(day)
-    with pytest.raises(ImportFailure):
-        turn(day)
+    with pytest.raises(ImportFormatError):
+        import_day(day)
 
 
 # Stand-ins ------------------------------------------------------------------------------------------------
