--- a/puffintide/decisions/placement.py
+++ b/puffintide/decisions/placement.py
@@ -79,6 +79,7 @@
         """Return an alternate that has capacity, else the least utilized server, if there is any."""
         projection = self._projection
         alternate_id = projection.find_alternate(slice_id, parameters.ALTERNATE_MAX_UTILIZATION)
+        # Server 0 counts as none here, and is taken only as the least utilized.
         return alternate_id or projection.least_utilized(slice_id)
 
     def _move_off_unavailable_servers(self) -> None:
--- a/puffintide/zones/__init__.py
+++ b/puffintide/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Losing and regaining a zone: what is judged, what may spill, how a return grows."""
+"""Loss and recovery of zones: limits to the capacity that a director plans with."""
--- a/tests/world.py
+++ b/tests/world.py
@@ -89,9 +89,9 @@
         self.failing_servers: set[int] = set()
         self.reports_stopped = False
         self.withdrawn: set[int] = set()
-        self.channel_speed = 1.0  # the channel's real speed against the stated one
+        self.channel_speed = 1.0  # of the channel, as a fraction of the speed in the settings
         self.busy_until = START
-        self.pending_checkpoints: list[tuple[float, int]] = []  # when a marked message will be applied by all
+        self.pending_checkpoints: list[tuple[float, int]] = []  # when proxies have applied it, and its id
         self.max_waiting_entries = 0.0
         events: list[Event] = [
             EndpointListUpdate(ListUpdateType.CACHED, 1, tuple(server(s) for s in servers))
@@ -104,32 +104,45 @@
         self.send(*events)
 
     def send(self, *events: Event) -> list[Action]:
+        """Hand events to the director, and carry out its actions."""
         actions: list[Action] = self.director.handle(self.now, events)
         self.log.append((self.now, actions))
-        lines = sum(isinstance(a, SetWeight | SetAdmission | SetWithdrawn | SendCheckpoint) for a in actions)
-        if lines:
-            speed = self.settings.channel_entries_per_s * self.channel_speed
-            sent = (lines + self.settings.channel_header_entries) * self.settings.proxy_count
-            self.busy_until = max(self.busy_until, self.now) + sent / speed
-            self.max_waiting_entries = max(self.max_waiting_entries, (self.busy_until - self.now) * speed)
+        entries = sum(
+            isinstance(a, SetWeight | SetAdmission | SetWithdrawn | SendCheckpoint) for a in actions
+        )
+        if entries:
+            self._load_channel(entries)
         for action in actions:
-            if isinstance(action, SendCheckpoint):
-                self.pending_checkpoints.append(
-                    (self.busy_until + self.settings.channel_delay_s, action.checkpoint_id)
-                )
-            if isinstance(action, SetWithdrawn):
-                (self.withdrawn.add if action.withdrawn else self.withdrawn.discard)(action.server_id)
-            if isinstance(action, SetWeight):
-                table = self.tables.setdefault(action.slice_id, {})
-                if action.weight > 0:
-                    if self.settings.single_writer:
-                        table.clear()
-                    table[action.server_id] = action.weight
-                else:
-                    table.pop(action.server_id, None)
+            self._carry_out(action)
         return actions
 
+    def _load_channel(self, entries: int) -> None:
+        speed = self.settings.channel_entries_per_s * self.channel_speed
+        sent = (entries + self.settings.channel_header_entries) * self.settings.proxy_count
+        self.busy_until = max(self.busy_until, self.now) + sent / speed
+        self.max_waiting_entries = max(self.max_waiting_entries, (self.busy_until - self.now) * speed)
+
+    def _carry_out(self, action: Action) -> None:
+        match action:
+            case SendCheckpoint():
+                applied_at = self.busy_until + self.settings.channel_delay_s
+                self.pending_checkpoints.append((applied_at, action.checkpoint_id))
+            case SetWithdrawn():
+                (self.withdrawn.add if action.withdrawn else self.withdrawn.discard)(action.server_id)
+            case SetWeight():
+                self._set_weight(action)
+
+    def _set_weight(self, action: SetWeight) -> None:
+        table = self.tables.setdefault(action.slice_id, {})
+        if action.weight <= 0:
+            table.pop(action.server_id, None)
+            return
+        if self.settings.single_writer:
+            table.clear()
+        table[action.server_id] = action.weight
+
     def load(self, sid: int) -> float:
+        """Requests per second that the tables send to a server."""
         total = 0.0
         for number in self.tables:
             table = self.admitted_weights(number)
@@ -150,30 +163,32 @@
             self.send(*events)
 
     def reports(self) -> list[Event]:
+        """Load reports of ten seconds each."""
         events: list[Event] = []
         for number, rate in sorted(self.request_rates.items()):
             events.append(SliceLoadReport(number, 0, round(rate * 10), 0, 10.0))
         for sid, capacity in sorted(self.capacity.items()):
             rate = self.load(sid)
-            tries = round(rate * 10)
-            if tries == 0:
+            attempts = round(rate * 10)
+            if attempts == 0:
                 continue
-            good = 0 if sid in self.failing_servers else round(min(rate, capacity) * 10)
+            successes = 0 if sid in self.failing_servers else round(min(rate, capacity) * 10)
             values = () if sid in self.failing_servers else (min(1.0, rate / capacity),)
-            events.append(ServerLoadReport(0, sid, tries, tries - good, 0.2, 10.0, values))
+            events.append(ServerLoadReport(0, sid, attempts, attempts - successes, 0.2, 10.0, values))
         return events
 
     def admitted_weights(self, number: int) -> dict[int, float]:
-        """A slice's lines without those of servers that are shut out."""
+        """A slice's table without the servers that are withdrawn."""
         return {s: w for s, w in self.tables[number].items() if s not in self.withdrawn}
 
     def main_servers(self, number: int) -> set[int]:
-        """The servers that carry a slice, standby lines left out."""
+        """The servers that a slice is on, standby entries left out."""
         table = self.admitted_weights(number)
         top = max(table.values(), default=0.0)
         return {s for s, w in table.items() if w > top / 2}
 
     def count_moves(self) -> int:
+        """How many entries of full weight were set."""
         return sum(isinstance(a, SetWeight) and a.weight >= 1 for _, acts in self.log for a in acts)
 
     def slices_on(self, sid: int) -> list[int]:
