--- a/tests/platform_peers.py
+++ b/tests/platform_peers.py
@@ -24,7 +24,8 @@
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(None)
-        self.sock, self.target = sock, ""
+        self.sock = sock
+        self.target = ""
         self.ended = threading.Event()  # by the program, or by close() and reset()
         self.requests: queue.Queue[tuple[str, bytes]] = queue.Queue()  # method with target, body
 
@@ -41,7 +42,8 @@
                     if len(rest) < size:
                         break
                     self.target = lines[0].rsplit(" ", 1)[0]
-                    body, buffer = rest[:size], rest[size:]
+                    body = rest[:size]
+                    buffer = rest[size:]
                     on_request(self, self.target, body)
         self.ended.set()
 
@@ -92,7 +94,8 @@
 
     def next_request(self, target: str, limit_s: float = LIMIT_S) -> tuple[HttpConnection, str, bytes]:
         """The next request that begins so; others stay for later. Raises TimeoutError."""
-        others, end = [], time.monotonic() + limit_s
+        others = []
+        end = time.monotonic() + limit_s
         try:
             while True:
                 row = self._requests.get(timeout=max(0.0, end - time.monotonic()))
@@ -189,7 +192,8 @@
     """One real assigner of the platform, its log row by row. Constants of its modules can be replaced."""
 
     def __init__(self, path: Path, config: dict[str, Any], constants: Mapping[str, float]) -> None:
-        self.path, self.config = path, config
+        self.path = path
+        self.config = config
         self.write()
         self.rows: list[dict[str, Any]] = []
         self._more = threading.Condition()
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -56,8 +56,10 @@
     transport: Any
 
     def __init__(self, server: Any) -> None:
-        self.server, self.http = server, h11.Connection(h11.SERVER)
-        self.target, self.open = "", True
+        self.server = server
+        self.http = h11.Connection(h11.SERVER)
+        self.target = ""
+        self.open = True
 
     def connectionMade(self) -> None:
         self.server.connections.append(self)
@@ -67,11 +69,13 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.http.receive_data(data)
-        body, method = b"", ""
+        body = b""
+        method = ""
         while True:
             event = self.http.next_event()
             if isinstance(event, h11.Request):
-                method, self.target = event.method.decode(), event.target.decode()
+                method = event.method.decode()
+                self.target = event.target.decode()
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
@@ -101,8 +105,10 @@
     noisy = False
 
     def __init__(self, net: Reactor, port: int) -> None:
-        self.party, self.connections = Party(net), list[Any]()
-        self.heartbeat_period_s, self.unresponsive = 1.0, False
+        self.party = Party(net)
+        self.connections = list[Any]()
+        self.heartbeat_period_s = 1.0
+        self.unresponsive = False
         self.party.listenTCP(port, self)
         self.party.callLater(0.0, self._send_heartbeats)
 
@@ -225,7 +231,8 @@
 class CheckedServer(FakeServer):
     def __init__(self, net: Reactor, port: int) -> None:
         super().__init__(net, port)
-        self.mode, self.checks = "well", 0
+        self.mode = "well"
+        self.checks = 0
 
     def answer(self, c: ServerConnection, _method: str, target: str, _body: bytes) -> None:
         self.checks += 1
@@ -248,7 +255,8 @@
     transport: Any
 
     def __init__(self, platform: Platform, port: int = LISTEN) -> None:
-        self.received, self.open = b"", True
+        self.received = b""
+        self.open = True
         factory: Any = Factory.forProtocol(lambda: self)
         factory.noisy = False
         factory.clientConnectionFailed = lambda *_: setattr(self, "open", False)
@@ -272,7 +280,8 @@
     ) -> None:
         self.net = Reactor()
         self.wall_s = 1.7e9
-        self.relay, self.discovery = FakeRelay(self.net), FakeDiscovery(self.net)
+        self.relay = FakeRelay(self.net)
+        self.discovery = FakeDiscovery(self.net)
         self.servers = [CheckedServer(self.net, FIRST_SERVER_PORT + k) for k in range(SERVERS)]
         self.clients = Party(self.net)
         self.path = folder / "config.json"
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -34,8 +34,11 @@
 
 pytestmark = pytest.mark.processes
 
-CALL, RELAY_WATCH, LIST_WATCH = "POST /api/txn", "GET /api/watch", "GET /catalog/members"
-SERVERS, SLICES = 4, 6
+CALL = "POST /api/txn"
+RELAY_WATCH = "GET /api/watch"
+LIST_WATCH = "GET /catalog/members"
+SERVERS = 4
+SLICES = 6
 # Waits are long, so that on a busy machine no time-out gets between what a test puts in order.
 PATIENT: Mapping[str, float] = {
     "platform.relay_client.RESPONSE_TIMEOUT_S": 20,
@@ -57,7 +60,8 @@
         health_checks: bool = False,
         **family: Any,
     ) -> None:
-        self.relay, self.discovery = HttpServer(), HttpServer()
+        self.relay = HttpServer()
+        self.discovery = HttpServer()
         listen = f"127.0.0.1:{PORTS.take()}"
         self.rows = [entry(k) for k in range(servers)]
         self.version = 7
@@ -386,7 +390,8 @@
     platform.relay.close()
     platform.discovery.close()
     successor = new_platform()  # a process of the same configuration, from nothing
-    successor.store, successor.rows[1] = platform.store, entry(1, "leaving")
+    successor.store = platform.store
+    successor.rows[1] = entry(1, "leaving")
     successor.start()
     successor.drain(2)
     successor.answer_calls_until_withdrawn("s-1", "s-2")
@@ -536,10 +541,8 @@
     platform.answer_calls_until_withdrawn("s-2", address=to)
     assert not platform.relay_watch.ended.is_set()
     assert not platform.list_watch.ended.is_set()
-    platform.relay_watch, platform.list_watch = (
-        platform.accept_watch(RELAY_WATCH, to),
-        platform.accept_watch(LIST_WATCH, to),
-    )
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH, to)
+    platform.list_watch = platform.accept_watch(LIST_WATCH, to)
     platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.list_watch.send_lines(
         {"seq": platform.version + 1, "whole": False, "hosts": [entry(3, "leaving")]}
@@ -560,10 +563,8 @@
     platform.assigner.write(discovery=platform.discovery.address, store={"address": platform.relay.address})
     platform.assigner.signal(signal.SIGHUP)
     platform.assigner.wait_for("reloaded", 2)
-    platform.relay_watch, platform.list_watch = (
-        platform.accept_watch(RELAY_WATCH),
-        platform.accept_watch(LIST_WATCH),
-    )
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH)
+    platform.list_watch = platform.accept_watch(LIST_WATCH)
     platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
     platform.answer_calls_until_withdrawn("s-1")
@@ -601,7 +602,9 @@
     platform = new_platform().start()
     to = HttpServer()
     new = json.loads(json.dumps(platform.assigner.config["settings"]))
-    new["familyInfo"]["slices"], new["rules"]["stopSendingWithinS"], new["zones"] = 9, 30.0, ["b"]
+    new["familyInfo"]["slices"] = 9
+    new["rules"]["stopSendingWithinS"] = 30.0
+    new["zones"] = ["b"]
     platform.assigner.write(settings=new, store={"address": to.address})
     platform.assigner.signal(signal.SIGHUP)
     platform.assigner.wait_for("reloaded")
@@ -670,7 +673,8 @@
 
 def test_pings_are_not_answered_before_the_initial_state(new_platform: Callable[..., Platform]) -> None:
     platform = new_platform(constants={**PATIENT, "platform.service.READY_TIMEOUT_S": 60})
-    news, listed = platform.accept_watch(RELAY_WATCH), platform.accept_watch(LIST_WATCH)
+    news = platform.accept_watch(RELAY_WATCH)
+    listed = platform.accept_watch(LIST_WATCH)
     asker = platform.assigner.connect()
     asker.sendall(b'{"msg":"ping"}\n')
     other = platform.assigner.connect()
@@ -809,6 +813,7 @@
             platform.drain(1)
             platform.answer_calls_until_withdrawn("s-1")
         for platform in platforms:
-            first, ready = platform.assigner.rows[0], platform.assigner.logged("serving")[0]
+            first = platform.assigner.rows[0]
+            ready = platform.assigner.logged("serving")[0]
             assert ready["t"] - first["t"] < 10
             assert ready["relay"]
