--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -32,7 +32,7 @@
 from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.service import StoreService
 from tests.surviving_store_engine import SurvivingStoreEngine, copied
-from tests.virtual_network import START, Party, Reactor
+from tests.virtual_network import START, ProcessReactor, VirtualNetwork
 
 SECTIONS: dict[str, dict[str, Any]] = {
     "day": {"name": "t", "length_s": 20, "seed": 5, "settle_s": 3},
@@ -103,19 +103,19 @@
         assert self.config.day is not None
         assert self.config.fleet is not None
         self.day = self.config.day
-        self.net, self.engine, self.notes = Reactor(), SurvivingStoreEngine(), list[dict[str, Any]]()
+        self.net, self.engine, self.notes = VirtualNetwork(), SurvivingStoreEngine(), list[dict[str, Any]]()
         self.log: dict[str, Log] = {}
-        self.party: dict[str, Party] = {}
-        self.lives: dict[str, int] = {}
+        self.reactors: dict[str, ProcessReactor] = {}
+        self.incarnations: dict[str, int] = {}
         self.assigners: dict[int, AssignerService] = {}
         self.proxies: dict[int, ProxyService] = {}
-        self.place = self._lay()
-        self._tables()
-        self._begin()
+        self.place = self._place_processes()
+        self._store_initial_tables()
+        self._start_processes()
 
     # Parties --------------------------------------------------------------------------------------
 
-    def _lay(self) -> Place:
+    def _place_processes(self) -> Place:
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
         zones, count = len(d.zones), f.servers + f.spare
@@ -140,7 +140,7 @@
         ]
         return place
 
-    def _tables(self) -> None:
+    def _store_initial_tables(self) -> None:
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
         rows = {
@@ -151,14 +151,16 @@
         book.load_tables(rows)
         self.engine.commit(Commit(1, 0, book.pop_changed()))
 
-    def _begin(self) -> None:
+    def _start_processes(self) -> None:
         config, out, place = self.config, self.out, self.place
         self.sink = (out / "tap.jsonl").open("wb")
-        self.tap = Tap(self._new("tap"), place.links, config.net.model_dump(), self.day.seed, self.sink)
+        self.tap = Tap(
+            self._new_reactor("tap"), place.links, config.net.model_dump(), self.day.seed, self.sink
+        )
         self.tap.listen()
         self.files = [(out / f"{n}.jsonl").open("w", encoding="utf-8") for n in ("fleet", "clients")]
         addresses = [place.tapped(f"try:{s}") for s in range(len(place.servers))]
-        self.fleet = FleetService(self._new("fleet"), config, place.servers, addresses, self.files[0])
+        self.fleet = FleetService(self._new_reactor("fleet"), config, place.servers, addresses, self.files[0])
         self.fleet.begin(place.news)
         self.start("store")
         for k in range(config.deployment.assigners):
@@ -166,19 +168,19 @@
         for p in range(config.deployment.proxies):
             self.start(f"proxy:{p}")
         fronts = [at(port) for port in place.fronts]
-        self.clients = Clients(self._new("clients"), config, fronts, self.files[1])
+        self.clients = Clients(self._new_reactor("clients"), config, fronts, self.files[1])
 
-    def _new(self, name: str) -> Party:
-        self.lives[name] = self.lives.get(name, 0) + 1
+    def _new_reactor(self, name: str) -> ProcessReactor:
+        self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.log.setdefault(name, Log())
-        self.party[name] = Party(self.net)
-        return self.party[name]
+        self.reactors[name] = ProcessReactor(self.net)
+        return self.reactors[name]
 
     def start(self, name: str) -> None:
-        party, kind, number = self._new(name), name.split(":")[0], int(name.partition(":")[2] or -1)
+        party, kind, number = self._new_reactor(name), name.split(":")[0], int(name.partition(":")[2] or -1)
         d, zones = self.config.deployment, len(self.config.deployment.zones)
         store, news = self.place.tapped("store"), self.place.tapped("list")
-        log, life = self.log[name], self.lives[name]
+        log, life = self.log[name], self.incarnations[name]
         if kind == "store":
             image = copied(self.engine.image)
             charge, now = self.config.charge, party.seconds()
@@ -207,21 +209,21 @@
             proxy.start()
             self.proxies[number] = proxy
 
-    def process(self, what: str, name: str) -> None:
+    def control_process(self, what: str, name: str) -> None:
         """kill, start, stop or wake, as the runner of days does to processes."""
         number = int(name.partition(":")[2] or -1)
         if name.startswith("assigner") and what != "start":
             self.notes.append({"t": self.net.seconds(), "what": what, "assigner": number})
         match what:
             case "kill":
-                self.party[name].kill()
+                self.reactors[name].kill()
             case "lose":
-                self.party[name].kill()
+                self.reactors[name].kill()
                 self.engine = SurvivingStoreEngine("u")
             case "backup":
                 self.saved = copied(self.engine.image)
             case "restore":  # as the command does it
-                self.party[name].kill()
+                self.reactors[name].kill()
                 self.engine = SurvivingStoreEngine()
                 self.engine.image = replace(
                     copied(self.saved),
@@ -231,25 +233,25 @@
             case "start":
                 self.start(name)
             case "stop":
-                self.party[name].stopped = True
+                self.reactors[name].suspended = True
             case "wake":
-                self.party[name].wake()
+                self.reactors[name].resume()
 
-    def bend(self, name: str, **how: Any) -> None:
+    def set_link_fault(self, name: str, **how: Any) -> None:
         """A fault of the ways, or its end."""
         words = tuple(w.encode() for w in how.pop("words", ()))
         how |= {key: frozenset(how.get(key, ())) for key in ("proxies", "parties", "facing", "senders")}
         kinds = tuple(how.pop("kinds", ()))
         self.tap.bend(name, Bend(kinds=kinds, words=words, **how) if kinds else None)
 
-    def _do(self, step: Step) -> None:
+    def _apply_step(self, step: Step) -> None:
         if step.party == "fleet":
             self.fleet.control(step.operation, step.arguments)
         elif step.party == "process":
             for name in step.arguments["who"]:
-                self.process(step.operation, name)
+                self.control_process(step.operation, name)
         else:
-            self.bend(
+            self.set_link_fault(
                 **({k: v for k, v in step.arguments.items() if step.operation == "bend" or k == "name"})
             )
 
@@ -258,17 +260,17 @@
     def play(self, more_s: float = 6.0) -> ScenarioResult:
         """All of the day, and a while for what is under way to end; judged by the audit."""
         begun = START + self.day.settle_s
-        self.net.until(begun)
+        self.net.run_until(begun)
         self.clients.start()
         for step in plan(self.config, self.day.seed):
-            self.net.callLater(step.at_s, self._do, step)
+            self.net.callLater(step.at_s, self._apply_step, step)
         for when, call in self.steps:
             self.net.callLater(when, call, self)
-        self.net.until(begun + self.day.length_s + more_s)
+        self.net.run_until(begun + self.day.length_s + more_s)
         for _ in range(30):  # an order may be on its way
-            if not self.astray():
+            if not self.inconsistencies():
                 break
-            self.net.until(self.net.seconds() + 0.1)
+            self.net.run_until(self.net.seconds() + 0.1)
         self.tap.close()
         for file in [self.sink, *self.files]:
             file.close()
@@ -276,7 +278,7 @@
         (self.out / "day.jsonl").write_text(rows, encoding="utf-8")
         return evaluate(self.out)
 
-    def astray(self) -> list[str]:
+    def inconsistencies(self) -> list[str]:
         """Slices whose table or level differs between the module in charge, the store and a proxy."""
         found = []
         for number, record in sorted(self.store.ledger.slices.items()):
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -13,7 +13,7 @@
 from puffintide.platform.service import Service
 from tests.platform_config import CONFIG
 from tests.test_bench_adapter import CONF
-from tests.virtual_network import Party, Reactor
+from tests.virtual_network import ProcessReactor, VirtualNetwork
 
 LISTEN = 3000
 DISCOVERY = 8500
@@ -104,8 +104,8 @@
 
     noisy = False
 
-    def __init__(self, net: Reactor, port: int) -> None:
-        self.party = Party(net)
+    def __init__(self, net: VirtualNetwork, port: int) -> None:
+        self.party = ProcessReactor(net)
         self.connections = list[Any]()
         self.heartbeat_period_s = 1.0
         self.unresponsive = False
@@ -134,7 +134,7 @@
 class FakeRelay(FakeServer):
     """Keeps tables; `fates` says what becomes of the next calls, "" is answered as it should be."""
 
-    def __init__(self, net: Reactor, port: int = RELAY) -> None:
+    def __init__(self, net: VirtualNetwork, port: int = RELAY) -> None:
         super().__init__(net, port)
         self.calls: list[tuple[float, list[dict[str, Any]]]] = []
         self.call_results: list[str] = []
@@ -204,7 +204,7 @@
 
 
 class FakeDiscovery(FakeServer):
-    def __init__(self, net: Reactor, port: int = DISCOVERY) -> None:
+    def __init__(self, net: VirtualNetwork, port: int = DISCOVERY) -> None:
         super().__init__(net, port)
         self.version = 7
         self.rows = [entry(k) for k in range(SERVERS)]
@@ -229,7 +229,7 @@
 
 
 class CheckedServer(FakeServer):
-    def __init__(self, net: Reactor, port: int) -> None:
+    def __init__(self, net: VirtualNetwork, port: int) -> None:
         super().__init__(net, port)
         self.mode = "well"
         self.checks = 0
@@ -278,12 +278,12 @@
     def __init__(
         self, folder: Path, known: bool = True, more: dict[str, Any] | None = None, **family: Any
     ) -> None:
-        self.net = Reactor()
+        self.net = VirtualNetwork()
         self.wall_s = 1.7e9
         self.relay = FakeRelay(self.net)
         self.discovery = FakeDiscovery(self.net)
         self.servers = [CheckedServer(self.net, FIRST_SERVER_PORT + k) for k in range(SERVERS)]
-        self.clients = Party(self.net)
+        self.clients = ProcessReactor(self.net)
         self.path = folder / "config.json"
         self.config = CONFIG | {
             "listen": f"127.0.0.1:{LISTEN}",
@@ -301,7 +301,7 @@
         self.path.write_text(json.dumps(self.config))
 
     def start(self) -> Service:
-        self.party = Party(self.net)
+        self.party = ProcessReactor(self.net)
         node = Service(
             self.party, load_config(str(self.path)), str(self.path), self._log, lambda: self.wall_s
         )
@@ -315,7 +315,7 @@
         return [fields for _, name, fields in self.rows if name == event]
 
     def advance(self, seconds: float) -> None:
-        self.net.until(self.net.seconds() + seconds)
+        self.net.run_until(self.net.seconds() + seconds)
 
     def collector(self) -> Client:
         peer = Client(self)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -47,7 +47,7 @@
     deployment = Deployment(tmp_path, steps=[(4, put)], **changes)
     verdict = deployment.play()
     assert not verdict.report.findings and verdict.service.score > 0.8
-    assert not deployment.astray()
+    assert not deployment.inconsistencies()
     for assigner in deployment.assigners.values():  # its rounds went on to the end
         assert assigner.runtime.director.director.fleet.now_s > deployment.net.seconds() - 1  # type: ignore[attr-defined]
     return deployment
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -45,8 +45,8 @@
 def hand(what: str, at: float, back: str, until: float, *names: str) -> list[tuple[float, Any]]:
     """Something done to processes, and its end."""
     return [
-        *((at, lambda d, n=n: d.process(what, n)) for n in names),
-        *((until, lambda d, n=n: d.process(back, n)) for n in names),
+        *((at, lambda d, n=n: d.control_process(what, n)) for n in names),
+        *((until, lambda d, n=n: d.control_process(back, n)) for n in names),
     ]
 
 
@@ -64,7 +64,7 @@
 
 
 def ways(at: float, until: float, **how: Any) -> list[tuple[float, Any]]:
-    return [(at, lambda d: d.bend("w", **how)), (until, lambda d: d.bend("w"))]
+    return [(at, lambda d: d.set_link_fault("w", **how)), (until, lambda d: d.set_link_fault("w"))]
 
 
 SHED = {"deployment": {"admit": "fraction"}, "reports": {"names": "busy"}}
@@ -211,7 +211,7 @@
     assert not verdict.report.findings
     for rule in (*ALWAYS, *case.needs):
         assert verdict.report.case_counts[rule] > 0, rule
-    assert not deployment.astray()
+    assert not deployment.inconsistencies()
     assert deployment.clients.done()
     assert not any(proxy.engine.requests for proxy in deployment.proxies.values())
     assert verdict.service.score >= case.least
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -21,7 +21,7 @@
     found, now = [], d.net.seconds()
     views = {}
     for k, service in d.assigners.items():
-        if d.party[f"assigner:{k}"].alive:
+        if d.reactors[f"assigner:{k}"].alive:
             assert service.peer_sessions is not None
             rows = service.peer_sessions.replica.readings(now, "table")
             views[k] = {
@@ -136,7 +136,7 @@
     what = [(6.0, "lose", "store"), (9.0, "start", "store")]
     what += [(6.0, "kill", "assigner:1"), (8.0, "start", "assigner:1")] if along else []
     began: list[int] = []
-    steps: list[Any] = [(at, lambda d, w=w, n=n: d.process(w, n)) for at, w, n in what]
+    steps: list[Any] = [(at, lambda d, w=w, n=n: d.control_process(w, n)) for at, w, n in what]
     d = Deployment(tmp_path, steps=steps, **PEERS)
     before: dict[int, Any] = {}
 
@@ -199,9 +199,9 @@
         tables = [p.engine.tables for p in d.proxies.values()]
         seen[at] = [n for n in mine if any(t.available_weights(n).get(1, 0) >= 1 for t in tables)]
 
-    steps: list[Any] = [(4.0, lambda d: d.bend("list", kinds=["list"], parties=[1], cut="silent"))]
+    steps: list[Any] = [(4.0, lambda d: d.set_link_fault("list", kinds=["list"], parties=[1], cut="silent"))]
     steps += [(at, lambda d, at=at: on(d, at)) for at in (5.9, 7.5, 8.9)]
-    steps += [(12.0, lambda d: d.bend("list"))]
+    steps += [(12.0, lambda d: d.set_link_fault("list"))]
     d = Deployment(tmp_path, {"drain": drain}, steps, **sizes)
     verdict = d.play()
     assert seen[5.9]
@@ -218,7 +218,7 @@
     """One of three is away, so the store waits; servers are deployed meanwhile."""
     what = [(6.0, "lose", "store"), (6.2, "kill", "assigner:1"), (7.0, "start", "store")]
     what += [(15.0, "start", "assigner:1")]
-    steps: list[Any] = [(at, lambda d, w=w, n=n: d.process(w, n)) for at, w, n in what]
+    steps: list[Any] = [(at, lambda d, w=w, n=n: d.control_process(w, n)) for at, w, n in what]
     seen: list[dict[int, dict[int, float]]] = []
     found: list[tuple[int, set[int]]] = []
 
--- a/tests/virtual_network.py
+++ b/tests/virtual_network.py
@@ -20,15 +20,15 @@
     return made(kind())
 
 
-class Reactor(Clock):
+class VirtualNetwork(Clock):
     """The clock and the listening ports of the machine."""
 
     def __init__(self) -> None:
         super().__init__()
         self.rightNow = START
-        self.ports: dict[int, tuple[Any, Party]] = {}
+        self.ports: dict[int, tuple[Any, ProcessReactor]] = {}
 
-    def until(self, when: float) -> None:
+    def run_until(self, when: float) -> None:
         while self.calls and self.calls[0].getTime() <= when:
             self.advance(max(0.0, self.calls[0].getTime() - self.rightNow))
         self.rightNow = max(self.rightNow, when)
@@ -37,45 +37,47 @@
 class ProcessTimer:
     """A timer of a process; one that is due while the process is suspended may still be cancelled."""
 
-    def __init__(self, party: Party, delay: float, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        self.party, self.call, self.args, self.open = party, call, args, True
-        self.due: Any = party.net.callLater(delay, party.run, self._go)
+    def __init__(
+        self, reactor: ProcessReactor, delay: float, call: Callable[..., Any], args: tuple[Any, ...]
+    ) -> None:
+        self.reactor, self.call, self.args, self.pending = reactor, call, args, True
+        self.timer: Any = reactor.network.callLater(delay, reactor.run, self._go)
 
     def _go(self) -> None:
-        if self.open:
-            self.open = False
+        if self.pending:
+            self.pending = False
             self.call(*self.args)
 
     def active(self) -> bool:
-        return self.open
+        return self.pending
 
     def getTime(self) -> float:  # noqa: N802
-        return float(self.due.getTime())
+        return float(self.timer.getTime())
 
     def cancel(self) -> None:
-        assert self.open
-        self.open = False
-        if self.due.active():
-            self.due.cancel()
+        assert self.pending
+        self.pending = False
+        if self.timer.active():
+            self.timer.cancel()
 
 
-class Party:
+class ProcessReactor:
     """The reactor of one process: it ends with the process, and is suspended with it."""
 
-    def __init__(self, net: Reactor) -> None:
-        self.net, self.alive, self.stopped = net, True, False
+    def __init__(self, network: VirtualNetwork) -> None:
+        self.network, self.alive, self.suspended = network, True, False
         self.backlog: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
-        self.pipes: list[MemoryTransport] = []
+        self.transports: list[MemoryTransport] = []
         self.running = True
 
     def seconds(self) -> float:
-        return float(self.net.seconds())
+        return float(self.network.seconds())
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:
         return ProcessTimer(self, delay, call, args)
 
     def run(self, call: Callable[..., Any], *args: Any) -> None:
-        if self.alive and self.stopped:
+        if self.alive and self.suspended:
             self.backlog.append((call, args))
         elif self.alive:
             call(*args)
@@ -87,8 +89,8 @@
         backlog: int = 50,  # noqa: ARG002
         interface: str = "",  # noqa: ARG002
     ) -> Listener:
-        self.net.ports[port] = (factory, self)
-        return Listener(self.net, port)
+        self.network.ports[port] = (factory, self)
+        return Listener(self.network, port)
 
     def connectTCP(
         self,
@@ -107,44 +109,44 @@
 
     def kill(self) -> None:
         self.alive = False
-        self.net.ports = {p: row for p, row in self.net.ports.items() if row[1] is not self}
-        for pipe in self.pipes:
-            pipe.abortConnection()
+        self.network.ports = {p: row for p, row in self.network.ports.items() if row[1] is not self}
+        for transport in self.transports:
+            transport.abortConnection()
 
-    def wake(self) -> None:
-        self.stopped = False
-        while self.backlog and self.alive and not self.stopped:
+    def resume(self) -> None:
+        self.suspended = False
+        while self.backlog and self.alive and not self.suspended:
             call, args = self.backlog.popleft()
             call(*args)
 
 
 class Listener:
-    def __init__(self, net: Reactor, port: int) -> None:
-        self.net, self.port = net, port
+    def __init__(self, network: VirtualNetwork, port: int) -> None:
+        self.network, self.port = network, port
 
     def stopListening(self) -> None:
-        self.net.ports.pop(self.port, None)
+        self.network.ports.pop(self.port, None)
 
 
 class Connector:
-    def __init__(self, party: Party, port: int, factory: Any) -> None:
-        self.party, self.port, self.factory = party, port, factory
-        self.pipe: MemoryTransport | None = None
-        self.call: Any = party.callLater(CONNECT_DELAY_S, self._connect)
+    def __init__(self, reactor: ProcessReactor, port: int, factory: Any) -> None:
+        self.reactor, self.port, self.factory = reactor, port, factory
+        self.transport: MemoryTransport | None = None
+        self.call: Any = reactor.callLater(CONNECT_DELAY_S, self._connect)
 
     def _connect(self) -> None:
-        factory, other = self.party.net.ports.get(self.port, (None, None))
+        factory, other = self.reactor.network.ports.get(self.port, (None, None))
         if factory is None or other is None:
             self.factory.clientConnectionFailed(self, _failure(ConnectionRefusedError))
             return
-        near, far = MemoryTransport(self.party), MemoryTransport(other)
-        near.peer, far.peer, self.pipe = far, near, near
+        near, far = MemoryTransport(self.reactor), MemoryTransport(other)
+        near.peer, far.peer, self.transport = far, near, near
         far.accept(factory)
-        near.made(self.factory.buildProtocol(None))
+        near.connected(self.factory.buildProtocol(None))
 
     def disconnect(self) -> None:
-        if self.pipe is not None:
-            self.pipe.loseConnection()
+        if self.transport is not None:
+            self.transport.loseConnection()
         elif self.call.active():
             self.call.cancel()
 
@@ -152,69 +154,69 @@
 class MemoryTransport:
     """One end of a connection in memory, as a transport."""
 
-    def __init__(self, party: Party) -> None:
-        self.party = party
-        party.pipes.append(self)
-        self.peer: Any = None
+    def __init__(self, reactor: ProcessReactor) -> None:
+        self.reactor = reactor
+        reactor.transports.append(self)
+        self.peer: MemoryTransport = self  # until it is connected
         self.protocol: Any = None
-        self.inbox: deque[bytes | None] = deque()
-        self.size = 0
-        self.reading, self.gone, self.held_back = True, False, False
+        self.received: deque[bytes | None] = deque()
+        self.received_bytes = 0
+        self.reading, self.closed, self.producer_paused = True, False, False
         self.disconnecting = False
         self.producer: Any = None
 
     def accept(self, factory: Any) -> None:
-        self.party.run(lambda: self.made(factory.buildProtocol(None)))
+        self.reactor.run(lambda: self.connected(factory.buildProtocol(None)))
 
-    def made(self, protocol: Any) -> None:
+    def connected(self, protocol: Any) -> None:
         self.protocol = protocol
         protocol.makeConnection(self)
-        self._pump()
+        self._deliver()
 
     def write(self, data: bytes) -> None:
-        if self.gone or self.peer.gone:
+        if self.closed or self.peer.closed:
             return
-        self.peer.inbox.append(data)
-        self.peer.size += len(data)
-        if self.peer.size > WINDOW_BYTES and self.producer is not None and not self.held_back:
-            self.held_back = True
+        self.peer.received.append(data)
+        self.peer.received_bytes += len(data)
+        if self.peer.received_bytes > WINDOW_BYTES and self.producer is not None and not self.producer_paused:
+            self.producer_paused = True
             self.producer.pauseProducing()
-        self.peer.party.callLater(0.0, self.peer._pump)
+        self.peer.reactor.callLater(0.0, self.peer._deliver)
 
-    def _pump(self) -> None:
-        while self.inbox and self.reading and self.protocol is not None and not self.gone:
-            data = self.inbox.popleft()
+    def _deliver(self) -> None:
+        while self.received and self.reading and self.protocol is not None and not self.closed:
+            data = self.received.popleft()
             if data is None:
-                self._lost()
+                self._close()
                 return
-            self.size -= len(data)
+            self.received_bytes -= len(data)
             self.protocol.dataReceived(data)
-        if self.peer.held_back and self.size <= WINDOW_BYTES:
-            self.peer.held_back = False
-            self.peer.party.callLater(0.0, self.peer._drained)
+        if self.peer.producer_paused and self.received_bytes <= WINDOW_BYTES:
+            self.peer.producer_paused = False
+            self.peer.reactor.callLater(0.0, self.peer._resume_producer)
 
-    def _drained(self) -> None:
-        if self.producer is not None and not self.gone:
+    def _resume_producer(self) -> None:
+        if self.producer is not None and not self.closed:
             self.producer.resumeProducing()
 
-    def _lost(self) -> None:
-        if not self.gone:
-            self.gone = True
-            self.party.pipes.remove(self)
+    def _close(self) -> None:
+        if not self.closed:
+            self.closed = True
+            self.reactor.transports.remove(self)
             if self.protocol is not None:
                 self.protocol.connectionLost(_failure(ConnectionDone))
 
     def loseConnection(self) -> None:
         self.disconnecting = True
-        if not self.gone and not self.peer.gone:
-            self.peer.inbox.append(None)
-            self.peer.party.callLater(0.0, self.peer._pump)
-        self.party.callLater(0.0, self._lost)
+        if not self.closed and not self.peer.closed:
+            self.peer.received.append(None)
+            self.peer.reactor.callLater(0.0, self.peer._deliver)
+        self.reactor.callLater(0.0, self._close)
 
     def abortConnection(self) -> None:
-        self.peer.inbox.clear()
-        self.peer.party.callLater(0.0, self.peer._lost)
-        self.party.callLater(0.0, self._lost)
+        self.peer.received.clear()
+        self.peer.reactor.callLater(0.0, self.peer._close)
+        self.reactor.callLater(0.0, self._close)
 
     def registerProducer(self, producer: Any, _streaming: bool) -> None:
         self.producer = producer
@@ -227,7 +229,7 @@
 
     def resumeProducing(self) -> None:
         self.reading = True
-        self.party.callLater(0.0, self._pump)
+        self.reactor.callLater(0.0, self._deliver)
 
     def setTcpNoDelay(self, _on: bool) -> None:
         pass
