--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -1,4 +1,4 @@
-"""What is left when a trouble has ended: bounds, withdrawals, levels, tables and memory of what is gone."""
+"""State after a fault has ended: limits, withdrawals, admission fractions, tables, memory of removed servers."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def test_a_proxy_that_joins_knows_no_withdrawals_or_levels_of_before() -> None:
-    """What was let in again, or taken back, while its stream was down would be shut out for ever."""
+    """A server readmitted while its stream was down would else stay withdrawn for ever."""
     held = tables()
     held.apply_update(
         0,
@@ -66,17 +66,17 @@
     held.on_assigner_connected(0)
     assert held.available_weights(0) == {5: 1.0}
     assert held.admission_fraction(0, 0) == 1.0
-    assert held.available_weights(1) == {}  # another assigner's
+    assert held.available_weights(1) == {}  # withdrawn by another assigner
 
 
-def test_an_order_that_overtakes_the_charge_it_goes_by_is_laid_on_the_tables_of_that_charge() -> None:
+def test_update_that_overtakes_its_ownership_applies_to_the_tables_of_that_ownership() -> None:
     held = tables()
     held.apply_ownership(
         m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1)
-    )  # all that it heard of the old tenure
+    )  # all that it received of the old tenure
     held.apply_update(
         1, order(7, line(0, 4, 1.0, 2), line(0, 3, 0.0, 2))
-    )  # goes by a table that held 2 and 3
+    )  # based on a table that held 2 and 3
     held.apply_ownership(
         m.SliceOwnership(
             0, 2, 1, [m.TableEntry(2, 1.0, "127.0.0.1:2"), m.TableEntry(3, 1.0, "127.0.0.1:3")], 0, 2
@@ -85,22 +85,22 @@
     assert held.available_weights(0) == {2: 1.0, 4: 1.0}
 
 
-def test_in_an_unbroken_tenure_a_charge_that_is_behind_undoes_no_order() -> None:
+def test_outdated_ownership_of_an_unbroken_tenure_reverts_no_update() -> None:
     held = tables()
     held.apply_ownership(m.SliceOwnership(0, 1, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
     held.apply_update(
         0, order(5, line(0, 2, 1.0, 1), line(0, 1, 0.0, 1))
-    )  # the store is away and has not kept it
+    )  # the store is unreachable and has not committed it
     held.apply_update(
         0, order(6, line(0, 3, 1.0, 2))
-    )  # back, with a new token that the proxy has not heard of
+    )  # reachable again, with a new token that the proxy does not know
     held.apply_ownership(m.SliceOwnership(0, 2, 0, [m.TableEntry(1, 1.0, "127.0.0.1:1")], 0, 1))
     assert held.available_weights(0) == {2: 1.0, 3: 1.0}
 
 
 @pytest.mark.parametrize("kind", [0, 1])
-def test_no_answer_says_come_back_where_a_try_may_have_run(kind: int) -> None:
-    """The first try is not answered in time, the second is turned away. A refusal would be taken for a proof."""
+def test_no_response_asks_to_retry_where_an_attempt_was_possibly_executed(kind: int) -> None:
+    """The first attempt times out, the second is rejected: a rejection would claim that it was never executed."""
     limits = EngineSettings(
         slice_count=1,
         request_classes=(
@@ -136,7 +136,7 @@
 
 
 def test_removed_servers_are_forgotten() -> None:
-    """A machine that is replaced has a new id: a thousand of them must not stay in anybody's memory."""
+    """A replaced machine has a new id: a thousand of them must not stay in memory."""
     runtime = Runtime(
         settings(slice_count=4, load_value_names=("rif",)), lambda s: ZonedDirector(s, ZoneLimits())
     )
@@ -154,10 +154,10 @@
                 )
         for step in range(6):
             now += 5.0
-            sums = m.UsageReport(
+            usage = m.UsageReport(
                 0.5, [m.ServerUsage(s, 9, 0, 0.5, [1.0]) for s in ids], [m.SliceUsage(0, 0, 9, 0)]
             )
-            reports.add_usage(now, 0, sums)
+            reports.add_usage(now, 0, usage)
             runtime.add_events(
                 now,
                 *reports.drain_reports(now),
@@ -187,7 +187,7 @@
     assert all(size <= 150 for size in sizes.values()), sizes
 
 
-def test_a_proxy_forgets_failures_at_servers_that_are_gone() -> None:
+def test_proxy_forgets_failures_of_removed_servers() -> None:
     limits = EngineSettings(
         slice_count=1,
         request_classes=(RequestClassPolicy(RepeatSafety.NON_IDEMPOTENT, DeduplicationScope.ALL, 0.0, 0.5),),
@@ -214,7 +214,7 @@
 
 
 def test_a_keyed_request_whose_zone_is_not_known_is_not_sent_to_another() -> None:
-    """First tables of a store tell no zones. Where a zone's servers drop repeats, anywhere is not there."""
+    """The first tables of a store have no zones; an idempotency key that counts within a zone needs a known one."""
     kind = RequestClassPolicy(RepeatSafety.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 3.0, 0.5)
     assert next_attempt(kind, 2, AttemptHistory(0, False, 1.0, -1), 1.5, 9.0) is None
     assert next_attempt(kind, 2, AttemptHistory(0, False, 1.0, 1), 1.5, 9.0) == RetryTarget(1)
@@ -235,7 +235,7 @@
         )
 
 
-def charge(number: int, token: int, lines: dict[int, float]) -> m.SliceOwnership:
+def ownership(number: int, token: int, lines: dict[int, float]) -> m.SliceOwnership:
     held = [m.TableEntry(s, w, f"127.0.0.1:{5000 + s}") for s, w in lines.items()]
     return m.SliceOwnership(number, token, 0, held)
 
@@ -243,11 +243,11 @@
 def test_missing_writes_are_repeated_only_in_an_unbroken_tenure() -> None:
     ordered = OwnedTables()
     for number in range(3):
-        ordered.on_ownership_granted(charge(number, 1, {0: 1.0, 4: 1.0}), tenure_continues=False)
+        ordered.on_ownership_granted(ownership(number, 1, {0: 1.0, 4: 1.0}), tenure_continues=False)
     ordered.apply_writes(3, [line(0, 1, 1.0, 1), line(1, 1, 1.0, 2)])
     ordered.apply_writes(5, [line(0, 1, 0.5, 1), line(0, 4, 0.0, 1), line(2, 1, 1.0, 3)])
     assert ordered.missing_writes(
-        [charge(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), charge(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]
+        [ownership(0, 9, {0: 1.0, 1: 1.0, 4: 1.0}), ownership(1, 9, {0: 1.0, 1: 1.0, 4: 1.0})]
     ) == (5, [line(0, 1, 0.5, 9), m.WeightEntry(0, 4, 0.0, 9)])
-    ordered.on_ownership_granted(charge(2, 9, {0: 1.0}), tenure_continues=False)  # another had it since
-    assert ordered.missing_writes([charge(2, 9, {0: 1.0})]) == (0, [])
+    ordered.on_ownership_granted(ownership(2, 9, {0: 1.0}), tenure_continues=False)  # another owned it since
+    assert ordered.missing_writes([ownership(2, 9, {0: 1.0})]) == (0, [])
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -1,4 +1,4 @@
-"""The assigner's service on a reactor in memory: back-pressure, and what passes when, step by step."""
+"""The assigner's service on a reactor in memory: back-pressure, and messages step by step."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Wire(StringTransport):
-    """A transport in memory that can be deaf."""
+    """A transport in memory that may not be read."""
 
     def setTcpNoDelay(self, on: bool) -> None:
         pass
@@ -66,7 +66,7 @@
         getattr(self, f"line{which}").dataReceived(encode(message) + b"\n")
 
 
-def keep(*streams: Stream) -> None:
+def keep_alive(*streams: Stream) -> None:
     for stream in streams:
         stream.dataReceived(encode(m.Pong()) + b"\n")
 
@@ -78,43 +78,43 @@
 def test_proxy_that_does_not_read_delays_no_other_and_gets_its_updates_once_it_reads() -> None:
     a = Assigner(deployment={"slices": "50"})
     a.dialled(1, m.WatchEvent("full", 1, servers(1, 1, 1)))
-    (deaf, deaf_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
-    deaf_wire.messages()
+    (unread, unread_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
+    unread_wire.messages()
     good_wire.messages()
-    deaf_wire.producer.pauseProducing()  # type: ignore[union-attr]
+    unread_wire.producer.pauseProducing()  # type: ignore[union-attr]
     a.dialled(0, charges(50))
     a.pass_time(1)
-    keep(deaf, good)
+    keep_alive(unread, good)
     a.dialled(1, m.WatchEvent("delta", 2, servers(2)))
     a.pass_time(1)
-    told = orders(good_wire)
-    assert any(x.server_id == 0 and x.weight == 0 for order in told for x in order.weights)
-    assert orders(deaf_wire) == []
+    received = orders(good_wire)
+    assert any(x.server_id == 0 and x.weight == 0 for order in received for x in order.weights)
+    assert orders(unread_wire) == []
     assert a.service.channel.queued_entries() > 0
-    deaf_wire.producer.resumeProducing()  # type: ignore[union-attr]
+    unread_wire.producer.resumeProducing()  # type: ignore[union-attr]
     a.pass_time(0.2)
-    assert orders(deaf_wire) == told
+    assert orders(unread_wire) == received
     assert a.service.channel.queued_entries() == 0
 
 
 def test_proxy_that_never_reads_is_closed_before_the_channel_overflows() -> None:
     a = Assigner(deployment={"slices": "120"}, channel={"limit": "700"})
     a.dialled(1, m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
-    (deaf, deaf_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
-    deaf_wire.producer.pauseProducing()  # type: ignore[union-attr]
+    (unread, unread_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
+    unread_wire.producer.pauseProducing()  # type: ignore[union-attr]
     a.dialled(0, charges(120))
-    most = 0.0
+    max_queued = 0.0
     for version in range(2, 40):
         a.dialled(
             1, m.WatchEvent("delta", version, servers(*[2 if s == version % 4 else 1 for s in range(4)]))
         )
         a.pass_time(1)
-        keep(deaf, good)
-        most = max(most, a.service.channel.queued_entries())
-        if deaf_wire.disconnected or deaf_wire.disconnecting or 0 not in a.service.proxy_updates.streams:
+        keep_alive(unread, good)
+        max_queued = max(max_queued, a.service.channel.queued_entries())
+        if unread_wire.disconnected or unread_wire.disconnecting or 0 not in a.service.proxy_updates.streams:
             break
-    assert 0 < most <= 700
-    assert deaf_wire.disconnected
+    assert 0 < max_queued <= 700
+    assert unread_wire.disconnected
     assert not good_wire.disconnected
     assert orders(good_wire)
 
@@ -130,12 +130,12 @@
     from puffintide.assigner.endpoint_list import load_cache, save_cache
 
     path = tmp_path / "list.json"
-    news = m.WatchEvent(
+    event = m.WatchEvent(
         "full",
         3,
         [m.EndpointEntry(1, 0, 0, 0, 1, 2.0, 4, 5.0, ADDRESS), m.EndpointEntry(2, 0, 0, 0, 1, 2.0, 1, -1.0)],
     )
-    save_cache(str(path), 100.0, news)
+    save_cache(str(path), 100.0, event)
     (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # its writer was killed
     loaded = load_cache(str(path), 107.5)
     assert loaded.update_type == "cached"
@@ -150,18 +150,18 @@
     assigner.dialled(1, m.WatchEvent("full", 1, servers(1, 1)))
     stream, wire = assigner.proxy(0)
     all_: list[Any] = [stream, assigner.line0, assigner.line1]  # type: ignore[attr-defined]
-    keep(*all_)
+    keep_alive(*all_)
     assigner.pass_time(1.0)
-    keep(*all_)
+    keep_alive(*all_)
     decider: Any = assigner.service.runtime.director
     real, decider.handle = decider.handle, lambda *_: 1 / 0
     assigner.pass_time(1.0)
     decider.handle = real
-    keep(*all_)
+    keep_alive(*all_)
     assert any("ZeroDivisionError" in str(call) for call in assigner.service.log._logger.calls)
     assigner.pass_time(1.0)
-    assert len(assigner.service.runtime._timers) == 1  # its rounds go on at their pace
-    keep(*all_)
+    assert len(assigner.service.runtime._timers) == 1  # one round follows the other, as before
+    keep_alive(*all_)
     wire.clear()
     assigner.dialled(1, m.WatchEvent("delta", 2, servers(2)))  # the first drains
     assigner.pass_time(1.0)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicas converge whatever the order, loss, doubling and restart."""
+"""Replicas converge whatever the order, loss, duplication and restarts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Group:
-    """Replicas whose messages lie in a bag until they are delivered, doubled or lost."""
+    """Replicas whose messages wait in a bag until they are delivered, duplicated or lost."""
 
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
@@ -44,7 +44,7 @@
                 ):
                     node.delete(kind, number)
             case "ask":
-                self.ask(k, other)
+                self.send_missing(k, other)
             case "deliver" if self.bag:
                 to, piece = self.bag.pop(self.draw.randrange(len(self.bag)))
                 self.nodes[to].apply(self.now, piece)
@@ -52,10 +52,10 @@
                 self.bag.append(self.draw.choice(self.bag))
             case "lose" if self.bag:
                 self.bag.pop(self.draw.randrange(len(self.bag)))
-            case "restart":  # all it had is lost; its life's number is one that was there already
+            case "restart":  # without state, under an incarnation that was used before
                 self.nodes[k] = self.new(k)
 
-    def ask(self, k: int, other: int) -> None:
+    def send_missing(self, k: int, other: int) -> None:
         digest = self.nodes[k].digest()
         self.nodes[other].is_behind(digest)
         self.bag += [
@@ -67,7 +67,7 @@
             for k in range(COUNT):
                 for other in range(COUNT):
                     if k != other:
-                        self.ask(k, other)
+                        self.send_missing(k, other)
                         while self.bag:
                             to, piece = self.bag.pop(0)
                             self.nodes[to].apply(self.now, piece)
@@ -84,16 +84,18 @@
 WORDS = [*["put"] * 3, "drop", *["ask"] * 3, *["deliver"] * 3, "double", "lose", "restart"]
 
 
-@pytest.mark.parametrize("gone_most", [0, 2, 100])
+@pytest.mark.parametrize("max_deletions", [0, 2, 100])
 @pytest.mark.parametrize("first", range(0, 60, 20))
-def test_replicas_converge_after_loss_duplication_reordering_and_restarts(gone_most: int, first: int) -> None:
+def test_replicas_converge_after_loss_duplication_reordering_and_restarts(
+    max_deletions: int, first: int
+) -> None:
     for seed in range(first, first + 20):
-        one_history(seed, gone_most)
+        one_history(seed, max_deletions)
 
 
-def one_history(seed: int, gone_most: int) -> None:
+def one_history(seed: int, max_deletions: int) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(origin_state, "MAX_DELETIONS", gone_most)
+        patch.setattr(origin_state, "MAX_DELETIONS", max_deletions)
         patch.setattr(core, "MAX_ROWS_PER_DELTA", 2)
         group = Group(seed)
         for word in group.draw.choices(WORDS, k=150):
@@ -101,10 +103,10 @@
         group.heal()
         pictures = [group.picture(k) for k in range(COUNT)]
         assert all(picture == pictures[0] for picture in pictures)
-        for k, node in enumerate(group.nodes):  # what stands of each is what it says itself, and nothing else
+        for k, node in enumerate(group.nodes):  # what is held of each is what it wrote itself
             own = {key: row.value for key, row in node.origin_states[k].rows.items()}
             assert {key[:2]: value for key, (_, value) in pictures[0].items() if key[2] == k} == own
-            assert len(node.origin_states[k].deletions) <= gone_most
+            assert len(node.origin_states[k].deletions) <= max_deletions
 
 
 def test_delayed_delta_of_earlier_incarnation_is_ignored() -> None:
@@ -112,7 +114,7 @@
     for node, value in ((former, 1.0), (present, 2.0)):
         for number in range(3):
             node.put(0.0, "a", number, (value,))
-    late = former.deltas_for(0.0, [], 10)
+    delayed = former.deltas_for(0.0, [], 10)
     assert [other.apply(1.0, piece) for piece in present.deltas_for(0.0, [], 10)] == [True]
-    assert [other.apply(1.0, piece) for piece in late] == [False]
+    assert [other.apply(1.0, piece) for piece in delayed] == [False]
     assert {r.value for rows in other.readings(1.0, "a").values() for r in rows} == {(2.0,)}
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Copies between assigners in a whole deployment on a virtual clock, with faults between the processes."""
+"""Replication in a whole deployment on a virtual clock, with faults between the processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def differing(d: Deployment) -> list[str]:
-    """Where the live assigners' copies of tables are not alike, or not what the owner has."""
+    """Where the live assigners' replicas of tables differ, or are not what the store has."""
     found, now = [], d.net.seconds()
     views = {}
     for k, service in d.assigners.items():
@@ -41,11 +41,11 @@
     return found
 
 
-def kept(d: Deployment) -> None:
-    verdict = d.play()
-    assert verdict.report.findings == []
-    assert not verdict.gaps
-    assert verdict.report.case_counts[Rule.REPLICA_AGREEMENT] >= 16
+def assert_rules_hold(d: Deployment) -> None:
+    result = d.play()
+    assert result.report.findings == []
+    assert not result.gaps
+    assert result.report.case_counts[Rule.REPLICA_AGREEMENT] >= 16
     assert differing(d) == []
     refused = [row for name, log in d.log.items() for row in log.rows if row[0] == "replica_row_rejected"]
     assert not refused, refused[:3]
@@ -79,13 +79,13 @@
         "lost": {"kind": "store_lost", "at_s": 5, "for_s": 1},
         "kill": {"kind": "balancer_crash", "at_s": 6.1, "for_s": 3, "assigners": "1"},
     },
-    "two stores in turn": {  # the one that was filled from copies goes, and an old one's backup comes in its place
+    "two stores in turn": {  # the restored one is replaced by an old backup
         "lost": {"kind": "store_lost", "at_s": 5, "for_s": 1},
         "old": {"kind": "store_restored", "at_s": 11, "for_s": 1, "size": 8},
     },
 }
 MESS = {"kind": "peer_mess", "at_s": 2, "for_s": 12, "size": 10, "extra": 0.3}
-MANY: dict[str, tuple[int, float, dict[str, dict[str, Any]]]] = {  # assigners, length of the day
+MANY: dict[str, tuple[int, float, dict[str, dict[str, Any]]]] = {  # assigners, length of the scenario
     "twelve, half killed at once and back": (
         12,
         16,
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_replicas_agree_after_the_last_fault(name: str, tmp_path: Path) -> None:
     deploy = {"kind": "deploy", "at_s": 3, "for_s": 10, "servers": "1, 3", "size": 1, "extra": 3}
-    kept(Deployment(tmp_path, FAULTS[name] | {"deploy": deploy}, **PEERS))
+    assert_rules_hold(Deployment(tmp_path, FAULTS[name] | {"deploy": deploy}, **PEERS))
 
 
 @pytest.mark.parametrize(("ends", "cut"), [((0, 4), True), ((4, 0), True), ((0, 2), False), ((2, 4), False)])
@@ -127,12 +127,12 @@
     assigners, length, faults = MANY[name]
     deploy = {"kind": "deploy", "at_s": 3, "for_s": 10, "servers": "1, 3", "size": 1, "extra": 3}
     sizes = {"day": {"length_s": length}, "deployment": {"assigners": assigners, "slices": 24}}
-    kept(Deployment(tmp_path, faults | {"deploy": deploy}, None, **PEERS | sizes))
+    assert_rules_hold(Deployment(tmp_path, faults | {"deploy": deploy}, None, **PEERS | sizes))
 
 
 @pytest.mark.parametrize("along", [False, True])
 def test_store_that_lost_its_disk_is_restored_from_replicas(along: bool, tmp_path: Path) -> None:
-    """along: an assigner is lost with it, and comes back knowing nothing."""
+    """along: an assigner is killed with it, and restarts without state."""
     what = [(6.0, "lose", "store"), (9.0, "start", "store")]
     what += [(6.0, "kill", "assigner:1"), (8.0, "start", "assigner:1")] if along else []
     began: list[int] = []
@@ -146,7 +146,7 @@
 
     d.steps.insert(0, (5.9, note))
     d.steps.append((8.99, lambda d: began.append(len(d.log["store"].rows))))
-    kept(d)
+    assert_rules_hold(d)
     since = [event for event, _ in d.log["store"].rows[began[0] :]]
     assert "ownership_changed" in since
     assert since.index("restored_from_replicas") < since.index("ownership_changed")
@@ -156,7 +156,7 @@
 
 
 def test_invalid_row_is_dropped_and_false_rows_do_not_last(tmp_path: Path) -> None:
-    """Assigner 1 tells of itself what it never wrote: a row that can't be, one that can, beyond where it stands."""
+    """Assigner 1 sends rows that it never wrote: one that is invalid and one that is valid."""
 
     def lie(d: Deployment) -> None:
         peers = d.assigners[1].peer_sessions
@@ -172,8 +172,8 @@
         )
 
     d = Deployment(tmp_path, steps=[(5.0, lie)], **PEERS)
-    verdict = d.play()
-    assert verdict.report.findings == []
+    result = d.play()
+    assert result.report.findings == []
     assert differing(d) == []
     refused = [what for event, what in d.log["assigner:0"].rows if event == "replica_row_rejected"]
     assert [(what["origin_id"], what["sender_id"]) for what in refused] == [(1, 1)]
@@ -188,13 +188,13 @@
 
 @pytest.mark.parametrize("copies", [True, False])
 def test_draining_is_learned_from_peers_where_the_list_does_not_reach(copies: bool, tmp_path: Path) -> None:
-    """Server 1 drains at 6 s, is gone at 9. Assigner 1 hears no list from 4 s on."""
+    """Server 1 drains at 6 s and stops at 9 s. Assigner 1 receives no endpoint list from 4 s on."""
     drain = {"kind": "shrink", "at_s": 6, "for_s": 1, "servers": "1", "extra": 3}
     sizes = PEERS if copies else {"deployment": {"assigners": 3}}
     seen: dict[float, list[int]] = {}
 
     def on(d: Deployment, at: float) -> None:
-        """Slices of assigner 1 whose table at some proxy names the server that leaves."""
+        """Slices of assigner 1 whose table at some proxy has the server that leaves."""
         mine = [n for n, r in d.store.ledger.slices.items() if r.owner_id == 1]
         tables = [p.engine.tables for p in d.proxies.values()]
         seen[at] = [n for n in mine if any(t.available_weights(n).get(1, 0) >= 1 for t in tables)]
@@ -203,19 +203,19 @@
     steps += [(at, lambda d, at=at: on(d, at)) for at in (5.9, 7.5, 8.9)]
     steps += [(12.0, lambda d: d.set_link_fault("list"))]
     d = Deployment(tmp_path, {"drain": drain}, steps, **sizes)
-    verdict = d.play()
+    result = d.play()
     assert seen[5.9]
     if not copies:
-        assert seen[8.9]  # nothing told it: its slices lie on a server that is about to stop
+        assert seen[8.9]  # it was not notified: its slices are on a server about to stop
     else:
-        assert verdict.report.findings == []
+        assert result.report.findings == []
         assert not seen[7.5], seen
         assert not seen[8.9], seen
         assert not d.assigners[1].runtime.director.director.fleet.is_ready(1)  # type: ignore[attr-defined]
 
 
 def test_writes_during_the_restore_of_the_store_are_not_lost(tmp_path: Path) -> None:
-    """One of three is away, so the store waits; servers are deployed meanwhile."""
+    """One of three assigners is down, so the store waits; servers are deployed meanwhile."""
     what = [(6.0, "lose", "store"), (6.2, "kill", "assigner:1"), (7.0, "start", "store")]
     what += [(15.0, "start", "assigner:1")]
     steps: list[Any] = [(at, lambda d, w=w, n=n: d.control_process(w, n)) for at, w, n in what]
@@ -223,18 +223,18 @@
     found: list[tuple[int, set[int]]] = []
 
     def look(d: Deployment) -> None:
-        """What each has ordered, until the store has its tables: they are as of the last beat, not of its start."""
+        """Record what each has written, until the store has its tables."""
         if found or not any(event == "restored_from_replicas" for event, _ in d.log["store"].rows):
             live = [d.assigners[k].owned_tables.entries for k in (0, 2)]
             seen.append({n: {s: h.weight for s, h in t.items()} for lines in live for n, t in lines.items()})
             return
-        book = {n: {s: h.weight for s, h in r.entries.items()} for n, r in d.store.ledger.slices.items()}
-        late = {n for n in seen[-1] if all(book[n] != then.get(n) for then in seen[-40:])}
+        ledger = {n: {s: h.weight for s, h in r.entries.items()} for n, r in d.store.ledger.slices.items()}
+        late = {n for n in seen[-1] if all(ledger[n] != then.get(n) for then in seen[-40:])}
         found.append((sum(seen[-1][n] != seen[-200].get(n) for n in seen[-1]), late))
 
     steps += [(7.0 + k / 50, look) for k in range(350)]
     deploy = {"kind": "deploy", "at_s": 4, "for_s": 10, "servers": "0, 2, 4, 6", "size": 1, "extra": 1}
-    kept(Deployment(tmp_path, {"deploy": deploy}, steps, **PEERS))
+    assert_rules_hold(Deployment(tmp_path, {"deploy": deploy}, steps, **PEERS))
     assert found
     changed, late = found[0]
     assert changed > 0, found
@@ -242,7 +242,7 @@
 
 
 def test_restarted_assigner_catches_up_before_it_connects_to_the_store(tmp_path: Path) -> None:
-    """Others have long failed to dial it and wait between dials; it does not wait for them."""
+    """The others are in backoff after failing to connect to it; it does not wait for them."""
     kill = {"kind": "balancer_crash", "at_s": 3, "for_s": 8, "assigners": "2"}
     d = Deployment(tmp_path, {"kill": kill}, **PEERS)
     seen: list[tuple[str, float, int]] = []
@@ -254,7 +254,7 @@
         rows = [what for event, what in d.log["assigner:2"].rows if event == "caught_up"]
         return (rows[0]["reason"] if rows else "", d.net.seconds(), rows[0]["rows"] if rows else 0)
 
-    kept(d)
+    assert_rules_hold(d)
     why, _, tables = next(row for row in seen if row[0])
     assert why == "level with peers"
     assert tables >= 16
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,17 +1,12 @@
-"""The runtime carries each event and action, and decides as the bench adapter does."""
+"""The runtime carries each event and action."""
 
 from __future__ import annotations
 
-import json
-import struct
 from collections.abc import Sequence
-from dataclasses import replace
 
 import pytest
 
 from puffintide.assigner.runtime import Runtime
-from puffintide.bench_adapter.action_encoder import encode_action, encode_reply
-from puffintide.bench_adapter.host import Host
 from puffintide.decisions.actions import (
     Action,
     LogMessage,
@@ -23,7 +18,6 @@
     SetWithdrawn,
     WatchEndpoints,
 )
-from puffintide.decisions.director import Director
 from puffintide.decisions.events import (
     CheckpointAcknowledged,
     Endpoint,
@@ -41,30 +35,28 @@
     StoredWeight,
     TimerFired,
 )
-from puffintide.decisions.settings import parse_settings
 from puffintide.protocol import messages as m
-from tests.test_bench_adapter import CONF, hello
-from tests.world import World, settings
+from tests.world import settings
 
 
-class Scripted:
-    """Stands for the module: notes what it hears, answers as told."""
+class ScriptedModule:
+    """A decision module that records its events and returns given actions."""
 
     def __init__(self, *actions: Action) -> None:
         self.actions = list(actions)
-        self.heard: list[Event] = []
+        self.received: list[Event] = []
         self.last_call_at = 0.0
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
         self.last_call_at = now
-        self.heard += events
+        self.received += events
         return self.actions
 
     def findings(self) -> tuple[float | None, dict[int, int]]:
         return None, {}
 
 
-def runtime(decider: Scripted, slices: int = 4) -> Runtime:
+def runtime(decider: ScriptedModule, slices: int = 4) -> Runtime:
     made = Runtime(settings(slice_count=slices), lambda _: decider)
     for proxy in (0, 1):
         made.on_proxy_connected(0.0, proxy, proxy, 5.0, True)
@@ -73,23 +65,23 @@
 
 
 def test_each_event_reaches_the_decision_module() -> None:
-    module = Scripted()
+    module = ScriptedModule()
     r = runtime(module)
     entry = m.EndpointEntry(5, 1, 2, 3, EndpointStatus.READY, 2.0, 1, 4.0, "127.0.0.1:9")
     r.on_watch_event(10.0, m.WatchEvent("full", 3, [entry]))
     r.on_ownership_granted(10.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 0.5, "127.0.0.1:9")]))
     r.on_proxy_disconnected(10.0, 1)
-    rest = (
+    others = (
         CheckpointAcknowledged(0, 3, 0.1),
         HealthCheckResult(5, HealthCheckStatus.OK, 0.1, ()),
         ServerLoadReport(0, 5, 2, 1, 0.1, 0.5, (1.0,)),
         SliceLoadReport(2, 0, 4, 0, 0.5),
     )
-    r.add_events(10.0, *rest)
+    r.add_events(10.0, *others)
     r.on_ownership_revoked(10.0, 2)
-    r.on_ownership_revoked(10.0, 3)  # never had: nothing to tell
+    r.on_ownership_revoked(10.0, 3)  # never owned: no event
     r.tick(10.0)
-    assert module.heard == [
+    assert module.received == [
         EndpointListUpdate(ListUpdateType.CACHED, 1, ()),
         ProxyConnected(0, 0, 5.0, True),
         ProxyConnected(1, 1, 5.0, True),
@@ -99,13 +91,13 @@
         OwnershipChanged(2, True),
         StoredWeight(2, 5, 0.5),
         ProxyDisconnected(1),
-        *rest,
+        *others,
         OwnershipChanged(2, False),
     ]
 
 
 def test_start_time_is_fixed_for_an_incarnation() -> None:
-    module = Scripted()
+    module = ScriptedModule()
     r = runtime(module)
     entry = m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 1, 2.0)
     r.on_watch_event(10.0, m.WatchEvent("delta", 1, [entry]))
@@ -116,7 +108,7 @@
         20.0, m.WatchEvent("delta", 3, [m.EndpointEntry(5, 0, 0, 0, EndpointStatus.READY, 1.0, 2, 1.0)])
     )
     r.tick(20.0)
-    lists = [e for e in module.heard if isinstance(e, EndpointListUpdate)]
+    lists = [e for e in module.received if isinstance(e, EndpointListUpdate)]
     assert [e.endpoints[0].started_at_s for e in lists[1:]] == [8.0, 8.0, 19.0]
 
 
@@ -130,7 +122,7 @@
 
 @pytest.mark.parametrize(("action", "shown"), ORDERS)
 def test_each_action_becomes_one_update_for_each_proxy(action: Action, shown) -> None:  # type: ignore[no-untyped-def]
-    r = runtime(Scripted(action, SendCheckpoint(9)))
+    r = runtime(ScriptedModule(action, SendCheckpoint(9)))
     r.on_ownership_granted(1.0, m.SliceOwnership(2, 7, 0, [m.TableEntry(5, 1.0, "127.0.0.1:9")]))
     effects = r.tick(1.0)
     assert effects is not None
@@ -138,13 +130,15 @@
     for _, order in effects.proxy_updates:
         assert shown(order)
         assert order.checkpoint_id == 9
-        assert order.channel_cost == 2 + r.settings.channel_header_entries  # its own line, the mark, the head
+        assert (
+            order.channel_cost == 2 + r.settings.channel_header_entries
+        )  # its own entry, the checkpoint, the header
     assert bool(effects.weight_writes) == isinstance(action, SetWeight)
 
 
 def test_other_actions_become_effects() -> None:
     r = runtime(
-        Scripted(
+        ScriptedModule(
             SendHealthCheck(5),
             WatchEndpoints(True),
             LogMessage("hm"),
@@ -176,150 +170,19 @@
 
 
 def test_timers_fire_once_and_in_order() -> None:
-    module = Scripted(SetTimer(0.3, 2), SetTimer(0.1, 1))
+    module = ScriptedModule(SetTimer(0.3, 2), SetTimer(0.1, 1))
     r = runtime(module)
     r.tick(1.0)
     module.actions = []
     r.tick(1.2)
     r.tick(1.25)
     r.tick(1.5)
-    assert [e.timer_id for e in module.heard if isinstance(e, TimerFired)] == [1, 2]
+    assert [e.timer_id for e in module.received if isinstance(e, TimerFired)] == [1, 2]
 
 
 def test_weights_of_slices_not_owned_are_not_sent() -> None:
-    r = runtime(Scripted(SetWeight(3, 5, 1.0)))
+    r = runtime(ScriptedModule(SetWeight(3, 5, 1.0)))
     effects = r.tick(1.0)
     assert effects is not None
     assert effects.proxy_updates == []
     assert effects.weight_writes == []
-
-
-def list_body(number: int, version: int, form: int, servers: Sequence[Endpoint]) -> bytes:
-    rows = b"".join(
-        struct.pack(
-            "<IBHHBfd", s.server_id, s.zone, s.server_type, s.cell, s.status, s.weight, s.started_at_s
-        )
-        for s in servers
-    )
-    listed = struct.pack("<BII", 14, number, len(servers)) + rows
-    return listed + struct.pack("<BHIQB", 1, 0, number, version, form)
-
-
-def drill_event(event: Event) -> bytes:
-    match event:
-        case EndpointListUpdate():
-            form = {"delta": 0, "cached": 1, "full": 3}[event.update_type]
-            return list_body(0, event.version, form, event.endpoints)
-        case TimerFired(name):
-            return struct.pack("<BHI", 2, 0, name)
-        case ProxyConnected(proxy, zone, rate, fresh):
-            return struct.pack("<BHHBfB", 6, 0, proxy, zone, rate, fresh)
-        case CheckpointAcknowledged(proxy, number, took):
-            return struct.pack("<BHdHQ", 8, 0, took, proxy, number)
-        case ServerLoadReport():
-            e = event
-            head = struct.pack(
-                "<BHBIIIdd",
-                9,
-                0,
-                e.proxy_zone,
-                e.server_id,
-                e.attempts,
-                e.failed_attempts,
-                e.mean_latency_s,
-                e.interval_s,
-            )
-            return head + struct.pack(f"<B{len(e.load_values)}f", len(e.load_values), *e.load_values)
-        case SliceLoadReport(number, kind, count, bad, span):
-            return struct.pack("<BHHHIId", 11, 0, number, kind, count, bad, span)
-        case OwnershipChanged(number, given):
-            return struct.pack("<BHHB", 12, 0, number, given)
-        case StoredWeight(number, server, weight):
-            return struct.pack("<BHfIH", 13, 0, weight, server, number)
-    raise AssertionError(event)
-
-
-class Through:
-    """In a World's place of its module: plays each batch through the runtime and through the drill's adapter, and
-    holds the two answers against each other, byte by byte."""
-
-    def __init__(self, conf: dict[str, object]) -> None:
-        self.host = Host()
-        self.host.answer(0.0, hello(conf))
-        self.runtime = Runtime(parse_settings(json.dumps(conf).encode(), 5), Director)
-        self.batches = 0
-        self.ordered = 0
-
-    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        due = {e.timer_id for e in events if isinstance(e, TimerFired)}
-        body = b"".join(drill_event(e) for e in events)
-        reply = self.host.answer(now, body)
-        lives: dict[int, list[m.TableEntry]] = {}
-        for e in events:
-            if isinstance(e, StoredWeight):
-                lives.setdefault(e.slice_id, []).append(m.TableEntry(e.server_id, e.weight))
-        for e in events:
-            match e:
-                case EndpointListUpdate():
-                    rows = [
-                        m.EndpointEntry(
-                            s.server_id,
-                            s.zone,
-                            s.server_type,
-                            s.cell,
-                            s.status,
-                            s.weight,
-                            int(s.started_at_s * 8),
-                            now - s.started_at_s if s.started_at_s else -1.0,
-                        )
-                        for s in e.endpoints
-                    ]
-                    self.runtime.on_watch_event(now, m.WatchEvent(e.update_type, e.version, rows))
-                case OwnershipChanged(number, True):
-                    self.runtime.on_ownership_granted(
-                        now, m.SliceOwnership(number, 1, 0, lives.get(number, []))
-                    )
-                case ProxyConnected(proxy, zone, rate, fresh):
-                    self.runtime.on_proxy_connected(now, proxy, zone, rate, fresh)
-                case StoredWeight() | TimerFired():
-                    pass  # came with its charge; the runtime's own timers wake the module
-                case _:
-                    self.runtime.add_events(now, e)
-        if due and self.runtime.next_timer_at() is None:
-            self.runtime.add_events(now, *(TimerFired(name) for name in sorted(due)))
-        effects = self.runtime.tick(now)
-        assert effects is not None
-        mine = encode_reply([encode_action(0, action) for action in effects.actions])
-        assert mine == reply, f"batch {self.batches} at {now}"
-        self.batches += 1
-        self.ordered += any(isinstance(a, SetWeight) for a in effects.actions)
-        return list(effects.actions)
-
-
-def test_runtime_and_bench_adapter_return_the_same_actions() -> None:
-    conf = dict(CONF, report={"names": ["busy"]})
-    family = dict(CONF["familyInfo"], slices=12, strikes=3, warmKeys=True)  # type: ignore[call-overload]
-    conf["familyInfo"] = family
-    world = World(slice_count=12)
-    through = Through(conf)
-    world.director = through
-    world.settings = replace(world.settings, slice_count=12)
-    servers = tuple(Endpoint(s, 0, 0, 0, EndpointStatus.READY, 1.0, 0.0) for s in (1, 2, 3, 4))
-    events: list[Event] = [EndpointListUpdate(ListUpdateType.CACHED, 1, servers)]
-    events += [ProxyConnected(p, 0, 10.0, True) for p in range(3)]
-    for number in range(12):
-        events += [OwnershipChanged(number, True), StoredWeight(number, 1 + number % 4, 1.0)]
-    world.send(*events, TimerFired(1))
-    world.run(6)
-    world.failing_servers = {2}
-    world.request_rates[3] = 40.0
-    world.run(8)
-    gone = Endpoint(3, 0, 0, 0, EndpointStatus.REMOVED, 1.0, 0.0)
-    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (gone,)))
-    world.failing_servers = set()
-    world.run(5)
-    back = Endpoint(3, 0, 0, 0, EndpointStatus.READY, 1.0, world.now - 0.5)
-    world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (back,)))
-    world.run(12)
-    assert through.batches > 100
-    assert through.ordered > 10
