--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -17,7 +17,7 @@
 import click
 
 from puffintide.decisions.settings import AdmissionMode, RepeatSafety
-from puffintide.emulators.model import Make, ServerModel
+from puffintide.emulators.model import ServerModel, ServerSpec
 from puffintide.protocol import messages as m
 from puffintide.proxy.effects import (
     CancelAttempt,
@@ -59,14 +59,14 @@
     def __init__(self, mode: int, share: float, seed: int) -> None:
         self.rng = random.Random(seed)
         self.engine = Engine(limits(), self.rng.random)
-        make = Make(2, 1.0, 4, 20, 0.5, 5.0, 0.0, 1.0, 10, 3.0, 1.5)
-        self.servers = [ServerModel(make, None) for _ in range(SERVERS)]
+        spec = ServerSpec(2, 1.0, 4, 20, 0.5, 5.0, 0.0, 1.0, 10, 3.0, 1.5)
+        self.servers = [ServerModel(spec, None) for _ in range(SERVERS)]
         held = [m.TableEntry(s, 1.0, f"127.0.0.1:{s}") for s in range(SERVERS)]
         self.engine.on_slice_ownerships(0.0, [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)])
         self.engine.on_proxy_update(
             0.0, 0, m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, mode)])
         )
-        self.rate = share * SERVERS * make.cores / WORK_S
+        self.rate = share * SERVERS * spec.cores / WORK_S
         self.now = 0.0
         self.events: list[tuple[float, int, str, int]] = []
         self.number = 0
@@ -103,7 +103,7 @@
                     pass  # it stops no work
 
     def arm(self, server: int) -> None:
-        due = self.servers[server].next_due()
+        due = self.servers[server].next_completion_at()
         if due is not None and due < self.armed.get(server, float("inf")):
             self.armed[server] = max(due, self.now + 1e-6)
             self.later(self.armed[server], "work", server)
@@ -129,13 +129,13 @@
             elif what == "work":
                 if self.armed.get(which) == self.now:
                     del self.armed[which]
-                for key in self.servers[which].due(self.now):
+                for key in self.servers[which].take_completed(self.now):
                     self.do(self.engine.on_response(self.now, which, key, m.AttemptStatus.OK, []))
                 self.arm(which)
             elif what == "slow":
                 for k, server in enumerate(self.servers):
                     server.advance(self.now)
-                    server.slow = float(which)
+                    server.slowdown = float(which)
                     self.arm(k)
             else:
                 self.do(
--- a/puffintide/cli/emulator_processes.py
+++ b/puffintide/cli/emulator_processes.py
@@ -77,8 +77,8 @@
     with (folder / "fleet.jsonl").open("w", encoding="utf-8") as record:
         service = FleetService(reactor, config, place.servers, addresses, record)
         with _ports_required():
-            service.begin(place.news)
-        _run_controlled(reactor, service.control)
+            service.start(place.news)
+        _run_controlled(reactor, service.execute)
 
 
 def run_tap(folder: Path) -> None:
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -1,196 +1,204 @@
-"""Clients of a day: arrivals drawn ahead from the seed, each with its own retries; a record of each request."""
+"""Clients of a scenario: they send its requests to proxies, retry, and record the outcome of each request."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any, TextIO
 
-import numpy as np
-
 from puffintide.config.model import Config
+from puffintide.config.schema import ClassSection, Load
+from puffintide.emulators.arrivals import Arrival, draw_arrivals
+from puffintide.emulators.errors import MissingSectionError
 from puffintide.protocol import messages as m
 from puffintide.protocol.client import StreamClient
+from puffintide.protocol.clock import Timer
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
 
+MIN_TIMEOUT_S = 0.005  # with less time left a request is not sent
+OUTCOMES: dict[int, str] = {
+    m.AttemptStatus.SATURATED: "refused",
+    m.AttemptStatus.TIMEOUT: "timeout",
+}  # as recorded
 
-@dataclass(slots=True)
-class Arrival:
-    at: float  # since the day's start
-    proxy: int
-    request_class: int
-    key: int
-    work_s: float
-    honours: bool
-
-
-def draw(config: Config) -> list[Arrival]:
-    """All requests of a day, in order of time. The same seed gives the same day."""
-    load, day, d = config.load, config.day, config.deployment
-    assert load is not None and day is not None
-    rng = np.random.default_rng(day.seed)
-    peak = max(level for _, level in load.shape)
-    expected = load.requests_per_s * peak * day.length_s
-    times = np.sort(rng.uniform(0, day.length_s, rng.poisson(expected)))
-    keep = rng.uniform(0, peak, len(times)) < np.interp(
-        times, [p[0] for p in load.shape], [p[1] for p in load.shape]
-    )
-    times = times[keep]
-    count = len(times)
-    classes = list(config.classes.values())
-    shares = np.array([c.share for c in classes])
-    kinds = rng.choice(len(classes), count, p=shares / shares.sum())
-    ranks = np.arange(1, load.keys + 1, dtype=float) ** -load.zipf
-    keys = rng.choice(load.keys, count, p=ranks / ranks.sum())
-    weights = rng.lognormal(0, 0.6, d.proxies)
-    proxies = rng.choice(d.proxies, count, p=weights / weights.sum())
-    works = np.empty(count)
-    for k, c in enumerate(classes):
-        sigma = np.sqrt(np.log(1 + c.work_cv**2))
-        mine = kinds == k
-        works[mine] = c.work_s * rng.lognormal(-(sigma**2) / 2, sigma, mine.sum())
-    honours = rng.uniform(size=count) < load.honour
-    zones = len(d.zones)
-    for _, fault in sorted(config.faults.items()):
-        inside = (times >= fault.at_s) & (times < fault.at_s + fault.for_s)
-        if fault.kind == "hot_key":  # size: share of all traffic, to one key
-            hit = inside & (rng.uniform(size=count) < fault.size)
-            keys = np.where(hit, int(rng.integers(load.keys)), keys)
-        elif fault.kind == "heavy_tail":  # extra: share of requests that have size times the work
-            works = np.where(inside & (rng.uniform(size=count) < fault.extra), works * fault.size, works)
-        elif fault.kind == "shift":  # size: share of other zones' traffic that comes to this zone's proxies
-            here = [p for p in range(d.proxies) if p % zones == fault.zone]
-            moved = inside & (rng.uniform(size=count) < fault.size)
-            proxies = np.where(moved, rng.choice(here, count), proxies)
-    rows = zip(times, proxies, kinds, keys, works, honours, strict=True)
-    return [Arrival(float(t), int(p), int(k), int(key), float(w), bool(h)) for t, p, k, key, w, h in rows]
 
+@dataclass(frozen=True, slots=True)
+class _Request:
+    """A request with one of its attempts."""
 
-class Clients:
-    """Plays arrivals against the proxies' fronts and writes one record for each request."""
+    arrival: Arrival
+    arrived_at_s: float  # by the reactor's clock
+    attempt_number: int  # 0: the first
+
+    def next_attempt(self) -> _Request:
+        return _Request(self.arrival, self.arrived_at_s, self.attempt_number + 1)
+
+
+@dataclass(frozen=True, slots=True)
+class _InFlight:
+    request: _Request
+    timer: Timer
 
-    def __init__(self, reactor: Any, config: Config, fronts: list[str], record: TextIO) -> None:
-        assert config.load is not None and config.day is not None
-        self.reactor, self.config, self.load, self.record = reactor, config, config.load, record
-        self.arrivals = draw(config)
-        self.classes = list(config.classes.values())
+
+class Clients:
+    """Sends a scenario's requests, those of each proxy on a stream of its own.
+
+    Args:
+        reactor: For time and connections.
+        config: Of the scenario.
+        proxy_addresses: HOST:PORT of each proxy, in the order of their ids.
+        record: Receives a JSON object a line for each request that has ended.
+
+    Attributes:
+        streams: to proxies that are connected, by their ids.
+        attempts_sent: the number of attempts of all requests so far; the last one's request id on the wire.
+
+    Raises:
+        MissingSectionError: The configuration describes no load or no day.
+    """
+
+    def __init__(self, reactor: Any, config: Config, proxy_addresses: list[str], record: TextIO) -> None:
+        if config.load is None or config.day is None:
+            raise MissingSectionError(("load", "day"))
+        self.arrivals = draw_arrivals(config)
+        self.completed_requests = 0
+        self._reactor = reactor
+        self._config = config
+        self._load: Load = config.load
+        self._record_file = record
+        self._classes: list[ClassSection] = list(config.classes.values())
         self.streams: dict[int, Stream] = {}
-        self.open: dict[int, tuple[Arrival, float, int, Any]] = {}  # ask id: arrival, born, try, timer
-        self.next_ask = 0
-        self.next_arrival = 0
-        self.begun = 0.0
-        self.count = 0
-        for number, address in enumerate(fronts):
-            StreamClient(reactor, address, self._hello(number), self._on(number), self._lost(number)).start()
-
-    @staticmethod
-    def _hello(number: int) -> Callable[[], m.Hello]:
-        return lambda: m.Hello(m.PROTOCOL_VERSION, "client", number)
-
-    def _on(self, number: int) -> Any:
-        def message(stream: Stream, message: AnyMessage) -> None:
+        self._in_flight: dict[int, _InFlight] = {}  # by request id
+        self.attempts_sent = 0
+        self._next_arrival_index = 0
+        self._started_at_s = 0.0
+        for proxy_id, address in enumerate(proxy_addresses):
+            self._connect(proxy_id, address)
+
+    def start(self) -> None:
+        """Begin the scenario's time; streams are opened before, when the object is made."""
+        self._started_at_s = self._now_s()
+        self._send_arrivals()
+
+    def done(self) -> bool:
+        """Whether all requests were sent and none is in flight; one that waits for a retry doesn't count."""
+        return self._next_arrival_index >= len(self.arrivals) and not self._in_flight
+
+    def _now_s(self) -> float:
+        return float(self._reactor.seconds())
+
+    def _connect(self, proxy_id: int, address: str) -> None:
+        def message_received(stream: Stream, message: AnyMessage) -> None:
             match message:
                 case m.Welcome():
-                    self.streams[number] = stream
+                    self.streams[proxy_id] = stream
                 case m.ClientResponse():
-                    self._replied(message)
+                    self._response_received(message)
 
-        return message
+        def connection_lost(_reason: str) -> None:
+            self.streams.pop(proxy_id, None)
 
-    def _lost(self, number: int) -> Any:
-        def lost(why: str) -> None:
-            self.streams.pop(number, None)
+        def make_hello() -> m.Hello:
+            return m.Hello(m.PROTOCOL_VERSION, "client", proxy_id)
 
-        return lost
+        StreamClient(self._reactor, address, make_hello, message_received, connection_lost).start()
 
-    def start(self) -> None:
-        self.begun = self.reactor.seconds()
-        self._next()
-
-    def _next(self) -> None:
-        now = self.reactor.seconds()
-        while self.next_arrival < len(self.arrivals):
-            arrival = self.arrivals[self.next_arrival]
-            if self.begun + arrival.at > now:
-                self.reactor.callLater(self.begun + arrival.at - now, self._next)
+    def _send_arrivals(self) -> None:
+        """Send the requests that are due, and schedule the next one."""
+        now_s = self._now_s()
+        while self._next_arrival_index < len(self.arrivals):
+            arrival = self.arrivals[self._next_arrival_index]
+            arrived_at_s = self._started_at_s + arrival.at_s
+            if arrived_at_s > now_s:
+                self._reactor.callLater(arrived_at_s - now_s, self._send_arrivals)
                 return
-            self.next_arrival += 1
-            self._ask(arrival, self.begun + arrival.at, 0)
-
-    def _share(self, at: float) -> float:
-        for _, fault in sorted(self.config.faults.items()):
-            if fault.kind == "give_up" and fault.at_s <= at - self.begun < fault.at_s + fault.for_s:
-                return min(fault.size, self.load.try_share)
-        return self.load.try_share
-
-    def _ask(self, arrival: Arrival, born: float, number: int) -> None:
-        now = self.reactor.seconds()
-        made = self.classes[arrival.request_class]
-        left = min(made.deadline_s * self._share(now), born + made.deadline_s - now)
-        stream = self.streams.get(arrival.proxy)
-        if left <= 0.005:
-            self._end(arrival, born, number, False, "late")
+            self._next_arrival_index += 1
+            self._send(_Request(arrival, arrived_at_s, 0))
+
+    def _send(self, request: _Request) -> None:
+        arrival = request.arrival
+        timeout_s = self._timeout_s(request)
+        if timeout_s <= MIN_TIMEOUT_S:
+            self._complete(request, "late")
             return
+        stream = self.streams.get(arrival.proxy_id)
         if stream is None:
-            self._again(arrival, born, number, 0.0, "no proxy", safe=True)
+            self._retry(request, 0.0, "no proxy", may_have_executed=False)
+            return
+        self.attempts_sent += 1
+        request_id = self.attempts_sent
+        timer = self._reactor.callLater(timeout_s, self._timed_out, request_id)
+        self._in_flight[request_id] = _InFlight(request, timer)
+        stream.send(
+            m.ClientRequest(request_id, arrival.class_index, arrival.key, round(timeout_s, 6), arrival.work_s)
+        )
+
+    def _timeout_s(self, request: _Request) -> float:
+        """How long to wait for this attempt."""
+        now_s = self._now_s()
+        deadline_s = self._class_of(request).deadline_s
+        return min(
+            deadline_s * self._attempt_timeout_fraction(now_s), request.arrived_at_s + deadline_s - now_s
+        )
+
+    def _attempt_timeout_fraction(self, now_s: float) -> float:
+        """The fraction of the deadline after which an attempt is given up; a fault may lower it."""
+        since_start_s = now_s - self._started_at_s
+        for _, fault in sorted(self._config.faults.items()):
+            if fault.kind == "give_up" and fault.at_s <= since_start_s < fault.at_s + fault.for_s:
+                return min(fault.size, self._load.try_share)
+        return self._load.try_share
+
+    def _timed_out(self, request_id: int) -> None:
+        request = self._in_flight.pop(request_id).request
+        self._retry(request, 0.0, "gave up", may_have_executed=True)
+
+    def _response_received(self, response: m.ClientResponse) -> None:
+        in_flight = self._in_flight.pop(response.request_id, None)
+        if in_flight is None:
             return
-        self.next_ask += 1
-        ask = self.next_ask
-        timer = self.reactor.callLater(left, self._timeout, ask)
-        self.open[ask] = (arrival, born, number, timer)
-        stream.send(m.ClientRequest(ask, arrival.request_class, arrival.key, round(left, 6), arrival.work_s))
-
-    def _timeout(self, ask: int) -> None:
-        arrival, born, number, _ = self.open.pop(ask)
-        self._again(arrival, born, number, 0.0, "gave up", safe=False)
-
-    def _replied(self, reply: m.ClientResponse) -> None:
-        found = self.open.pop(reply.request_id, None)
-        if found is None:
+        in_flight.timer.cancel()
+        if response.status == m.AttemptStatus.OK:
+            self._complete(in_flight.request, "")
             return
-        arrival, born, number, timer = found
-        timer.cancel()
-        if reply.status == m.AttemptStatus.OK:
-            self._end(arrival, born, number, True, "")
-        else:
-            reasons: dict[int, str] = {
-                m.AttemptStatus.SATURATED: "refused",
-                m.AttemptStatus.TIMEOUT: "timeout",
-            }
-            why = reasons.get(reply.status, f"status {reply.status}")
-            self._again(arrival, born, number, reply.retry_after_s, why, safe=not reply.may_have_executed)
-
-    def _again(
-        self, arrival: Arrival, born: float, number: int, again_s: float, why: str, safe: bool
-    ) -> None:
-        """Clients repeat safe requests after any failure, keyed ones within their window, others only after
-        a refusal that proves nothing ran."""
-        made = self.classes[arrival.request_class]
-        now = self.reactor.seconds()
-        keyed = made.effect == "by_key" and now - born < made.window_s
-        if number >= self.load.retries or not (safe or made.effect == "repeatable" or keyed):
-            self._end(arrival, born, number, False, why)
+        outcome = OUTCOMES.get(response.status, f"status {response.status}")
+        self._retry(in_flight.request, response.retry_after_s, outcome, response.may_have_executed)
+
+    def _retry(self, request: _Request, retry_after_s: float, outcome: str, may_have_executed: bool) -> None:
+        """Schedule a retry if retries, the deadline and the safety of a repetition allow it; else give up."""
+        arrival = request.arrival
+        now_s = self._now_s()
+        has_retries_left = request.attempt_number < self._load.retries
+        if not has_retries_left or (may_have_executed and not self._is_repeatable(request, now_s)):
+            self._complete(request, outcome)
             return
-        wait = max(self.load.retry_s, again_s if arrival.honours else 0.0)
-        if now + wait >= born + made.deadline_s:
-            self._end(arrival, born, number, False, why)
+        wait_s = max(self._load.retry_s, retry_after_s if arrival.honours_retry_after else 0.0)
+        if now_s + wait_s >= request.arrived_at_s + self._class_of(request).deadline_s:
+            self._complete(request, outcome)
             return
-        self.reactor.callLater(wait, self._ask, arrival, born, number + 1)
+        self._reactor.callLater(wait_s, self._send, request.next_attempt())
 
-    def _end(self, arrival: Arrival, born: float, number: int, good: bool, why: str) -> None:
-        self.count += 1
+    def _is_repeatable(self, request: _Request, now_s: float) -> bool:
+        """Whether a request that may have been executed may be sent again."""
+        request_class = self._class_of(request)
+        if request_class.effect == "repeatable":
+            return True
+        return request_class.effect == "by_key" and now_s - request.arrived_at_s < request_class.window_s
+
+    def _class_of(self, request: _Request) -> ClassSection:
+        return self._classes[request.arrival.class_index]
+
+    def _complete(self, request: _Request, failure: str) -> None:
+        """Record the outcome of a request; an empty failure is success."""
+        self.completed_requests += 1
         row = {
-            "at": round(arrival.at, 4),
-            "class": arrival.request_class,
-            "proxy": arrival.proxy,
-            "took": round(self.reactor.seconds() - born, 4),
-            "tries": number + 1,
-            "ok": good,
-            "why": why,
+            "at": round(request.arrival.at_s, 4),
+            "class": request.arrival.class_index,
+            "proxy": request.arrival.proxy_id,
+            "took": round(self._now_s() - request.arrived_at_s, 4),
+            "tries": request.attempt_number + 1,
+            "ok": not failure,
+            "why": failure,
         }
-        self.record.write(json.dumps(row) + "\n")
-
-    def done(self) -> bool:
-        return self.next_arrival >= len(self.arrivals) and not self.open
+        self._record_file.write(json.dumps(row) + "\n")
--- a/puffintide/emulators/model.py
+++ b/puffintide/emulators/model.py
@@ -1,7 +1,7 @@
-"""A session server's work without I/O: cores, slots, a queue, warming, a cache of keys, and falling over.
+"""A model of a session server without I/O: cores, slots, queue, slow start, cache of keys, collapse by overload.
 
-Work is in seconds at a core of speed 1. Requests under way share the cores evenly. Time is passed in and never goes
-back; call due() at the time that next_due() gave, or sooner.
+Work is in seconds at a core of speed 1, and jobs that run share the cores evenly. Time is passed in and never goes
+back; take_completed() is to be called at the time that next_completion_at() returned, or sooner.
 """
 
 from __future__ import annotations
@@ -9,131 +9,148 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
+WORK_TOLERANCE_S = 1e-9  # of rounding; a job with less work left is complete
+MIN_WAIT_S = 0.0005  # between two looks at a server
+MAX_WAIT_S = 0.25  # a server that warms up speeds up meanwhile
+OVERLOAD_TOLERANCE = 1.1  # of the work that a server withstands while it warms up
+
 
 @dataclass(frozen=True, slots=True)
-class Make:
-    """What a server is: the day's true figures, which no assigner is told."""
+class ServerSpec:
+    """The true properties of a server, which assigners are not told."""
 
     cores: int
-    speed: float
-    slots: int
-    queue: int
-    cold_from: float
-    warm_s: float
-    cache_gain: float
-    cache_s: float
-    cache_keys: int
-    fall_multiple: float
-    fall_s: float
+    speed: float  # of a core, relative
+    slots: int  # jobs that run at once
+    queue_capacity: int  # jobs that wait for a slot
+    initial_capacity_fraction: float  # of full capacity, at the start
+    warm_up_s: float
+    cache_saving: float  # fraction of a request's work that a cached key saves
+    cache_lifetime_s: float
+    cache_max_keys: int
+    collapse_multiple: float  # of its capacity; more offered while it warms up ends the server
+    collapse_window_s: float
 
 
 @dataclass(slots=True)
 class _Job:
     id: int
-    left: float
-    silent: bool  # nobody waits for its answer, as with handshakes
+    remaining_s: float  # of work
+    is_background: bool  # nobody waits for its completion, as with handshakes
 
 
 @dataclass(slots=True)
 class ServerModel:
-    make: Make
-    started: float | None  # None: long ago, warm
-    slow: float = 1.0  # how many times slower than usual
-    fallen: bool = False
-    at: float = 0.0
+    """The state of a server that runs."""
+
+    spec: ServerSpec
+    started_at_s: float | None  # None: long ago, warmed up
+    slowdown: float = 1.0  # how many times slower than usual
+    has_collapsed: bool = False
+    now_s: float = 0.0
+    paused_until_s: float = 0.0  # nothing runs before
+    completed_jobs: int = 0
     _running: list[_Job] = field(default_factory=list)
     _queue: deque[_Job] = field(default_factory=deque)
-    _keys: OrderedDict[int, float] = field(default_factory=OrderedDict)
-    _pushed: deque[tuple[float, float]] = field(default_factory=deque)
-    _pushed_sum: float = 0.0
-    stopped_until: float = 0.0  # a pause: nothing runs before
-    answered: int = 0
-
-    def warmth(self, now: float) -> float:
-        if self.started is None or self.make.warm_s <= 0:
-            return 1.0
-        part = max(0.0, now - self.started) / self.make.warm_s
-        return min(1.0, self.make.cold_from + (1 - self.make.cold_from) * part)
-
-    def capacity(self, now: float) -> float:
-        """Work a second that it can do now, faults left aside."""
-        return self.make.cores * self.make.speed * self.warmth(now)
-
-    def held(self) -> int:
-        """Requests waiting or running."""
-        return sum(not job.silent for job in self._running) + sum(not job.silent for job in self._queue)
-
-    def busy(self) -> float:
-        return min(1.0, len(self._running) / self.make.cores)
+    _key_used_at_s: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    _offered: deque[tuple[float, float]] = field(default_factory=deque)  # time and work, in the window
+    _offered_work_s: float = 0.0
 
-    def _rate(self, now: float) -> float:
-        """Work a second of each running job."""
-        if not self._running or now < self.stopped_until:
-            return 0.0
-        share = min(1.0, self.make.cores / len(self._running))
-        return self.make.speed * self.warmth(now) * share / self.slow
-
-    def advance(self, now: float) -> None:
-        begin = max(self.at, min(self.stopped_until, now))
-        done = self._rate(now) * (now - begin)
-        self.at = max(self.at, now)
-        if done > 0:
+    def warm_up_fraction(self, now_s: float) -> float:
+        """The fraction of full capacity that the server has reached since its start."""
+        if self.started_at_s is None or self.spec.warm_up_s <= 0:
+            return 1.0
+        initial = self.spec.initial_capacity_fraction
+        progress = max(0.0, now_s - self.started_at_s) / self.spec.warm_up_s
+        return min(1.0, initial + (1 - initial) * progress)
+
+    def capacity(self, now_s: float) -> float:
+        """Seconds of work that the server can do in a second, without injected faults."""
+        return self.spec.cores * self.spec.speed * self.warm_up_fraction(now_s)
+
+    def in_flight(self) -> int:
+        """The number of requests that wait or run."""
+        running = sum(not job.is_background for job in self._running)
+        return running + sum(not job.is_background for job in self._queue)
+
+    def utilization(self) -> float:
+        """The fraction of cores in use."""
+        return min(1.0, len(self._running) / self.spec.cores)
+
+    def advance(self, now_s: float) -> None:
+        """Do the work of the time up to now."""
+        begin_s = max(self.now_s, min(self.paused_until_s, now_s))
+        work_s = self._work_rate(now_s) * (now_s - begin_s)
+        self.now_s = max(self.now_s, now_s)
+        if work_s > 0:
             for job in self._running:
-                job.left -= done
+                job.remaining_s -= work_s
 
-    def offer(self, now: float, number: int, work: float, key: int | None, silent: bool = False) -> bool:
-        """Takes a request in, or says that it is full. What is pushed at a cold server may make it fall."""
-        self.advance(now)
+    def offer(
+        self, now_s: float, job_id: int, work_s: float, key: int | None, is_background: bool = False
+    ) -> bool:
+        """Accept a job, or return False if slots and queue are full.
+
+        Offered work may make a server that warms up collapse, whether it is accepted or not.
+        """
+        self.advance(now_s)
         if key is not None:
-            work *= self._met(now, key)
-        if not silent and len(self._queue) >= self.make.queue and len(self._running) >= self.make.slots:
-            self._push(now, work)
+            work_s *= self._use_cache(now_s, key)
+        self._record_offered_work(now_s, work_s)
+        has_slot = len(self._running) < self.spec.slots
+        if not is_background and not has_slot and len(self._queue) >= self.spec.queue_capacity:
             return False
-        self._push(now, work)
-        job = _Job(number, work, silent)
-        if len(self._running) < self.make.slots:
+        job = _Job(job_id, work_s, is_background)
+        if has_slot:
             self._running.append(job)
         else:
             self._queue.append(job)
         return True
 
-    def _met(self, now: float, key: int) -> float:
-        last = self._keys.pop(key, None)
-        self._keys[key] = now
-        if len(self._keys) > self.make.cache_keys:
-            self._keys.popitem(last=False)
-        return 1 - self.make.cache_gain if last is not None and now - last < self.make.cache_s else 1.0
-
-    def warm_keys(self, now: float, keys: list[int]) -> None:
-        """Keys that it met before the day began."""
-        for key in keys[-self.make.cache_keys :]:
-            self._keys[key] = now
-
-    def _push(self, now: float, work: float) -> None:
-        self._pushed.append((now, work))
-        self._pushed_sum += work
-        while self._pushed and self._pushed[0][0] < now - self.make.fall_s:
-            self._pushed_sum -= self._pushed.popleft()[1]
-        budget = self.make.fall_multiple * self.capacity(now) * self.make.fall_s * 1.1
-        if self.warmth(now) < 1 and self._pushed_sum > budget:
-            self.fallen = True
-
-    def due(self, now: float) -> list[int]:
-        """Requests done by now."""
-        self.advance(now)
-        done = [job for job in self._running if job.left <= 1e-9]
-        if done:
-            self._running = [job for job in self._running if job.left > 1e-9]
-            while self._queue and len(self._running) < self.make.slots:
+    def take_completed(self, now_s: float) -> list[int]:
+        """The ids of requests completed by now, each returned once."""
+        self.advance(now_s)
+        completed = [job for job in self._running if job.remaining_s <= WORK_TOLERANCE_S]
+        if completed:
+            self._running = [job for job in self._running if job.remaining_s > WORK_TOLERANCE_S]
+            while self._queue and len(self._running) < self.spec.slots:
                 self._running.append(self._queue.popleft())
-        self.answered += len(done)
-        return [job.id for job in done if not job.silent]
+        self.completed_jobs += len(completed)
+        return [job.id for job in completed if not job.is_background]
 
-    def next_due(self) -> float | None:
-        """When the next one may be done; a server that warms is looked at again sooner."""
+    def next_completion_at(self) -> float | None:
+        """When the next job may be complete, at the latest MAX_WAIT_S from now; None if none runs."""
         if not self._running:
             return None
-        if self.at < self.stopped_until:
-            return self.stopped_until
-        rate = self._rate(self.at)
-        return self.at + min(0.25, max(0.0005, min(job.left for job in self._running) / max(rate, 1e-9)))
+        if self.now_s < self.paused_until_s:
+            return self.paused_until_s
+        rate = max(self._work_rate(self.now_s), WORK_TOLERANCE_S)
+        wait_s = min(job.remaining_s for job in self._running) / rate
+        return self.now_s + min(MAX_WAIT_S, max(MIN_WAIT_S, wait_s))
+
+    def _work_rate(self, now_s: float) -> float:
+        """Seconds of work that each running job is given in a second."""
+        if not self._running or now_s < self.paused_until_s:
+            return 0.0
+        core_fraction = min(1.0, self.spec.cores / len(self._running))
+        return self.spec.speed * self.warm_up_fraction(now_s) * core_fraction / self.slowdown
+
+    def _use_cache(self, now_s: float, key: int) -> float:
+        """Record the use of a key; returns the factor on the work of a request for it."""
+        last_used_at_s = self._key_used_at_s.pop(key, None)
+        self._key_used_at_s[key] = now_s
+        if len(self._key_used_at_s) > self.spec.cache_max_keys:
+            self._key_used_at_s.popitem(last=False)
+        if last_used_at_s is not None and now_s - last_used_at_s < self.spec.cache_lifetime_s:
+            return 1 - self.spec.cache_saving
+        return 1.0
+
+    def _record_offered_work(self, now_s: float, work_s: float) -> None:
+        self._offered.append((now_s, work_s))
+        self._offered_work_s += work_s
+        window_s = self.spec.collapse_window_s
+        while self._offered and self._offered[0][0] < now_s - window_s:
+            self._offered_work_s -= self._offered.popleft()[1]
+        withstood_s = self.spec.collapse_multiple * self.capacity(now_s) * window_s * OVERLOAD_TOLERANCE
+        if self.warm_up_fraction(now_s) < 1 and self._offered_work_s > withstood_s:
+            self.has_collapsed = True
--- a/puffintide/scenarios/config_files.py
+++ b/puffintide/scenarios/config_files.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from puffintide.config.model import Config
-from puffintide.emulators.fleet import dealt
+from puffintide.emulators.fleet import value_for_server
 from puffintide.scenarios.place import Place, at
 
 SHARED_SECTIONS = ("deployment", "channel", "reports", "list", "probes", "rules", "charge", "zones")
@@ -96,7 +96,7 @@
         server_count = fleet.servers + fleet.spare
         seats: list[tuple[float, int]] = []
         for server_id in range(fleet.servers):
-            cores = dealt(fleet.cores, server_id, zone_count, server_count)
+            cores = value_for_server(fleet.cores, server_id, zone_count, server_count)
             seats += [((k + 0.5) / cores, server_id) for k in range(cores)]
         order = [server_id for _, server_id in sorted(seats)]
         with (self.folder / INITIAL_TABLES).open("w", encoding="utf-8") as file:
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -159,7 +159,7 @@
         self.files = [(out / f"{n}.jsonl").open("w", encoding="utf-8") for n in ("fleet", "clients")]
         addresses = [place.tapped(f"try:{s}") for s in range(len(place.servers))]
         self.fleet = FleetService(self._new("fleet"), config, place.servers, addresses, self.files[0])
-        self.fleet.begin(place.news)
+        self.fleet.start(place.news)
         self.start("store")
         for k in range(config.deployment.assigners):
             self.start(f"assigner:{k}")
@@ -244,7 +244,7 @@
 
     def _do(self, step: Step) -> None:
         if step.party == "fleet":
-            self.fleet.control(step.operation, step.arguments)
+            self.fleet.execute(step.operation, step.arguments)
         elif step.party == "process":
             for name in step.arguments["who"]:
                 self.process(step.operation, name)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -57,9 +57,13 @@
 @pytest.mark.parametrize("name", BAD_ENTRIES)
 def test_an_entry_that_cannot_be_leaves_the_last_good_one(name: str, kind: str, tmp_path: Path) -> None:
     def put(d: Deployment) -> None:
-        rest = [d.fleet._entry(n) for n in sorted(d.fleet.listed) if n] if kind == "full" else []
-        for stream in d.fleet.watchers:
-            stream.send(m.WatchEvent(kind, d.fleet.version, [*BAD_ENTRIES[name], *rest]))
+        rest = (
+            [d.fleet.endpoint_list.entry(n) for n in sorted(d.fleet.endpoint_list.listed) if n]
+            if kind == "full"
+            else []
+        )
+        for stream in d.fleet.endpoint_list.watchers:
+            stream.send(m.WatchEvent(kind, d.fleet.endpoint_list.version, [*BAD_ENTRIES[name], *rest]))
 
     deployment = play(tmp_path, put)
     for number, assigner in deployment.assigners.items():
@@ -69,7 +73,7 @@
 
 
 def test_news_of_an_unknown_kind_empties_nothing(tmp_path: Path) -> None:
-    play(tmp_path, lambda d: [s.send(m.WatchEvent("all", 9, [])) for s in d.fleet.watchers])
+    play(tmp_path, lambda d: [s.send(m.WatchEvent("all", 9, [])) for s in d.fleet.endpoint_list.watchers])
 
 
 @pytest.mark.parametrize("name", BAD_SUMS)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -15,8 +15,8 @@
 from puffintide.config.errors import ConfigError
 from puffintide.config.loader import parse_config, read_config
 from puffintide.config.schema import FAULTS
-from puffintide.emulators.clients import draw
-from puffintide.emulators.model import Make, ServerModel
+from puffintide.emulators.arrivals import draw_arrivals
+from puffintide.emulators.model import ServerModel, ServerSpec
 from puffintide.protocol import messages as m
 from puffintide.proxy.weight_tables import WeightTables
 from puffintide.scenarios.errors import ImportFormatError
@@ -177,7 +177,7 @@
         )
         steps = plan(config, 3)
         assert steps == plan(config, 3)  # the same seed, the same day
-        arrivals = draw(config)
+        arrivals = draw_arrivals(config)
         if name == "none":
             plain = arrivals
         elif name.split()[0] not in FAULTS_OF_CLIENTS:
@@ -315,31 +315,31 @@
         import_day(day)
 
 
-# Stand-ins ------------------------------------------------------------------------------------------------
+# Emulators ------------------------------------------------------------------------------------------------
 
 
 def model(**changes: Any) -> ServerModel:
-    make = Make(
+    spec = ServerSpec(
         cores=2,
         speed=1.0,
         slots=4,
-        queue=6,
-        cold_from=0.5,
-        warm_s=10.0,
-        cache_gain=0.5,
-        cache_s=5.0,
-        cache_keys=10,
-        fall_multiple=3.0,
-        fall_s=1.5,
+        queue_capacity=6,
+        initial_capacity_fraction=0.5,
+        warm_up_s=10.0,
+        cache_saving=0.5,
+        cache_lifetime_s=5.0,
+        cache_max_keys=10,
+        collapse_multiple=3.0,
+        collapse_window_s=1.5,
     )
-    return ServerModel(make, **{"started": None, "at": 0.0, **changes})
+    return ServerModel(spec, **{"started_at_s": None, "now_s": 0.0, **changes})
 
 
 def drain(server: ServerModel, until: float) -> dict[int, float]:
     """When each request was done."""
     done: dict[int, float] = {}
-    while (due := server.next_due()) is not None and due <= until:
-        for number in server.due(due):
+    while (due := server.next_completion_at()) is not None and due <= until:
+        for number in server.take_completed(due):
             done[number] = due
     return done
 
@@ -360,25 +360,25 @@
     server.offer(2.0, 2, 1.0, 7)
     assert drain(server, 9.0)[2] == pytest.approx(2.5, abs=0.01)
     server.advance(9.0)
-    server.slow = 4.0
+    server.slowdown = 4.0
     server.offer(9.0, 3, 1.0, 7)  # forgotten by now
     assert drain(server, 20.0)[3] == pytest.approx(13.0, abs=0.05)
 
 
 def test_a_server_that_warms_up_is_slow_and_fails_when_overloaded() -> None:
-    server = model(started=0.0)
+    server = model(started_at_s=0.0)
     assert server.capacity(0.0) == 1.0
     assert server.capacity(10.0) == 2.0
     for k in range(4):
         server.offer(0.1, k, 1.0, None)
-    assert not server.fallen
+    assert not server.has_collapsed
     for k in range(4, 7):
         server.offer(0.2, k, 1.0, None)
-    assert server.fallen  # seven seconds of work in a window that allows 3 x 1 x 1.5 and some slack
+    assert server.has_collapsed  # seven seconds of work in a window that allows 3 x 1 x 1.5 and some slack
     warm = model()
     for k in range(9):
         warm.offer(0.1, k, 1.0, None)
-    assert not warm.fallen
+    assert not warm.has_collapsed
 
 
 def test_weight_tables_obey_weights_withdrawals_tokens_and_levels() -> None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -56,9 +56,9 @@
 
 def empty(on: bool) -> Any:
     def do(d: Deployment) -> None:
-        d.fleet.list_empty = on
-        for stream in sorted(d.fleet.watchers, key=lambda s: str(s.peer)):
-            d.fleet._full(stream)
+        d.fleet.endpoint_list.is_empty = on
+        for stream in sorted(d.fleet.endpoint_list.watchers, key=lambda s: str(s.peer)):
+            d.fleet.endpoint_list.send_snapshot(stream)
 
     return do
 
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -66,7 +66,8 @@
             for n, p in default_plan(fleet).items()
         }
 
-    patch.setattr(ServerModel, "_push", lambda _self, _now, _work: None)  # it stands what would end it
+    # it stands what would end it
+    patch.setattr(ServerModel, "_record_offered_work", lambda _self, _now, _work: None)
     patch.setattr(FleetState, "warm_up_fraction", lambda _self, _server_id: 1.0)
     patch.setattr(director, "plan_slices", newest)
 
@@ -160,7 +161,7 @@
     assert max(ran.values()) <= 1
     asked = verdict.service.request_count
     assert sum(tries.values()) <= 2 * (1 + FURTHER[mode]) * asked
-    assert deployment.clients.next_ask <= 2 * asked
+    assert deployment.clients.attempts_sent <= 2 * asked
     connects = sum(
         1 for line in (tmp_path / "tap.jsonl").open() if '"l":"try' in line and '"role":"proxy"' in line
     )
