--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -169,8 +169,8 @@
         """Schedule a retry if retries, the deadline and the safety of a repetition allow it; else give up."""
         arrival = request.arrival
         now_s = self._now_s()
-        has_retries_left = request.attempt_number < self._load.retries
-        if not has_retries_left or (may_have_executed and not self._is_repeatable(request, now_s)):
+        is_retry_allowed = request.attempt_number < self._load.retries
+        if not is_retry_allowed or (may_have_executed and not self._is_repeatable(request, now_s)):
             self._complete(request, outcome)
             return
         wait_s = max(self._load.retry_s, retry_after_s if arrival.honours_retry_after else 0.0)
--- a/puffintide/emulators/etcd.py
+++ b/puffintide/emulators/etcd.py
@@ -1,8 +1,7 @@
-"""A stand-in for an etcd member: the part of the v3 protocol that the store uses, in memory, with its faults.
+"""An emulator of an etcd member: the part of the v3 protocol that the store uses, in memory, with injected faults.
 
-It is no etcd: one member, no disk, no consensus. Transactions, revisions, leases and limits are as the protocol has
-them. Faults: no leader (calls answer UNAVAILABLE), slow, an answer lost after the work was done, no space, a
-reading of a compacted revision, leases that run out. Time is passed in, so that leases end when a test says so.
+It is no etcd: there is one member, no disk and no consensus. Transactions, revisions, leases and limits are as
+the protocol defines them. The clock is an argument, so that a test decides when leases expire.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from collections.abc import Callable, Iterator
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, Protocol
 
 import grpc
 
@@ -24,27 +23,47 @@
     add_LeaseServicer_to_server,
 )
 
-OPERATIONS_MOST = 128
-REQUEST_MOST = 1536 * 1024
+MAX_OPERATIONS = 128  # in a transaction; etcd's default
+MAX_REQUEST_BYTES = 1536 * 1024  # etcd's default
+MAX_WORKERS = 8  # threads that serve calls
+FIRST_LEASE_ID = 101
 
 
 @dataclass
 class Faults:
-    no_leader: bool = False
-    slow_s: float = 0.0
-    lose_answers: int = 0  # so many transactions are carried out and answer UNAVAILABLE
-    no_space: bool = False
-    compacted: int = 0  # readings at revisions below this are refused
+    """Faults to inject into the calls that follow."""
+
+    no_leader: bool = False  # calls fail with UNAVAILABLE
+    slow_s: float = 0.0  # added to each call
+    lose_responses: int = 0  # so many transactions are carried out and fail with UNAVAILABLE
+    no_space: bool = False  # transactions that write fail with RESOURCE_EXHAUSTED
+    compacted_revision: int = 0  # reads at revisions below this fail with OUT_OF_RANGE
+
+
+class _Sized(Protocol):
+    """Any protobuf message."""
+
+    def ByteSize(self) -> int:
+        """The length of its encoding."""
 
 
 @dataclass
 class _Lease:
-    ttl: int
-    ends: float
+    ttl_s: int
+    expires_at_s: float
     keys: set[bytes] = field(default_factory=set)
 
 
 class Etcd(KVServicer, LeaseServicer):
+    """A member with its keys and leases in memory; gRPC calls are served by threads.
+
+    Args:
+        clock: Returns the time in seconds, for leases.
+
+    Attributes:
+        transactions: the number of transactions carried out so far.
+    """
+
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.faults = Faults()
@@ -53,12 +72,12 @@
         self.leases: dict[int, _Lease] = {}
         self.transactions = 0
         self._lock = threading.RLock()
-        self._next_lease = 100
+        self._next_lease_id = FIRST_LEASE_ID
         self._server: Any = None
 
     def serve(self) -> int:
-        """Listens on a free port of the loopback; gives it."""
-        self._server = grpc.server(ThreadPoolExecutor(8))
+        """Listen on a free port of the loopback; returns the port."""
+        self._server = grpc.server(ThreadPoolExecutor(MAX_WORKERS))
         add_KVServicer_to_server(self, self._server)
         add_LeaseServicer_to_server(self, self._server)
         port: int = self._server.add_insecure_port("127.0.0.1:0")
@@ -66,24 +85,25 @@
         return port
 
     def stop(self) -> None:
+        """Close the port and end calls in progress. To be called once, after serve()."""
         self._server.stop(None)
 
-    # Helpers --------------------------------------------------------------------------------------
-
-    def _enter(self, context: Any, request: Any) -> None:
+    def _begin_call(self, context: grpc.ServicerContext, request: _Sized) -> None:
+        """Apply the faults and limits of all calls, and expire leases."""
         if self.faults.slow_s:
             time.sleep(self.faults.slow_s)
         if self.faults.no_leader:
             context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
-        if request.ByteSize() > REQUEST_MOST:
+        if request.ByteSize() > MAX_REQUEST_BYTES:
             context.abort(grpc.StatusCode.INVALID_ARGUMENT, "etcdserver: request is too large")
         now = self.clock()
-        for number, lease in sorted(self.leases.items()):
-            if now >= lease.ends:
-                self._end(number)
+        for lease_id, lease in sorted(self.leases.items()):
+            if now >= lease.expires_at_s:
+                self._revoke(lease_id)
 
-    def _end(self, number: int) -> None:
-        lease = self.leases.pop(number, None)
+    def _revoke(self, lease_id: int) -> None:
+        """End a lease, if there is one, and delete its keys."""
+        lease = self.leases.pop(lease_id, None)
         if lease is not None and lease.keys:
             self.revision += 1
             for key in lease.keys:
@@ -92,119 +112,130 @@
     def _header(self) -> pb.ResponseHeader:
         return pb.ResponseHeader(cluster_id=1, member_id=1, revision=self.revision, raft_term=1)
 
-    def _in(self, key: bytes, end: bytes) -> list[bytes]:
+    def _keys_in_range(self, key: bytes, end: bytes) -> list[bytes]:
+        """The existing keys from one up to an end, in order; without an end that one key, if it exists."""
         if not end:
             return [key] if key in self.keys else []
         return sorted(k for k in self.keys if key <= k < end)
 
     def _range(self, request: pb.RangeRequest) -> pb.RangeResponse:
-        found = self._in(request.key, request.range_end)
-        shown = found[: request.limit] if request.limit else found
+        found = self._keys_in_range(request.key, request.range_end)
+        returned = found[: request.limit] if request.limit else found
         return pb.RangeResponse(
             header=self._header(),
-            kvs=[self.keys[k] for k in shown],
-            more=len(shown) < len(found),
+            kvs=[self.keys[k] for k in returned],
+            more=len(returned) < len(found),
             count=len(found),
         )
 
-    # KV -------------------------------------------------------------------------------------------
-
-    def Range(self, request: pb.RangeRequest, context: Any) -> pb.RangeResponse:
+    def Range(self, request: pb.RangeRequest, context: grpc.ServicerContext) -> pb.RangeResponse:
+        """Read a range of keys; at any revision it returns the current values."""
         with self._lock:
-            self._enter(context, request)
-            if 0 < request.revision < self.faults.compacted:
+            self._begin_call(context, request)
+            if 0 < request.revision < self.faults.compacted_revision:
                 context.abort(
                     grpc.StatusCode.OUT_OF_RANGE,
                     "etcdserver: mvcc: required revision has been compacted",
                 )
             return self._range(request)
 
-    def Txn(self, request: pb.TxnRequest, context: Any) -> pb.TxnResponse:
+    def Txn(self, request: pb.TxnRequest, context: grpc.ServicerContext) -> pb.TxnResponse:
+        """Carry out a transaction."""
         with self._lock:
-            self._enter(context, request)
-            operations = request.success if all(map(self._holds, request.compare)) else request.failure
-            if len(operations) > OPERATIONS_MOST:
+            self._begin_call(context, request)
+            operations = request.success if all(map(self._is_satisfied, request.compare)) else request.failure
+            if len(operations) > MAX_OPERATIONS:
                 context.abort(
                     grpc.StatusCode.INVALID_ARGUMENT, "etcdserver: too many operations in txn request"
                 )
-            puts = [o for o in operations if o.WhichOneof("request") != "request_range"]
-            if puts and self.faults.no_space:
+            writes = [o for o in operations if o.WhichOneof("request") != "request_range"]
+            if writes and self.faults.no_space:
                 context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "etcdserver: mvcc: database space exceeded")
             self.transactions += 1
             succeeded = operations is request.success
-            if puts:
+            if writes:
                 self.revision += 1
-            responses = [self._carry_out(o) for o in operations]
-            if self.faults.lose_answers > 0 and puts:
-                self.faults.lose_answers -= 1
+            responses = [self._execute(operation) for operation in operations]
+            if self.faults.lose_responses > 0 and writes:
+                self.faults.lose_responses -= 1
                 context.abort(grpc.StatusCode.UNAVAILABLE, "transport is closing")
             return pb.TxnResponse(header=self._header(), succeeded=succeeded, responses=responses)
 
-    def _holds(self, compare: pb.Compare) -> bool:
-        kv = self.keys.get(compare.key, pb.KeyValue())
-        have: Any
-        wanted: Any
-        have, wanted = {
-            pb.Compare.VERSION: (kv.version, compare.version),
-            pb.Compare.CREATE: (kv.create_revision, compare.create_revision),
-            pb.Compare.MOD: (kv.mod_revision, compare.mod_revision),
-            pb.Compare.VALUE: (kv.value, compare.value),
-        }[compare.target]
+    def _is_satisfied(self, compare: pb.Compare) -> bool:
+        """Whether a condition of a transaction is met."""
+        pair = self.keys.get(compare.key, pb.KeyValue())
+        operands: dict[int, tuple[Any, Any]] = {
+            pb.Compare.VERSION: (pair.version, compare.version),
+            pb.Compare.CREATE: (pair.create_revision, compare.create_revision),
+            pb.Compare.MOD: (pair.mod_revision, compare.mod_revision),
+            pb.Compare.VALUE: (pair.value, compare.value),
+        }
+        actual, expected = operands[compare.target]
         if compare.result == pb.Compare.EQUAL:
-            return bool(have == wanted)
+            return bool(actual == expected)
         if compare.result == pb.Compare.NOT_EQUAL:
-            return bool(have != wanted)
-        return bool(have > wanted if compare.result == pb.Compare.GREATER else have < wanted)
+            return bool(actual != expected)
+        return bool(actual > expected if compare.result == pb.Compare.GREATER else actual < expected)
 
-    def _carry_out(self, operation: pb.RequestOp) -> pb.ResponseOp:
-        kind = operation.WhichOneof("request")
-        if kind == "request_range":
+    def _execute(self, operation: pb.RequestOp) -> pb.ResponseOp:
+        operation_type = operation.WhichOneof("request")
+        if operation_type == "request_range":
             return pb.ResponseOp(response_range=self._range(operation.request_range))
-        if kind == "request_put":
-            put = operation.request_put
-            old = self.keys.get(put.key)
-            self.keys[put.key] = pb.KeyValue(
-                key=put.key,
-                value=put.value,
-                lease=put.lease,
-                mod_revision=self.revision,
-                create_revision=old.create_revision if old is not None else self.revision,
-                version=old.version + 1 if old is not None else 1,
-            )
-            if put.lease in self.leases:
-                self.leases[put.lease].keys.add(put.key)
-            return pb.ResponseOp(response_put=pb.PutResponse(header=self._header()))
-        request = operation.request_delete_range
-        gone = self._in(request.key, request.range_end)
-        for key in gone:
-            del self.keys[key]
-        return pb.ResponseOp(response_delete_range=pb.DeleteRangeResponse(deleted=len(gone)))
+        if operation_type == "request_put":
+            return self._put(operation.request_put)
+        return self._delete_range(operation.request_delete_range)
+
+    def _put(self, request: pb.PutRequest) -> pb.ResponseOp:
+        previous = self.keys.get(request.key)
+        self.keys[request.key] = pb.KeyValue(
+            key=request.key,
+            value=request.value,
+            lease=request.lease,
+            mod_revision=self.revision,
+            create_revision=previous.create_revision if previous is not None else self.revision,
+            version=previous.version + 1 if previous is not None else 1,
+        )
+        if request.lease in self.leases:
+            self.leases[request.lease].keys.add(request.key)
+        return pb.ResponseOp(response_put=pb.PutResponse(header=self._header()))
 
-    # Leases ---------------------------------------------------------------------------------------
+    def _delete_range(self, request: pb.DeleteRangeRequest) -> pb.ResponseOp:
+        deleted = self._keys_in_range(request.key, request.range_end)
+        for key in deleted:
+            del self.keys[key]
+        return pb.ResponseOp(response_delete_range=pb.DeleteRangeResponse(deleted=len(deleted)))
 
-    def LeaseGrant(self, request: pb.LeaseGrantRequest, context: Any) -> pb.LeaseGrantResponse:
+    def LeaseGrant(
+        self, request: pb.LeaseGrantRequest, context: grpc.ServicerContext
+    ) -> pb.LeaseGrantResponse:
+        """Grant a lease."""
         with self._lock:
-            self._enter(context, request)
-            self._next_lease += 1
-            self.leases[self._next_lease] = _Lease(request.TTL, self.clock() + request.TTL)
-            return pb.LeaseGrantResponse(header=self._header(), ID=self._next_lease, TTL=request.TTL)
-
-    def LeaseRevoke(self, request: pb.LeaseRevokeRequest, context: Any) -> pb.LeaseRevokeResponse:
+            self._begin_call(context, request)
+            lease_id = self._next_lease_id
+            self._next_lease_id += 1
+            self.leases[lease_id] = _Lease(request.TTL, self.clock() + request.TTL)
+            return pb.LeaseGrantResponse(header=self._header(), ID=lease_id, TTL=request.TTL)
+
+    def LeaseRevoke(
+        self, request: pb.LeaseRevokeRequest, context: grpc.ServicerContext
+    ) -> pb.LeaseRevokeResponse:
+        """End a lease and delete its keys."""
         with self._lock:
-            self._enter(context, request)
-            self._end(request.ID)
+            self._begin_call(context, request)
+            self._revoke(request.ID)
             return pb.LeaseRevokeResponse(header=self._header())
 
     def LeaseKeepAlive(
-        self, requests: Iterator[pb.LeaseKeepAliveRequest], context: Any
+        self, requests: Iterator[pb.LeaseKeepAliveRequest], context: grpc.ServicerContext
     ) -> Iterator[pb.LeaseKeepAliveResponse]:
+        """Renew leases; the response for one that has expired has a TTL of 0."""
         for request in requests:
             with self._lock:
-                self._enter(context, request)
+                self._begin_call(context, request)
                 lease = self.leases.get(request.ID)
                 if lease is not None:
-                    lease.ends = self.clock() + lease.ttl
-                answer = pb.LeaseKeepAliveResponse(
-                    header=self._header(), ID=request.ID, TTL=lease.ttl if lease is not None else 0
+                    lease.expires_at_s = self.clock() + lease.ttl_s
+                response = pb.LeaseKeepAliveResponse(
+                    header=self._header(), ID=request.ID, TTL=lease.ttl_s if lease is not None else 0
                 )
-            yield answer
+            yield response
--- a/puffintide/emulators/server.py
+++ b/puffintide/emulators/server.py
@@ -82,7 +82,7 @@
     _jobs: dict[int, _Job] = field(default_factory=dict)
     _last_job_id: int = 0
     _timer: Any = None
-    _load_values: list[float] = field(default_factory=list)  # sent with responses, measured now and then
+    _load_values: list[float] = field(default_factory=list)  # sent with responses, measured at intervals
 
     def start(self, is_warm: bool) -> None:
         """Listen, without faults; a server that is not warm begins its slow start.
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -150,7 +150,7 @@
     engine.load()
     engine.commit(Commit(1, 1, slices_at(range(5), 1)))
     for lost in (1, 2):
-        etcd.faults.lose_answers = lost
+        etcd.faults.lose_responses = lost
         engine.commit(Commit(1 + lost, lost, slices_at(range(rows), 1 + lost)))
     found = stored_slices(etcd, engine)
     assert found == by_slice(slices_at(range(5), 1) + slices_at(range(rows), 3))
@@ -167,7 +167,7 @@
     class ConnectionCutError(Exception):
         pass
 
-    put = etcd._carry_out
+    put = etcd._execute
 
     def cut(operation: object) -> object:
         if etcd.transactions - begun > after:
@@ -175,14 +175,14 @@
             raise ConnectionCutError
         return put(operation)  # type: ignore[arg-type]
 
-    etcd._carry_out = cut  # type: ignore[method-assign, assignment]
+    etcd._execute = cut  # type: ignore[method-assign, assignment]
     acknowledged = True
     try:
         engine.commit(Commit(3, 3, slices_at(range(450), 3)))
         engine.commit(Commit(4, 4, slices_at(range(2), 4)))
     except StoreError:
         acknowledged = False
-    etcd._carry_out = put  # type: ignore[method-assign]
+    etcd._execute = put  # type: ignore[method-assign]
     etcd.faults.no_leader = False
     advance(etcd, 30)
     other = etcd_engine(etcd)
@@ -210,11 +210,11 @@
     etcd.faults.no_space = False
     engine.commit(Commit(2, 2, slices_at(range(2), 2)))
     engine.close()
-    etcd.faults.compacted = 1 << 40  # the second page of each reading
+    etcd.faults.compacted_revision = 1 << 40  # the second page of each reading
     other = etcd_engine(etcd)
     with pytest.raises(StoreError, match="compacted at every reading"):
         other.load()
-    etcd.faults.compacted = 0
+    etcd.faults.compacted_revision = 0
     assert len(other.load().slices) == 900
 
 
