--- a/benchmarks/day_figures.py
+++ b/benchmarks/day_figures.py
@@ -1,4 +1,4 @@
-"""Figures of a played day, from its records and logs: hearing to last request, order to applied, cost, memory.
+"""Figures of a scenario that was played, from its records and logs: drains, updates, processor time, memory.
 
 python -m benchmarks.day_figures out/full-size [--table FILE]
 """
@@ -7,103 +7,160 @@
 
 import json
 from collections import defaultdict
+from collections.abc import Iterator
+from dataclasses import dataclass, field
 from pathlib import Path
+from typing import Any
 
 import click
 
 from puffintide.audit.records import Record, peers_by_connection, read_records
 from puffintide.config.loader import read_config
+from puffintide.config.model import Config
 from puffintide.protocol import messages as m
-from puffintide.scenarios.results import evaluate, quantile
-
-
-def applied(records: list[Record], pace: float, delay_s: float) -> tuple[list[float], list[float]]:
-    """For each marked order that all its proxies applied: seconds from the order to the last applied, and what the
-    channel's own count (lines of all its messages at the stated pace, and the mean way) says it should take."""
-    who = peers_by_connection(records)
-    told: dict[tuple[str, int], list[m.ProxyUpdate]] = defaultdict(list)
-    waiting: dict[tuple[str, int], set[int]] = defaultdict(set)
-    marks: dict[tuple[str, int], tuple[str, int]] = {}
-    done: dict[tuple[str, int], float] = {}
-    for r in sorted(records, key=lambda r: (r.received_at_s, r.number)):
-        peer = who.get(r.connection_id)
+from puffintide.scenarios.results import ScenarioResult, evaluate, quantile
+
+STATS_INTERVAL_S = 5.0  # between the "stats" rows of an assigner's log
+STATS_ROWS_PER_MINUTE = 12
+MIN_STATS_ROWS = 3
+KB_PER_MB = 1024
+
+UpdateKey = tuple[str, int]  # the network path and the batch of an update
+
+
+@dataclass(frozen=True, slots=True)
+class UpdateDelays:
+    """Seconds from an update to its application at all proxies, for each update that asked for acknowledgements.
+
+    Attributes:
+        measured: up to the last proxy's acknowledgement.
+        predicted: by the cost of all its messages at the channel's rate, and the mean delay of the channel.
+    """
+
+    measured: list[float]
+    predicted: list[float]
+
+
+@dataclass(slots=True)
+class _Update:
+    messages: list[m.ProxyUpdate] = field(default_factory=list)
+    pending_proxy_ids: set[int] = field(default_factory=set)
+    acknowledged_at_s: float | None = None  # by the last proxy that did so far
+
+
+def update_delays(records: list[Record], entries_per_s: float, channel_delay_s: float) -> UpdateDelays:
+    """Work out the delays of all updates that every one of their proxies acknowledged."""
+    measured = []
+    predicted = []
+    for update in _updates(records).values():
+        if update.pending_proxy_ids or update.acknowledged_at_s is None:
+            continue
+        cost = sum(message.channel_cost for message in update.messages)
+        measured.append(update.acknowledged_at_s - update.messages[0].ordered_at_s)
+        predicted.append(cost / entries_per_s + channel_delay_s)
+    return UpdateDelays(measured, predicted)
+
+
+def _updates(records: list[Record]) -> dict[UpdateKey, _Update]:
+    """Delivered updates with a checkpoint, and their acknowledgements."""
+    peers = peers_by_connection(records)
+    updates: defaultdict[UpdateKey, _Update] = defaultdict(_Update)
+    update_of_checkpoint: dict[UpdateKey, UpdateKey] = {}
+    for record in sorted(records, key=lambda record: (record.received_at_s, record.number)):
+        peer = peers.get(record.connection_id)
         if peer is None:
             continue
-        if (
-            isinstance(r.message, m.ProxyUpdate)
-            and r.message.checkpoint_id is not None
-            and r.delivered_at_s is not None
-        ):
-            key = (r.link, r.message.batch)
-            told[key].append(r.message)
-            waiting[key].add(peer.id)
-            marks[r.link, r.message.checkpoint_id] = key
-        elif isinstance(r.message, m.CheckpointReply):
-            found = marks.get((r.link, r.message.checkpoint_id))
-            if found is not None:
-                waiting[found].discard(peer.id)
-                done[found] = r.received_at_s
-    took, stated = [], []
-    for key, orders in told.items():
-        if not waiting[key] and key in done:
-            took.append(done[key] - orders[0].ordered_at_s)
-            stated.append(sum(order.channel_cost for order in orders) / pace + delay_s)
-    return took, stated
+        message = record.message
+        if isinstance(message, m.ProxyUpdate):
+            if message.checkpoint_id is None or record.delivered_at_s is None:
+                continue
+            key = (record.link, message.batch)
+            updates[key].messages.append(message)
+            updates[key].pending_proxy_ids.add(peer.id)
+            update_of_checkpoint[record.link, message.checkpoint_id] = key
+        elif isinstance(message, m.CheckpointReply):
+            acknowledged = update_of_checkpoint.get((record.link, message.checkpoint_id))
+            if acknowledged is not None:
+                updates[acknowledged].pending_proxy_ids.discard(peer.id)
+                updates[acknowledged].acknowledged_at_s = record.received_at_s
+    return updates
 
 
-@click.command()
-@click.argument("folder")
-@click.option("--table", default="")
-def main(folder: str, table: str) -> None:
-    out = Path(folder)
-    config = read_config(str(out / "day.ini"), ("day", "fleet", "load"))
+def _read_all_records(folder: Path) -> list[Record]:
     records: list[Record] = []
-    for path in sorted(out.glob("tap*.jsonl")):
+    for path in sorted(folder.glob("tap*.jsonl")):
         with path.open("rb") as file:
             records += read_records(file, path.name).records
-    took, stated = applied(records, config.channel.lines_per_s, config.net.order_late_s)
-    ratio = sorted(t / s for t, s in zip(took, stated, strict=True))
-    took.sort()
-    stated.sort()
-    del records
-    verdict = evaluate(out)
-    drain = verdict.report.drain_durations_s
-    grace = config.rules.drain_grace_s
-    lines = ["| figure | value |", "| --- | --- |"]
-    for rule, near in verdict.report.peak_ratios.items():
-        broken = sum(f.rule == rule for f in verdict.report.findings)
-        lines.append(
-            f"| {rule} | {'BROKEN ' + str(broken) if broken else 'kept'}, nearest {near:.0%} of its limit |"
-        )
-    lines.append(
-        f"| worth served, worst 10 s | {verdict.service.score:.3f}, {verdict.service.worst_window_score:.3f} |"
-    )
-    lines.append(
-        f"| hearing of a loss to the last request, p50/p99/max s (grace {grace}) | "
-        f"{quantile(drain, 0.5):.2f} / {quantile(drain, 0.99):.2f} / {quantile(drain, 1):.2f}, {len(drain)} cases |"
-    )
-    lines.append(
-        f"| order to applied at all its proxies, p50/p99/max s | {quantile(took, 0.5):.2f} / "
-        f"{quantile(took, 0.99):.2f} / {quantile(took, 1):.2f}, {len(took)} orders |"
-    )
-    lines.append(
-        f"| the same by the channel's own count, p50/max s | {quantile(stated, 0.5):.2f} / {stated[-1]:.2f} |"
+    return records
+
+
+def _rule_rows(result: ScenarioResult) -> Iterator[str]:
+    for rule, peak_ratio in result.report.peak_ratios.items():
+        violations = sum(finding.rule == rule for finding in result.report.findings)
+        verdict = f"BROKEN {violations}" if violations else "kept"
+        yield f"| {rule} | {verdict}, nearest {peak_ratio:.0%} of its limit |"
+
+
+def _service_rows(result: ScenarioResult, drain_grace_s: float) -> Iterator[str]:
+    service = result.service
+    drains_s = result.report.drain_durations_s
+    yield f"| score, worst 10 s | {service.score:.3f}, {service.worst_window_score:.3f} |"
+    yield (
+        f"| notice of a loss to the last request, p50/p99/max s (grace {drain_grace_s}) | "
+        f"{_quantiles(drains_s)}, {len(drains_s)} cases |"
     )
-    lines.append(
-        f"| measured over counted, p50/p99 | {quantile(ratio, 0.5):.2f} / {quantile(ratio, 0.99):.2f} |"
+
+
+def _update_rows(delays: UpdateDelays) -> Iterator[str]:
+    measured = sorted(delays.measured)
+    predicted = sorted(delays.predicted)
+    ratios = sorted(a / b for a, b in zip(delays.measured, delays.predicted, strict=True))
+    yield (
+        f"| update to applied at all its proxies, p50/p99/max s | {_quantiles(measured)}, "
+        f"{len(measured)} updates |"
     )
-    for path in sorted(out.glob("assigner-*.log")):
-        stats = [row for row in map(json.loads, path.read_text().splitlines()) if row["event"] == "stats"]
-        if len(stats) < 3:
+    yield f"| the same as predicted, p50/max s | {quantile(predicted, 0.5):.2f} / {predicted[-1]:.2f} |"
+    yield f"| measured over predicted, p50/p99 | {quantile(ratios, 0.5):.2f} / {quantile(ratios, 0.99):.2f} |"
+
+
+def _quantiles(ordered: list[float]) -> str:
+    return " / ".join(f"{quantile(ordered, q):.2f}" for q in (0.5, 0.99, 1))
+
+
+def _process_rows(folder: Path) -> Iterator[str]:
+    """Processor time and memory of each assigner whose log has enough rows."""
+    for path in sorted(folder.glob("assigner-*.log")):
+        rows: list[dict[str, Any]] = [json.loads(line) for line in path.read_text().splitlines()]
+        stats = [row for row in rows if row["event"] == "stats"]
+        if len(stats) < MIN_STATS_ROWS:
             continue
-        span = 5.0 * (len(stats) - 1)
-        cpu = (stats[-1]["cpu_s"] - stats[0]["cpu_s"]) / span
-        minute = min(12, len(stats) - 1)
-        lines.append(
-            f"| {path.stem}: core, most lines waiting, memory at 1 min and the end | {cpu:.2f}, "
-            f"{stats[-1]['max_queued_entries']}, {stats[minute]['rss_kb'] // 1024} and "
-            f"{stats[-1]['rss_kb'] // 1024} M |"
+        span_s = STATS_INTERVAL_S * (len(stats) - 1)
+        cores = (stats[-1]["cpu_s"] - stats[0]["cpu_s"]) / span_s
+        after_a_minute = stats[min(STATS_ROWS_PER_MINUTE, len(stats) - 1)]
+        yield (
+            f"| {path.stem}: cores, most queued entries, memory after 1 min and at the end | {cores:.2f}, "
+            f"{stats[-1]['max_queued_entries']}, {after_a_minute['rss_kb'] // KB_PER_MB} and "
+            f"{stats[-1]['rss_kb'] // KB_PER_MB} MB |"
         )
+
+
+def table_rows(folder: Path, config: Config) -> Iterator[str]:
+    """The rows of the table."""
+    delays = update_delays(_read_all_records(folder), config.channel.lines_per_s, config.net.order_late_s)
+    result = evaluate(folder)
+    yield from _rule_rows(result)
+    yield from _service_rows(result, config.rules.drain_grace_s)
+    yield from _update_rows(delays)
+    yield from _process_rows(folder)
+
+
+@click.command()
+@click.argument("folder")
+@click.option("--table", default="")
+def main(folder: str, table: str) -> None:
+    """Print the table, and write it to a file."""
+    config = read_config(str(Path(folder) / "day.ini"), ("day", "fleet", "load"))
+    lines = ["| figure | value |", "| --- | --- |", *table_rows(Path(folder), config)]
     text = "\n".join(lines)
     click.echo(text)
     if table:
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -1,18 +1,21 @@
-"""A slow fleet near its limit and impatient clients: what each way of trying again makes of it.
+"""Attempts and responses in time of each retry mode, when a fleet near its limit suddenly becomes slow.
 
-    python -m benchmarks.retry_storm [--table FILE]
+    python -m benchmarks.retry_storm [--seed 1] [--table FILE]
 
-The proxy's engine and the stand-ins' servers in virtual time, no sockets and no clock, so that the same seed gives
-the same table anywhere. Ten seconds at a share of what the fleet can do, then the fleet is twice as slow for ten,
-then well again. Amplification is tries over first tries; it can't pass what was ordered: 1, 2, 2 and 3.
+The proxy's engine and emulated servers run in virtual time without sockets, so that a seed gives the same table
+anywhere. The fleet serves a fraction of its capacity for 10 s, is twice as slow for 10 s, then recovers.
+Amplification is the number of attempts over that of first attempts; a retry mode limits it to 1, 2, 2 or 3.
 """
 
 from __future__ import annotations
 
 import heapq
 import random
+from collections import Counter
+from collections.abc import Callable, Hashable, Iterable
+from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import click
 
@@ -31,17 +34,52 @@
 from puffintide.proxy.retry_policy import DeduplicationScope, RequestClassPolicy
 from puffintide.proxy.settings import EngineSettings
 
-SERVERS, SLICES, WORK_S, LENGTH_S = 10, 40, 0.1, 30.0
-KINDS = (
+SERVER_COUNT = 10
+SLICE_COUNT = 40
+MEAN_WORK_S = 0.1
+LENGTH_S = 30.0
+SLOW_FROM_S = 10.0
+SLOW_UNTIL_S = 20.0
+SLOWDOWN = 2.0
+REQUEST_TIMEOUT_S = 1.5
+REJECTION_DELAY_S = 0.001  # from an attempt to a saturated server's response
+MIN_TIMER_S = 1e-6
+NON_IDEMPOTENT_CLASS = 1
+NON_IDEMPOTENT_PERIOD = 5  # each fifth request is of that class
+LOADS = (0.7, 0.9)  # fractions of the fleet's capacity
+MAX_ATTEMPTS = (1, 2, 2, 3)  # of a request, by retry mode
+REQUEST_CLASSES = (
     RequestClassPolicy(RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
     RequestClassPolicy(RepeatSafety.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
 )
+SERVER_SPEC = ServerSpec(
+    cores=2,
+    speed=1.0,
+    slots=4,
+    queue_capacity=20,
+    initial_capacity_fraction=0.5,
+    warm_up_s=5.0,
+    cache_saving=0.0,
+    cache_lifetime_s=1.0,
+    cache_max_keys=10,
+    collapse_multiple=3.0,
+    collapse_window_s=1.5,
+)
+HEADINGS = (
+    "load",
+    "mode",
+    "attempts a first attempt",
+    "limit",
+    "answered in time",
+    "non-idempotent repeated",
+)
 
 
-def limits() -> EngineSettings:
+def engine_settings() -> EngineSettings:
+    """Settings of a proxy that admits everything and ejects no server."""
     return EngineSettings(
-        slice_count=SLICES,
-        request_classes=KINDS,
+        slice_count=SLICE_COUNT,
+        request_classes=REQUEST_CLASSES,
         same_zone_only=(False, False),
         default_retry_mode=0,
         retry_wait_objectives=1.0,
@@ -55,115 +93,163 @@
     )
 
 
-class World:
-    def __init__(self, mode: int, share: float, seed: int) -> None:
-        self.rng = random.Random(seed)
-        self.engine = Engine(limits(), self.rng.random)
-        spec = ServerSpec(2, 1.0, 4, 20, 0.5, 5.0, 0.0, 1.0, 10, 3.0, 1.5)
-        self.servers = [ServerModel(spec, None) for _ in range(SERVERS)]
-        held = [m.TableEntry(s, 1.0, f"127.0.0.1:{s}") for s in range(SERVERS)]
-        self.engine.on_slice_ownerships(0.0, [m.SliceOwnership(n, 1, 0, held) for n in range(SLICES)])
-        self.engine.on_proxy_update(
-            0.0, 0, m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, 0, 1.0, mode)])
+class _Event(NamedTuple):
+    at_s: float
+    sequence: int  # events of the same time happen in the order in which they were scheduled
+    call: Callable[[], None]
+
+
+class RetrySimulation:
+    """One proxy and its servers in virtual time.
+
+    Args:
+        retry_mode: Of the proxy, 0 to 3.
+        load: Requests as a fraction of the fleet's capacity.
+        seed: Of arrivals, work and the engine's choices.
+
+    Attributes:
+        requests: sent by clients.
+        first_attempts: the first attempts of requests.
+        attempts: of all requests.
+        answered_in_time: requests that ended well.
+        unsafe_repeats: attempts of non-idempotent requests after one that may have been executed.
+    """
+
+    def __init__(self, retry_mode: int, load: float, seed: int) -> None:
+        self.requests = 0
+        self.first_attempts = 0
+        self.attempts = 0
+        self.answered_in_time = 0
+        self.unsafe_repeats = 0
+        self._random = random.Random(seed)
+        self.engine = Engine(engine_settings(), self._random.random)
+        self._servers = [ServerModel(SERVER_SPEC, None) for _ in range(SERVER_COUNT)]
+        self._request_rate = load * SERVER_COUNT * SERVER_SPEC.cores / MEAN_WORK_S
+        self._now_s = 0.0
+        self._events: list[_Event] = []
+        self._last_sequence = 0
+        self._executed_attempts: Counter[Hashable] = Counter()  # by request
+        self._completion_check_at_s: dict[int, float] = {}  # by server
+        self._configure_engine(retry_mode)
+
+    def run(self) -> None:
+        """Play all requests to their ends."""
+        self._schedule_arrivals()
+        self._schedule(SLOW_FROM_S, lambda: self._set_slowdown(SLOWDOWN))
+        self._schedule(SLOW_UNTIL_S, lambda: self._set_slowdown(1.0))
+        while self._events or self.engine.next_timer_at() is not None:
+            timer_at_s = self.engine.next_timer_at()
+            if timer_at_s is not None and (not self._events or timer_at_s <= self._events[0].at_s):
+                self._now_s = max(self._now_s, timer_at_s)
+                self._execute(self.engine.on_timer(self._now_s))
+            else:
+                event = heapq.heappop(self._events)
+                self._now_s = event.at_s
+                event.call()
+
+    def _configure_engine(self, retry_mode: int) -> None:
+        table = [m.TableEntry(server_id, 1.0, f"127.0.0.1:{server_id}") for server_id in range(SERVER_COUNT)]
+        ownerships = [m.SliceOwnership(slice_id, 1, 0, table) for slice_id in range(SLICE_COUNT)]
+        self.engine.on_slice_ownerships(0.0, ownerships)
+        level = m.AdmissionLevel(0xFFFF, 0, 1.0, retry_mode)
+        self.engine.on_proxy_update(0.0, 0, m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[level]))
+
+    def _schedule_arrivals(self) -> None:
+        at_s = 0.0
+        while at_s < LENGTH_S:
+            at_s += self._random.expovariate(self._request_rate)
+            self.requests += 1
+            self._schedule(at_s, partial(self._send_request, self.requests))
+
+    def _schedule(self, at_s: float, call: Callable[[], None]) -> None:
+        self._last_sequence += 1
+        heapq.heappush(self._events, _Event(at_s, self._last_sequence, call))
+
+    def _send_request(self, request_id: int) -> None:
+        is_non_idempotent = request_id % NON_IDEMPOTENT_PERIOD == 0
+        class_index = NON_IDEMPOTENT_CLASS if is_non_idempotent else 0
+        slice_id = request_id % SLICE_COUNT
+        self._execute(
+            self.engine.on_request(
+                self._now_s, request_id, request_id, slice_id, class_index, REQUEST_TIMEOUT_S
+            )
         )
-        self.rate = share * SERVERS * spec.cores / WORK_S
-        self.now = 0.0
-        self.events: list[tuple[float, int, str, int]] = []
-        self.number = 0
-        self.first = self.tries = self.good = self.asked = self.once_again = 0
-        self.seen: dict[Any, int] = {}
-        self.armed: dict[int, float] = {}  # when each server is looked at next
-
-    def later(self, at: float, what: str, which: int) -> None:
-        self.number += 1
-        heapq.heappush(self.events, (at, self.number, what, which))
-
-    def do(self, effects: list[Effect]) -> None:
-        for e in effects:
-            match e:
-                case ConnectServer(server):
-                    self.do(self.engine.on_server_connected(self.now, server))
+
+    def _execute(self, effects: Iterable[Effect]) -> None:
+        for effect in effects:
+            match effect:
+                case ConnectServer(server_id):
+                    self._execute(self.engine.on_server_connected(self._now_s, server_id))
                 case SendAttempt():
-                    self.tries += 1
-                    self.first += e.attempt_number == 0
-                    self.once_again += (
-                        e.class_index == 1 and e.attempt_number > 0 and self.seen.get(e.handle, 0) > 0
-                    )
-                    self.seen[e.handle] = self.seen.get(e.handle, 0) + 1
-                    model = self.servers[e.server_id]
-                    if not model.offer(
-                        self.now, e.attempt_id, self.rng.lognormvariate(-0.1, 0.45) * WORK_S, None
-                    ):
-                        self.seen[e.handle] -= 1
-                        self.later(self.now + 0.001, f"full{e.server_id}", e.attempt_id)
-                    self.arm(e.server_id)
+                    self._send_attempt(effect)
                 case CompleteRequest(_, status):
-                    self.good += status == m.AttemptStatus.OK
+                    self.answered_in_time += status == m.AttemptStatus.OK
                 case CancelAttempt() | DisconnectServer():
                     pass  # it stops no work
 
-    def arm(self, server: int) -> None:
-        due = self.servers[server].next_completion_at()
-        if due is not None and due < self.armed.get(server, float("inf")):
-            self.armed[server] = max(due, self.now + 1e-6)
-            self.later(self.armed[server], "work", server)
+    def _send_attempt(self, attempt: SendAttempt) -> None:
+        self.attempts += 1
+        self.first_attempts += attempt.attempt_number == 0
+        is_repeat = attempt.attempt_number > 0 and self._executed_attempts[attempt.handle] > 0
+        self.unsafe_repeats += is_repeat and attempt.class_index == NON_IDEMPOTENT_CLASS
+        work_s = self._random.lognormvariate(-0.1, 0.45) * MEAN_WORK_S
+        if self._servers[attempt.server_id].offer(self._now_s, attempt.attempt_id, work_s, None):
+            self._executed_attempts[attempt.handle] += 1
+        else:
+            self._schedule(self._now_s + REJECTION_DELAY_S, lambda: self._reject(attempt))
+        self._schedule_completion_check(attempt.server_id)
 
-    def run(self) -> None:
-        at = 0.0
-        while at < LENGTH_S:
-            at += self.rng.expovariate(self.rate)
-            self.asked += 1
-            self.later(at, "ask", self.asked)
-        self.later(10.0, "slow", 2)
-        self.later(20.0, "slow", 1)
-        while self.events or self.engine.next_timer_at() is not None:
-            due = self.engine.next_timer_at()
-            if due is not None and (not self.events or due <= self.events[0][0]):
-                self.now = max(self.now, due)
-                self.do(self.engine.on_timer(self.now))
-                continue
-            self.now, _, what, which = heapq.heappop(self.events)
-            if what == "ask":
-                kind = 1 if which % 5 == 0 else 0
-                self.do(self.engine.on_request(self.now, which, which, which % SLICES, kind, 1.5))
-            elif what == "work":
-                if self.armed.get(which) == self.now:
-                    del self.armed[which]
-                for key in self.servers[which].take_completed(self.now):
-                    self.do(self.engine.on_response(self.now, which, key, m.AttemptStatus.OK, []))
-                self.arm(which)
-            elif what == "slow":
-                for k, server in enumerate(self.servers):
-                    server.advance(self.now)
-                    server.slowdown = float(which)
-                    self.arm(k)
-            else:
-                self.do(
-                    self.engine.on_response(self.now, int(what[4:]), which, m.AttemptStatus.SATURATED, [])
-                )
+    def _reject(self, attempt: SendAttempt) -> None:
+        self._respond(attempt.server_id, attempt.attempt_id, m.AttemptStatus.SATURATED)
 
+    def _respond(self, server_id: int, attempt_id: int, status: m.AttemptStatus) -> None:
+        self._execute(self.engine.on_response(self._now_s, server_id, attempt_id, status, []))
 
-def rows(seed: int) -> list[tuple[float, int, float, float, int]]:
-    """(load, way, amplification, answered in time, once requests sent again after one that may have run)"""
-    found = []
-    for share in (0.7, 0.9):
-        for mode in range(4):
-            world = World(mode, share, seed)
-            world.run()
-            found.append((share, mode, world.tries / world.first, world.good / world.asked, world.once_again))
-    return found
+    def _schedule_completion_check(self, server_id: int) -> None:
+        completion_at_s = self._servers[server_id].next_completion_at()
+        scheduled_at_s = self._completion_check_at_s.get(server_id, float("inf"))
+        if completion_at_s is None or completion_at_s >= scheduled_at_s:
+            return
+        check_at_s = max(completion_at_s, self._now_s + MIN_TIMER_S)
+        self._completion_check_at_s[server_id] = check_at_s
+        self._schedule(check_at_s, lambda: self._check_completions(server_id))
+
+    def _check_completions(self, server_id: int) -> None:
+        if self._completion_check_at_s.get(server_id) == self._now_s:
+            del self._completion_check_at_s[server_id]
+        for attempt_id in self._servers[server_id].take_completed(self._now_s):
+            self._respond(server_id, attempt_id, m.AttemptStatus.OK)
+        self._schedule_completion_check(server_id)
+
+    def _set_slowdown(self, factor: float) -> None:
+        for server_id, server in enumerate(self._servers):
+            server.advance(self._now_s)
+            server.slowdown = factor
+            self._schedule_completion_check(server_id)
+
+
+def table_rows(seed: int) -> list[str]:
+    """A row of the table for each load and retry mode."""
+    rows = []
+    for load in LOADS:
+        for retry_mode, max_attempts in enumerate(MAX_ATTEMPTS):
+            simulation = RetrySimulation(retry_mode, load, seed)
+            simulation.run()
+            amplification = simulation.attempts / simulation.first_attempts
+            answered = simulation.answered_in_time / simulation.requests
+            rows.append(
+                f"| {load:.0%} | {retry_mode} | {amplification:.2f} | {max_attempts} | {answered:.3f} "
+                f"| {simulation.unsafe_repeats} |"
+            )
+    return rows
 
 
 @click.command()
 @click.option("--seed", default=1)
 @click.option("--table", default="")
 def main(seed: int, table: str) -> None:
-    lines = ["| load | way | tries a first try | ordered at most | answered in time | once sent again |"]
-    lines.append("| --- | --- | --- | --- | --- | --- |")
-    for share, mode, amplified, good, again in rows(seed):
-        lines.append(
-            f"| {share:.0%} | {mode} | {amplified:.2f} | {(1, 2, 2, 3)[mode]} | {good:.3f} | {again} |"
-        )
+    """Print the table, and write it to a file."""
+    lines = [f"| {' | '.join(HEADINGS)} |", "| --- " * len(HEADINGS) + "|", *table_rows(seed)]
     click.echo("\n".join(lines))
     if table:
         Path(table).write_text("\n".join(lines) + "\n", encoding="utf-8")
--- a/benchmarks/zone_loads.py
+++ b/benchmarks/zone_loads.py
@@ -1,93 +1,138 @@
-"""The work that each server of a played day was sent, second by second, beside what it can do.
+"""The work that each server of a scenario was sent, second by second, beside its capacity.
 
     python -m benchmarks.zone_loads DIR [--plot FILE]
 
-From the relay's records: work_s of every try that reached a server, over its capacity (cores times speed), as means
-of 3 s. A cold server's capacity counts as it is when warm, so that its curve shows how its part grows. Prints, for
-each zone, the highest mean and for how long any server was above its capacity at a stretch.
+From the recording proxy's records: the work of each attempt that reached a server, as a fraction of the server's
+capacity (cores times speed), in means over 3 s. A server that warms up counts with its full capacity, so that its
+curve shows its slow start. Prints, for each zone, the highest mean and the longest time that any of its servers was
+above its capacity.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import click
 
-from puffintide.audit.records import read_json_lines, read_records
+from puffintide.audit.records import Record, read_json_lines, read_records
 from puffintide.config.loader import read_config
 from puffintide.protocol.messages import AttemptRequest
 
-SPAN_S = 3
+MEAN_OVER_S = 3
+SERVER_LINK_PREFIX = "try:"  # of the names of network paths to servers
+COLOURS = ("tab:red", "tab:blue", "tab:green", "tab:orange")  # by zone
 
 
-def series(folder: Path) -> tuple[dict[int, list[float]], dict[int, int]]:
-    """Shares of capacity by server, a value a second of the day; zones by server."""
-    config = read_config(str(folder / "day.ini"))
+@dataclass(frozen=True, slots=True)
+class ServerLoads:
+    """The load of each server.
+
+    Attributes:
+        utilization: fractions of capacity by server id, a value for each second of the scenario.
+        zones: by server id.
+    """
+
+    utilization: dict[int, list[float]]
+    zones: dict[int, int]
+
+
+def read_loads(folder: Path) -> ServerLoads:
+    """Work out the load from the records of a scenario.
+
+    Raises:
+        ConfigError: day.ini of the folder is invalid or has no [day].
+    """
+    config = read_config(str(folder / "day.ini"), ("day",))
     assert config.day is not None
-    began = next(row["t"] for row in read_json_lines(folder / "day.jsonl") if row["what"] == "begin")
+    duration_s = int(config.day.length_s)
+    started_at_s = _first_row(folder / "day.jsonl", "begin")["t"]
     starts = [row for row in read_json_lines(folder / "fleet.jsonl") if row["what"] == "start"]
     capacity = {row["server"]: row["capacity"] for row in starts}
     zones = {row["server"]: row["zone"] for row in starts}
     with (folder / "tap.jsonl").open("rb") as lines:
-        capture = read_records(lines, "tap.jsonl")
-    work: defaultdict[int, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
-    for record in capture.records:
-        if (
-            isinstance(record.message, AttemptRequest)
-            and record.delivered_at_s is not None
-            and record.link.startswith("try:")
-        ):
-            work[int(record.link[4:])][int(record.delivered_at_s - began)] += record.message.work_s
-    length = int(config.day.length_s)
-    found = {}
-    for server in sorted(capacity):
-        each = [work[server][k] / capacity[server] for k in range(length)]
-        found[server] = [
-            sum(each[max(0, k - SPAN_S + 1) : k + 1]) / min(SPAN_S, k + 1) for k in range(length)
-        ]
-    return found, zones
-
-
-def stretch(values: list[float], above: float) -> int:
-    longest = now = 0
+        work_s = _work_by_second(read_records(lines, "tap.jsonl").records, started_at_s)
+    utilization = {}
+    for server_id in sorted(capacity):
+        by_second = [work_s[server_id][second] / capacity[server_id] for second in range(duration_s)]
+        utilization[server_id] = _moving_means(by_second)
+    return ServerLoads(utilization, zones)
+
+
+def longest_run_above(values: Iterable[float], threshold: float) -> int:
+    """The number of values in the longest sequence above a threshold."""
+    longest = 0
+    current = 0
     for value in values:
-        now = now + 1 if value > above else 0
-        longest = max(longest, now)
+        current = current + 1 if value > threshold else 0
+        longest = max(longest, current)
     return longest
 
 
-@click.command()
-@click.argument("folder")
-@click.option("--plot", default="")
-def main(folder: str, plot: str) -> None:
-    found, zones = series(Path(folder))
-    click.echo("| zone | servers | highest mean of 3 s, share of capacity | longest above capacity s |")
-    click.echo("| --- | --- | --- | --- |")
-    for zone in sorted(set(zones.values())):
-        mine = [values for server, values in found.items() if zones[server] == zone]
-        longest = max(stretch(v, 1.0) for v in mine)
-        click.echo(f"| {zone} | {len(mine)} | {max(map(max, mine)):.2f} | {longest} |")
-    if plot:
-        _plot(found, zones, plot)
+def _first_row(path: Path, event: str) -> dict[str, Any]:
+    return next(row for row in read_json_lines(path) if row["what"] == event)
 
 
-def _plot(found: dict[int, list[float]], zones: dict[int, int], path: str) -> None:
+def _work_by_second(
+    records: Iterable[Record], started_at_s: float
+) -> defaultdict[int, defaultdict[int, float]]:
+    """Work in seconds that reached each server, by second since the start."""
+    work_s: defaultdict[int, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
+    for record in records:
+        if not isinstance(record.message, AttemptRequest) or record.delivered_at_s is None:
+            continue
+        if not record.link.startswith(SERVER_LINK_PREFIX):
+            continue
+        server_id = int(record.link.removeprefix(SERVER_LINK_PREFIX))
+        work_s[server_id][int(record.delivered_at_s - started_at_s)] += record.message.work_s
+    return work_s
+
+
+def _moving_means(values: list[float]) -> list[float]:
+    """The mean of each value and those before it, over MEAN_OVER_S values as far as there are any."""
+    return [
+        sum(values[max(0, index - MEAN_OVER_S + 1) : index + 1]) / min(MEAN_OVER_S, index + 1)
+        for index in range(len(values))
+    ]
+
+
+def _plot(loads: ServerLoads, path: str) -> None:
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 3.5))
-    colours = ("tab:red", "tab:blue", "tab:green", "tab:orange")
-    for server, values in found.items():
-        axes.plot(values, color=colours[zones[server] % len(colours)], linewidth=0.8, alpha=0.7)
+    for server_id, values in loads.utilization.items():
+        colour = COLOURS[loads.zones[server_id] % len(COLOURS)]
+        axes.plot(values, color=colour, linewidth=0.8, alpha=0.7)
     axes.axhline(1.0, color="black", linewidth=0.6)
     axes.set_xlabel("seconds")
-    axes.set_ylabel("work sent, share of capacity")
+    axes.set_ylabel("work sent, fraction of capacity")
     figure.tight_layout()
     figure.savefig(path)
 
 
+@click.command()
+@click.argument("folder")
+@click.option("--plot", default="")
+def main(folder: str, plot: str) -> None:
+    """Print the table of zones, and draw the curves of all servers to a file."""
+    loads = read_loads(Path(folder))
+    click.echo("| zone | servers | highest mean of 3 s, fraction of capacity | longest above capacity s |")
+    click.echo("| --- | --- | --- | --- |")
+    for zone in sorted(set(loads.zones.values())):
+        in_zone = [
+            values for server_id, values in loads.utilization.items() if loads.zones[server_id] == zone
+        ]
+        longest_s = max(longest_run_above(values, 1.0) for values in in_zone)
+        click.echo(f"| {zone} | {len(in_zone)} | {max(map(max, in_zone)):.2f} | {longest_s} |")
+    if plot:
+        _plot(loads, plot)
+
+
 if __name__ == "__main__":
     main()
--- a/tests/test_proxy_retry_policy.py
+++ b/tests/test_proxy_retry_policy.py
@@ -74,13 +74,13 @@
 
 def test_a_retry_storm_never_exceeds_the_retry_mode() -> None:
     """A fleet suddenly twice as slow at 90% load: attempts stay within the retry mode."""
-    from benchmarks.retry_storm import World
+    from benchmarks.retry_storm import RetrySimulation
 
     for retry_mode, most in ((0, 1.0), (1, 2.0), (2, 2.0), (3, 3.0)):
-        world = World(retry_mode, 0.9, 1)
-        world.run()
-        assert world.first <= world.asked
-        assert world.tries / world.first <= most
-        assert (retry_mode == 0) == (world.tries == world.first)
-        assert world.once_again == 0
-        assert not world.engine.requests
+        simulation = RetrySimulation(retry_mode, 0.9, 1)
+        simulation.run()
+        assert simulation.first_attempts <= simulation.requests
+        assert simulation.attempts / simulation.first_attempts <= most
+        assert (retry_mode == 0) == (simulation.attempts == simulation.first_attempts)
+        assert simulation.unsafe_repeats == 0
+        assert not simulation.engine.requests
