--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -1,18 +1,21 @@
-"""How many slices and proxies one assigner carries before a round is late, and what gives first.
+"""How many slices and proxies one assigner serves before a round is late, and which limit is reached first.
 
-    python -m benchmarks.assigner_limit [--seconds 6] [--table docs/measurements/assigner-limit.md]
+    python -m benchmarks.assigner_limit [--seconds 9] [--table docs/measurements/assigner-limit.md]
 
-One assigner's own code (sums decoded and gathered, module, orders encoded for every proxy), fed as a deployment
-would feed it, without sockets: proxies' sums each period, probes' answers, and a drain every third second. The
-cost is the processor time of each part for a second of deployment time; at 1.0 a core is full and rounds are late.
-Only ratios within one run mean anything on a shared machine. Channel x1 is the pace and limit of the users' size to
-come (12500 lines a second, 18800 waiting); wider ones grow with the proxies. A row without rounds that order means
-that nothing fits into the channel any more: its limit gave first.
+One assigner's own code (usage reports decoded and aggregated, decisions, updates encoded for every proxy), fed as a
+deployment would feed it, without sockets: proxies' reports each period, health checks, and a drain every third
+second. The cost is the processor time of each part for a second of the deployment's time; at 1.0 a core is full
+and rounds are late. Only ratios within one run mean anything on a shared machine. Channel x1 has the rate and
+capacity that the users expect (12500 entries a second, 18800 queued); wider ones grow with the proxies. A row
+without rounds that decide means that nothing fits into the channel: its limit was reached first.
 """
 
 from __future__ import annotations
 
+import contextlib
 import time
+from collections.abc import Iterator
+from enum import StrEnum
 from pathlib import Path
 
 import click
@@ -21,42 +24,86 @@
 from puffintide.assigner.load_reports import LoadReportAggregator
 from puffintide.assigner.runtime import Runtime
 from puffintide.decisions.actions import SetWeight, SetWithdrawn
-from puffintide.decisions.events import CheckpointAcknowledged, HealthCheckResult, HealthCheckStatus
+from puffintide.decisions.events import (
+    CheckpointAcknowledged,
+    EndpointStatus,
+    HealthCheckResult,
+    HealthCheckStatus,
+)
 from puffintide.decisions.settings import AdmissionMode, RepeatSafety, RequestClass, Settings
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 
 SIZES = ((100, 50), (500, 155), (1000, 300), (2000, 600), (4000, 600), (2000, 1500), (8000, 1500))
-SLICES_A_SERVER = 6
-TOUCHED = 60  # slices and a third as many servers that one proxy meets in a period
+CHANNEL_ENTRIES_PER_S = 12500.0
+CHANNEL_CAPACITY_ENTRIES = 18800.0
+CHANNEL_DELAY_S = 0.4
+PROXIES_OF_ORDINARY_CHANNEL = 155
+UNLIMITED_CAPACITY = 1e12  # the channel of the program drops nothing
+REPORT_PERIOD_S = 0.5
+REPORT_ENTRIES_PER_S = 300.0
+MIN_SERVERS = 8
+SLICES_PER_SERVER = 6
+SLICES_PER_REPORT = 60  # that one proxy uses in a period
+SERVERS_PER_REPORT = SLICES_PER_REPORT // 3
+ZONE_COUNT = 2
+CLASS_COUNT = 3
+START_S = 1000.0
+STEP_S = 0.25
+STEPS_PER_S = 4
+STEPS_PER_REPORT = 2
+STEPS_PER_DRAIN = 12
+FIRST_DRAIN_STEP = 8
+HEALTH_CHECK_GROUPS = 3  # a third of the servers each step
+HEADINGS = (
+    "slices",
+    "proxies",
+    "channel",
+    "reports",
+    "decisions",
+    "updates",
+    "cores in all",
+    "longest round s",
+    "most queued",
+    "rounds that decide",
+)
 
 
-def settings(slices: int, proxies: int, channel: float) -> Settings:
-    kind = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 0.75, 2.5, 3.0, False)
+class Part(StrEnum):
+    """A part of an assigner's work."""
+
+    REPORTS = "reports"
+    DECISIONS = "decisions"
+    UPDATES = "updates"
+
+
+def make_settings(slice_count: int, proxy_count: int, channel_width: float) -> Settings:
+    """Settings of one assigner that owns all slices; the width multiplies the channel's rate and capacity."""
+    request_class = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 0.75, 2.5, 3.0, False)
     return Settings(
         assigner_index=0,
         assigner_count=1,
         seed=1,
         zone=0,
-        zone_count=2,
-        request_classes=(kind, kind, kind),
-        slice_count=slices,
-        proxy_count=proxies,
+        zone_count=ZONE_COUNT,
+        request_classes=(request_class,) * CLASS_COUNT,
+        slice_count=slice_count,
+        proxy_count=proxy_count,
         single_writer=False,
         caches_keys=True,
         default_retry_mode=0,
         retry_wait_objectives=1.0,
         proxy_ejection_failures=0,
         admission_mode=AdmissionMode.NONE,
-        channel_entries_per_s=12500.0 * channel,
+        channel_entries_per_s=CHANNEL_ENTRIES_PER_S * channel_width,
         channel_header_entries=12.0,
-        channel_capacity_entries=18800.0 * channel,
-        channel_delay_s=0.4,
+        channel_capacity_entries=CHANNEL_CAPACITY_ENTRIES * channel_width,
+        channel_delay_s=CHANNEL_DELAY_S,
         channel_delay_max_s=1.2,
         max_messages_per_window=20,
         message_window_s=10.0,
-        report_period_s=0.5,
-        report_entries_per_s=300.0,
+        report_period_s=REPORT_PERIOD_S,
+        report_entries_per_s=REPORT_ENTRIES_PER_S,
         load_value_names=("rif",),
         health_checks_enabled=True,
         watch_on_request=False,
@@ -70,99 +117,169 @@
 
 
 class Cost:
+    """Processor time of each part.
+
+    Attributes:
+        seconds: by part, in all.
+        longest_round_s: of one round of decisions.
+    """
+
     def __init__(self) -> None:
-        self.parts: dict[str, float] = {}
-        self.longest = 0.0
-
-    def add(self, part: str, began: float) -> None:
-        took = time.process_time() - began
-        self.parts[part] = self.parts.get(part, 0.0) + took
-        if part == "module":
-            self.longest = max(self.longest, took)
-
-
-def run(slices: int, proxies: int, seconds: int, width: float) -> tuple[dict[str, float], float, float, int]:
-    """Costs a second by part, the longest round, lines waiting at the most, drains that were carried out."""
-    servers = max(8, slices // SLICES_A_SERVER)
-    runtime = Runtime(settings(slices, proxies, width))
-    channel, gather = Channel(12500.0 * width, 1e12), LoadReportAggregator(300.0)
-    cost, carried = Cost(), 0
-    now = 1000.0
-    rows = [m.EndpointEntry(s, s % 2, 0, 0, 1, 4.0, 1, -1.0, f"127.0.0.1:{9000 + s}") for s in range(servers)]
-    runtime.on_watch_event(now, m.WatchEvent("full", 1, rows))
-    for p in range(proxies):
-        channel.add_proxy(p)
-        runtime.on_proxy_connected(now, p, p % 2, 1.0, True)
-    for n in range(slices):
-        runtime.on_ownership_granted(now, m.SliceOwnership(n, n + 1, 0, [m.TableEntry(n % servers, 1.0, "")]))
-    sums = [
-        encode(
-            m.UsageReport(
-                0.5,
-                [
-                    m.ServerUsage((p + k) % servers, 2, 0, 0.2, [3.0])
-                    for k in range(min(servers, TOUCHED // 3))
-                ],
-                [m.SliceUsage((p * 7 + k) % slices, k % 3, 1, 0) for k in range(min(slices, TOUCHED))],
-            )
+        self.seconds = dict.fromkeys(Part, 0.0)
+        self.longest_round_s = 0.0
+
+    @contextlib.contextmanager
+    def measured(self, part: Part) -> Iterator[None]:
+        """Count the processor time of a block."""
+        started_at_s = time.process_time()
+        yield
+        spent_s = time.process_time() - started_at_s
+        self.seconds[part] += spent_s
+        if part is Part.DECISIONS:
+            self.longest_round_s = max(self.longest_round_s, spent_s)
+
+
+class AssignerLoad:
+    """An assigner without sockets, and the deployment that feeds it."""
+
+    def __init__(self, slice_count: int, proxy_count: int, channel_width: float) -> None:
+        self.cost = Cost()
+        self.deciding_rounds = 0
+        self.channel = Channel(CHANNEL_ENTRIES_PER_S * channel_width, UNLIMITED_CAPACITY)
+        self._slice_count = slice_count
+        self._server_count = max(MIN_SERVERS, slice_count // SLICES_PER_SERVER)
+        self._now_s = START_S
+        self._runtime = Runtime(make_settings(slice_count, proxy_count, channel_width))
+        self._aggregator = LoadReportAggregator(REPORT_ENTRIES_PER_S)
+        self._pending_checkpoints: list[tuple[float, int, int]] = []  # time of arrival, proxy, checkpoint
+        self._reports = [encode(self._usage_report(proxy_id)) for proxy_id in range(proxy_count)]
+        self._connect(proxy_count)
+
+    def run(self, duration_s: int) -> None:
+        """Play so many seconds of the deployment."""
+        for step in range(duration_s * STEPS_PER_S):
+            self._now_s += STEP_S
+            if step % STEPS_PER_REPORT == 0:
+                self._receive_reports()
+            if step % STEPS_PER_DRAIN == FIRST_DRAIN_STEP:
+                self._drain_server(step)
+            self._receive_health_checks(step)
+            self._receive_checkpoints()
+            self._run_round()
+            self._send_updates()
+
+    def _connect(self, proxy_count: int) -> None:
+        entries = [self._entry(server_id, EndpointStatus.READY) for server_id in range(self._server_count)]
+        self._runtime.on_watch_event(self._now_s, m.WatchEvent("full", 1, entries))
+        for proxy_id in range(proxy_count):
+            self.channel.add_proxy(proxy_id)
+            self._runtime.on_proxy_connected(self._now_s, proxy_id, proxy_id % ZONE_COUNT, 1.0, True)
+        for slice_id in range(self._slice_count):
+            table = [m.TableEntry(slice_id % self._server_count, 1.0, "")]
+            ownership = m.SliceOwnership(slice_id, slice_id + 1, 0, table)
+            self._runtime.on_ownership_granted(self._now_s, ownership)
+
+    @staticmethod
+    def _entry(server_id: int, status: EndpointStatus) -> m.EndpointEntry:
+        return m.EndpointEntry(
+            server_id,
+            zone=server_id % ZONE_COUNT if status == EndpointStatus.READY else 0,
+            server_type=0,
+            cell=0,
+            status=status,
+            weight=4.0,
+            incarnation=1,
+            age_s=-1.0,
+            address=f"127.0.0.1:{9000 + server_id}" if status == EndpointStatus.READY else "",
         )
-        for p in range(proxies)
-    ]
-    pending: list[tuple[float, int, int]] = []
-    for tick in range(seconds * 4):
-        now += 0.25
-        if tick % 2 == 0:
-            began = time.process_time()
-            for p, line in enumerate(sums):
+
+    def _usage_report(self, proxy_id: int) -> m.UsageReport:
+        servers = [
+            m.ServerUsage((proxy_id + index) % self._server_count, 2, 0, 0.2, [3.0])
+            for index in range(min(self._server_count, SERVERS_PER_REPORT))
+        ]
+        slices = [
+            m.SliceUsage((proxy_id * 7 + index) % self._slice_count, index % CLASS_COUNT, 1, 0)
+            for index in range(min(self._slice_count, SLICES_PER_REPORT))
+        ]
+        return m.UsageReport(REPORT_PERIOD_S, servers, slices)
+
+    def _receive_reports(self) -> None:
+        with self.cost.measured(Part.REPORTS):
+            for proxy_id, line in enumerate(self._reports):
                 message = decode(line)
                 assert isinstance(message, m.UsageReport)
-                gather.add_usage(now, p % 2, message)
-            runtime.add_events(now, *gather.drain_reports(now))
-            cost.add("sums", began)
-        if tick % 12 == 8:
-            lost = tick // 12
-            runtime.on_watch_event(
-                now,
-                m.WatchEvent("delta", tick, [m.EndpointEntry(lost % servers, 0, 0, 0, 2, 4.0, 1, -1.0, "")]),
-            )
-        runtime.add_events(
-            now,
-            *(HealthCheckResult(s, HealthCheckStatus.OK, 0.004, (3.0,)) for s in range(tick % 3, servers, 3)),
-        )
-        due = [x for x in pending if x[0] <= now]
-        pending = [x for x in pending if x[0] > now]
-        runtime.add_events(now, *(CheckpointAcknowledged(p, mark, 0.4) for _, p, mark in due))
-        began = time.process_time()
-        effects = runtime.tick(now)
-        cost.add("module", began)
-        if effects is not None:
-            for proxy, order in effects.proxy_updates:
-                channel.enqueue(proxy, order)
-            carried += any(isinstance(a, SetWeight | SetWithdrawn) for a in effects.actions)
-        began = time.process_time()
-        sent, _ = channel.dequeue(now)
-        for proxy, order in sent:
-            encode(order)
-            if order.checkpoint_id is not None:
-                pending.append((now + 0.4, proxy, order.checkpoint_id))
-        cost.add("orders", began)
-    return {k: v / seconds for k, v in cost.parts.items()}, cost.longest, channel.max_queued_entries, carried
+                self._aggregator.add_usage(self._now_s, proxy_id % ZONE_COUNT, message)
+            self._runtime.add_events(self._now_s, *self._aggregator.drain_reports(self._now_s))
+
+    def _drain_server(self, step: int) -> None:
+        server_id = step // STEPS_PER_DRAIN % self._server_count
+        entry = self._entry(server_id, EndpointStatus.DRAINING)
+        self._runtime.on_watch_event(self._now_s, m.WatchEvent("delta", step, [entry]))
+
+    def _receive_health_checks(self, step: int) -> None:
+        server_ids = range(step % HEALTH_CHECK_GROUPS, self._server_count, HEALTH_CHECK_GROUPS)
+        results = [HealthCheckResult(i, HealthCheckStatus.OK, 0.004, (3.0,)) for i in server_ids]
+        self._runtime.add_events(self._now_s, *results)
+
+    def _receive_checkpoints(self) -> None:
+        arrived = [pending for pending in self._pending_checkpoints if pending[0] <= self._now_s]
+        self._pending_checkpoints = [
+            pending for pending in self._pending_checkpoints if pending[0] > self._now_s
+        ]
+        events = [
+            CheckpointAcknowledged(proxy_id, checkpoint_id, CHANNEL_DELAY_S)
+            for _, proxy_id, checkpoint_id in arrived
+        ]
+        self._runtime.add_events(self._now_s, *events)
+
+    def _run_round(self) -> None:
+        with self.cost.measured(Part.DECISIONS):
+            effects = self._runtime.tick(self._now_s)
+        if effects is None:
+            return
+        for proxy_id, update in effects.proxy_updates:
+            self.channel.enqueue(proxy_id, update)
+        decides = any(isinstance(action, SetWeight | SetWithdrawn) for action in effects.actions)
+        self.deciding_rounds += decides
+
+    def _send_updates(self) -> None:
+        with self.cost.measured(Part.UPDATES):
+            sent, _ = self.channel.dequeue(self._now_s)
+            for proxy_id, update in sent:
+                encode(update)
+                if update.checkpoint_id is not None:
+                    arrival_s = self._now_s + CHANNEL_DELAY_S
+                    self._pending_checkpoints.append((arrival_s, proxy_id, update.checkpoint_id))
+
+
+def table_row(slice_count: int, proxy_count: int, channel_width: float, duration_s: int) -> str:
+    """Measure one size; returns its row of the table."""
+    load = AssignerLoad(slice_count, proxy_count, channel_width)
+    load.run(duration_s)
+    costs = [seconds / duration_s for seconds in load.cost.seconds.values()]
+    cells = [
+        str(slice_count),
+        str(proxy_count),
+        f"x{channel_width:.1f}",
+        *(f"{cost:.3f}" for cost in costs),
+        f"{sum(costs):.2f}",
+        f"{load.cost.longest_round_s:.3f}",
+        f"{load.channel.max_queued_entries:.0f}",
+        str(load.deciding_rounds),
+    ]
+    return f"| {' | '.join(cells)} |"
 
 
 @click.command()
 @click.option("--seconds", default=9, type=click.IntRange(3, 120))
 @click.option("--table", default="")
 def main(seconds: int, table: str) -> None:
-    head = ["slices", "proxies", "channel", "sums", "module", "orders", "core in all", "longest round s"]
-    head += ["most waiting", "rounds with orders"]
-    lines = ["| " + " | ".join(head) + " |", "| " + " | ".join(["---"] * len(head)) + " |"]
-    for slices, proxies in SIZES:
-        for width in sorted({1.0, max(1.0, proxies / 155)}):
-            parts, longest, waiting, carried = run(slices, proxies, seconds, width)
-            lines.append(
-                f"| {slices} | {proxies} | x{width:.1f} | {parts['sums']:.3f} | {parts['module']:.3f} "
-                f"| {parts['orders']:.3f} | {sum(parts.values()):.2f} | {longest:.3f} | {waiting:.0f} | {carried} |"
-            )
+    """Print a row for each size and channel, and write the table to a file."""
+    lines = [f"| {' | '.join(HEADINGS)} |", "| " + " | ".join(["---"] * len(HEADINGS)) + " |"]
+    for slice_count, proxy_count in SIZES:
+        for width in sorted({1.0, max(1.0, proxy_count / PROXIES_OF_ORDINARY_CHANNEL)}):
+            lines.append(table_row(slice_count, proxy_count, width, seconds))
             click.echo(lines[-1])
     if table:
         Path(table).parent.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/store_readers.py
+++ b/benchmarks/store_readers.py
@@ -19,7 +19,7 @@
 import click
 
 from benchmarks.store_cost import random_slice
-from benchmarks.takeover import start
+from benchmarks.takeover import start_process
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import MAX_LINE_BYTES, decode, encode
 from puffintide.scenarios.place import Ports
@@ -86,7 +86,7 @@
                 else:
                     since_revision, store_id = -1, ""
                 section = {"listen": f"127.0.0.1:{port}", "file": str(folder / "kept.db")}
-                running = start(folder, "store", common | {"store": section})
+                running = start_process(folder, "store", common | {"store": section})
                 try:
                     times, size, end = asyncio.run(read_at_once(port, count, since_revision, store_id))
                     memory = int(Path(f"/proc/{running.pid}/statm").read_text().split()[1]) * 4
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,10 +1,10 @@
-"""From the kill of an assigner to the last of its slices in charge of another, many times over.
+"""The time from the kill of an assigner until others own its slices, measured many times.
 
     python -m benchmarks.takeover [--kills 20] [--slices 500] [--servers 77] [--assigners 3] [--table FILE]
 
-Real processes: the store with its file, assigners, a list of servers that all run (scripted), and one reader of the
-store as a proxy is. No requests are played; what is timed is membership, commit and telling. Then the killed one
-starts again, and the time until all of its slices are its own again is taken.
+Real processes: the store with its file and the assigners; an endpoint list whose servers all run, and a reader of
+the store in place of a proxy, are scripted. No requests are played: what is timed is membership, commit and
+notification. Then the killed assigner starts again, and the time until it owns all of its slices again is taken.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 import tempfile
 import threading
 import time
+from dataclasses import dataclass, field
 from pathlib import Path
 
 import click
@@ -27,60 +28,78 @@
 from puffintide.protocol.codec import decode, encode
 from puffintide.scenarios.place import Ports
 
-LONGEST_S = 30.0
+MAX_WAIT_S = 30.0  # for a change of ownership
+POLL_INTERVAL_S = 0.005
+CONNECT_TIMEOUT_S = 5
+TAKEOVER_S = 2.5
+PORTS_SEED_FACTOR = 31  # so that runs beside each other use other ports
+NAME = "takeover"  # of the deployment
 
+Sections = dict[str, dict[str, str]]
 
-class Reader:
-    """A stream to the store that keeps who has charge, and since when."""
+
+class OwnershipReader:
+    """A stream to the store that records which assigner owns each slice, and since when."""
 
     def __init__(self, port: int) -> None:
-        self.owner: dict[int, int] = {}
-        self.at: dict[int, float] = {}
-        self.sock = socket.create_connection(("127.0.0.1", port), 5)
-        self.sock.settimeout(None)
-        self.say(m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "takeover"))
-        self.say(m.ReadRequest())
-        threading.Thread(target=self._run, daemon=True).start()
-
-    def say(self, message: m.Message) -> None:
-        self.sock.sendall(encode(message) + b"\n")
-
-    def _run(self) -> None:
+        self._owner_ids: dict[int, int] = {}
+        self._owned_since_s: dict[int, float] = {}
+        self._socket = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
+        self._socket.settimeout(None)
+        self._send(m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, NAME))
+        self._send(m.ReadRequest())
+        threading.Thread(target=self._receive, daemon=True).start()
+
+    def wait_until_owned(self, slice_ids: list[int], assigner_id: int) -> float:
+        """Wait until an assigner owns these slices; returns when the last of them became its own."""
+        return self._wait(slice_ids, assigner_id, is_owned=True)
+
+    def wait_until_lost(self, slice_ids: list[int], assigner_id: int) -> float:
+        """Wait until others own all of these slices; returns when the last of them changed its owner."""
+        return self._wait(slice_ids, assigner_id, is_owned=False)
+
+    def _wait(self, slice_ids: list[int], assigner_id: int, is_owned: bool) -> float:
+        end_s = time.monotonic() + MAX_WAIT_S
+        while any((self._owner_ids.get(slice_id) == assigner_id) is not is_owned for slice_id in slice_ids):
+            assert time.monotonic() < end_s, f"ownership of assigner {assigner_id} is not {is_owned}"
+            time.sleep(POLL_INTERVAL_S)
+        return max(self._owned_since_s[slice_id] for slice_id in slice_ids)
+
+    def _send(self, message: m.Message) -> None:
+        self._socket.sendall(encode(message) + b"\n")
+
+    def _receive(self) -> None:
         with contextlib.suppress(OSError):
-            for line in self.sock.makefile("rb"):
-                message = decode(line.rstrip(b"\n"))
-                if isinstance(message, m.Ping):
-                    self.say(m.Pong())
-                elif isinstance(message, m.SliceOwnerships):
-                    now = time.monotonic()
-                    for charge in message.ownerships:
-                        if self.owner.get(charge.slice_id) != charge.owner_id:
-                            self.owner[charge.slice_id], self.at[charge.slice_id] = charge.owner_id, now
-
-    def until(self, found: bool, which: list[int], assigner: int) -> float:
-        """When the last of these slices came to that assigner (found) or went to another."""
-        end = time.monotonic() + LONGEST_S
-        while not all((self.owner.get(n) == assigner) is found for n in which):
-            assert time.monotonic() < end, "it did not happen"
-            time.sleep(0.005)
-        return max(self.at[n] for n in which)
-
-
-def listed(port: int, servers: int) -> None:
-    """A list that tells of servers which all run, and of nothing else."""
+            for line in self._socket.makefile("rb"):
+                match decode(line.rstrip(b"\n")):
+                    case m.Ping():
+                        self._send(m.Pong())
+                    case m.SliceOwnerships() as message:
+                        self._record(message.ownerships)
+
+    def _record(self, ownerships: list[m.SliceOwnership]) -> None:
+        now_s = time.monotonic()
+        for ownership in ownerships:
+            if self._owner_ids.get(ownership.slice_id) != ownership.owner_id:
+                self._owned_since_s[ownership.slice_id] = now_s
+                self._owner_ids[ownership.slice_id] = ownership.owner_id
+
+
+def serve_endpoint_list(port: int, server_count: int) -> None:
+    """Serve a list of servers which all run, by threads that end with the process."""
     listener = socket.create_server(("127.0.0.1", port))
-    rows = [m.EndpointEntry(s, s % 2, 0, 0, 1, 2.0, 1, -1.0, "127.0.0.1:9") for s in range(servers)]
+    entries = [m.EndpointEntry(i, i % 2, 0, 0, 1, 2.0, 1, -1.0, "127.0.0.1:9") for i in range(server_count)]
 
-    def serve(sock: socket.socket) -> None:
+    def serve(connection: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            for line in sock.makefile("rb"):
+            for line in connection.makefile("rb"):
                 match decode(line.rstrip(b"\n")):
                     case m.Hello():
-                        sock.sendall(encode(m.Welcome(m.PROTOCOL_VERSION, "list", 0)) + b"\n")
+                        connection.sendall(encode(m.Welcome(m.PROTOCOL_VERSION, "list", 0)) + b"\n")
                     case m.WatchRequest() | m.SnapshotRequest():
-                        sock.sendall(encode(m.WatchEvent("full", 1, rows)) + b"\n")
+                        connection.sendall(encode(m.WatchEvent("full", 1, entries)) + b"\n")
                     case m.Ping():
-                        sock.sendall(encode(m.Pong()) + b"\n")
+                        connection.sendall(encode(m.Pong()) + b"\n")
 
     def accept() -> None:
         while True:
@@ -89,18 +108,115 @@
     threading.Thread(target=accept, daemon=True).start()
 
 
-def start(folder: Path, name: str, sections: dict[str, dict[str, str]], *more: str) -> subprocess.Popen[str]:
+def start_process(folder: Path, name: str, sections: Sections, *arguments: str) -> subprocess.Popen[str]:
+    """Start the process whose command is the name up to a hyphen, and wait until it is ready."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_dict(sections)
     path = folder / f"{name}.ini"
     with path.open("w") as file:
         parser.write(file)
-    words = [sys.executable, "-m", "puffintide", name.split("-")[0], "--config", str(path), *more]
-    log = (folder / f"{name}.err").open("a")
-    running = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=log, text=True)
-    log.close()
-    assert running.stdout is not None and running.stdout.readline() == "ready\n", f"{name} did not start"
-    return running
+    command = [sys.executable, "-m", "puffintide", name.split("-")[0], "--config", str(path), *arguments]
+    with (folder / f"{name}.err").open("a") as errors:
+        process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=errors, text=True)
+    assert process.stdout is not None
+    assert process.stdout.readline() == "ready\n", f"{name} did not start"
+    return process
+
+
+@dataclass(slots=True)
+class Durations:
+    """Seconds, a value for each kill."""
+
+    takeover_s: list[float] = field(default_factory=list)
+    return_s: list[float] = field(default_factory=list)
+
+
+class Cluster:
+    """The store and the assigners, as processes."""
+
+    def __init__(self, folder: Path, slice_count: int, server_count: int, assigner_count: int) -> None:
+        ports = Ports(os.getpid() * PORTS_SEED_FACTOR)
+        self.store_port = ports.take()
+        self.assigner_ids = range(assigner_count)
+        self._list_port = ports.take()
+        self._ports = {assigner_id: ports.take() for assigner_id in self.assigner_ids}
+        self._folder = folder
+        self._processes: dict[str, subprocess.Popen[str]] = {}
+        self._sections: Sections = {
+            "deployment": {
+                "name": NAME,
+                "zones": "a, b",
+                "assigners": str(assigner_count),
+                "proxies": "1",
+                "slices": str(slice_count),
+            },
+            "class read": {"aim_s": "1", "deadline_s": "4"},
+            "charge": {"takeover_s": str(TAKEOVER_S)},
+        }
+        serve_endpoint_list(self._list_port, server_count)
+
+    def start_store(self) -> None:
+        """Start the store with a new file."""
+        section = {"listen": f"127.0.0.1:{self.store_port}", "file": str(self._folder / "kept.db")}
+        self._processes["store"] = start_process(self._folder, "store", self._sections | {"store": section})
+
+    def start_assigner(self, assigner_id: int, incarnation: int) -> None:
+        """Start an assigner; its incarnation has to rise from start to start."""
+        section = {
+            "id": str(assigner_id),
+            "listen": f"127.0.0.1:{self._ports[assigner_id]}",
+            "store": f"127.0.0.1:{self.store_port}",
+            "list": f"127.0.0.1:{self._list_port}",
+            "log": str(self._folder / f"a{assigner_id}.log"),
+        }
+        name = f"assigner-{assigner_id}"
+        sections = self._sections | {"assigner": section}
+        self._processes[name] = start_process(self._folder, name, sections, "--life", str(incarnation))
+
+    def kill_assigner(self, assigner_id: int) -> None:
+        """Kill an assigner and wait for its end."""
+        process = self._processes[f"assigner-{assigner_id}"]
+        process.send_signal(signal.SIGKILL)
+        process.wait()
+
+    def stop(self) -> None:
+        """Kill all processes."""
+        for process in self._processes.values():
+            process.kill()
+            process.wait()
+
+
+def measure(cluster: Cluster, slice_count: int, kills: int) -> Durations:
+    """Start all processes, then kill one assigner after the other and start it again."""
+    cluster.start_store()
+    for assigner_id in cluster.assigner_ids:
+        cluster.start_assigner(assigner_id, 1)
+    assigner_count = len(cluster.assigner_ids)
+    default_slices = {
+        assigner_id: list(range(assigner_id, slice_count, assigner_count))
+        for assigner_id in cluster.assigner_ids
+    }
+    reader = OwnershipReader(cluster.store_port)
+    for assigner_id, slice_ids in default_slices.items():
+        reader.wait_until_owned(slice_ids, assigner_id)
+    durations = Durations()
+    for kill in range(kills):
+        assigner_id = kill % assigner_count
+        slice_ids = default_slices[assigner_id]
+        killed_at_s = time.monotonic()
+        cluster.kill_assigner(assigner_id)
+        durations.takeover_s.append(reader.wait_until_lost(slice_ids, assigner_id) - killed_at_s)
+        cluster.start_assigner(assigner_id, kill + 2)
+        started_at_s = time.monotonic()
+        returned_at_s = reader.wait_until_owned(slice_ids, assigner_id)
+        durations.return_s.append(max(0.0, returned_at_s - started_at_s))
+    return durations
+
+
+def table_row(name: str, durations_s: list[float]) -> str:
+    """The least, the median and the longest duration."""
+    ordered = sorted(durations_s)
+    return f"| {name} | {ordered[0]:.2f} | {ordered[len(ordered) // 2]:.2f} | {ordered[-1]:.2f} |"
 
 
 @click.command()
@@ -110,67 +226,20 @@
 @click.option("--assigners", default=3)
 @click.option("--table", default="")
 def main(kills: int, slices: int, servers: int, assigners: int, table: str) -> None:
-    ports = Ports(os.getpid() * 31)
-    store_port, list_port = ports.take(), ports.take()
-    listed(list_port, servers)
-    common = {
-        "deployment": {
-            "name": "takeover",
-            "zones": "a, b",
-            "assigners": str(assigners),
-            "proxies": "1",
-            "slices": str(slices),
-        },
-        "class read": {"aim_s": "1", "deadline_s": "4"},
-        "charge": {"takeover_s": "2.5"},
-    }
-    running: dict[str, subprocess.Popen[str]] = {}
-    gone: list[float] = []
-    back: list[float] = []
-    with tempfile.TemporaryDirectory() as made:
-        folder = Path(made)
+    """Print the table, and write it to a file."""
+    with tempfile.TemporaryDirectory() as name:
+        cluster = Cluster(Path(name), slices, servers, assigners)
         try:
-            store = {"listen": f"127.0.0.1:{store_port}", "file": str(folder / "kept.db")}
-            running["store"] = start(folder, "store", common | {"store": store})
-            mine = {k: ports.take() for k in range(assigners)}
-
-            def assigner(number: int, life: int) -> None:
-                section = {
-                    "id": str(number),
-                    "listen": f"127.0.0.1:{mine[number]}",
-                    "store": f"127.0.0.1:{store_port}",
-                    "list": f"127.0.0.1:{list_port}",
-                    "log": str(folder / f"a{number}.log"),
-                }
-                name = f"assigner-{number}"
-                running[name] = start(folder, name, common | {"assigner": section}, "--life", str(life))
-
-            for number in range(assigners):
-                assigner(number, 1)
-            reader = Reader(store_port)
-            homes = {k: [n for n in range(slices) if n % assigners == k] for k in mine}
-            for number, which in homes.items():
-                reader.until(True, which, number)
-            for kill in range(kills):
-                number = kill % assigners
-                began = time.monotonic()
-                running[f"assigner-{number}"].send_signal(signal.SIGKILL)
-                running[f"assigner-{number}"].wait()
-                gone.append(reader.until(False, homes[number], number) - began)
-                assigner(number, kill + 2)
-                began = time.monotonic()
-                back.append(max(0.0, reader.until(True, homes[number], number) - began))
+            durations = measure(cluster, slices, kills)
         finally:
-            for process in running.values():
-                process.kill()
-                process.wait()
+            cluster.stop()
     lines = [
-        f"| {kills} kills, {slices} slices, {assigners} assigners, lease 2.5 s | least s | median s | most s |",
+        f"| {kills} kills, {slices} slices, {assigners} assigners, lease {TAKEOVER_S} s "
+        "| least s | median s | most s |",
         "| --- | --- | --- | --- |",
+        table_row("until others own all of its slices", durations.takeover_s),
+        table_row("until it owns them again", durations.return_s),
     ]
-    for name, times in (("until others have all of its slices", gone), ("until it has them again", back)):
-        times.sort()
-        lines.append(f"| {name} | {times[0]:.2f} | {times[len(times) // 2]:.2f} | {times[-1]:.2f} |")
     text = "\n".join(lines)
     click.echo(text)
     if table:
