--- a/benchmarks/fuzz_fronts.py
+++ b/benchmarks/fuzz_fronts.py
@@ -1,12 +1,12 @@
-"""Fuzzes the fronts of a real proxy process: its own lines and HTTP/1.1, from seeds, for a stated time.
+"""Fuzzes a real proxy process over its own protocol and HTTP/1.1, from seeds, for a given time.
 
     python -m benchmarks.fuzz_fronts [--seconds 300] [--seed 1] [--jobs 6] [--table FILE]
 
-Each job makes cases from its own seed: random bytes; valid heads, chunked bodies and lines with bytes changed, left
-out, doubled or moved; sent whole, or byte by byte, cut off in the middle or left open. After each tenth case a
-valid request on a new connection must be answered. A crash (the process is gone), a hang (a valid request without
-its answer for 5 s) or growth (memory or open files that still rise in the last half) fails the run; the case before
-it is printed with its seed and number.
+Each job makes cases from its own seed: random bytes; valid heads, chunked bodies and lines with bytes changed, cut,
+repeated or moved; sent at once or byte by byte, cut off in the middle or left open. After each tenth case a valid
+request on a new connection must be answered. A crash (the process has ended), a hang (a valid request without a
+response for 5 s) or growth (memory that rises in the last half, or open files that remain) fails the run; the case
+before it is printed with its seed and number.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 import tempfile
 import threading
 import time
+from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
+from typing import TextIO
 
 import click
 
@@ -30,7 +33,7 @@
 from puffintide.scenarios.place import Ports
 
 HELLO = encode(m.Hello(m.PROTOCOL_VERSION, "client", 1)) + b"\n"
-SEEDS_HTTP = (
+HTTP_SEEDS = (
     b"GET /a?b=c HTTP/1.1\r\nhost: x\r\nx-puffintide-key: 7\r\nx-puffintide-deadline-ms: 900\r\n\r\n",
     b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 11\r\nidempotency-key: k\r\n\r\nhello world",
     b"POST /a HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -38,7 +41,7 @@
     b"GET /a HTTP/1.1\r\nhost: x\r\nconnection: close\r\nexpect: 100-continue\r\ncontent-length: 0\r\n\r\n",
     b"HEAD / HTTP/1.0\r\n\r\nGET / HTTP/1.1\r\nhost: y\r\n\r\n",
 )
-SEEDS_LINES = (
+LINE_SEEDS = (
     HELLO
     + encode(m.ClientRequest(1, 0, 5, 2.0))
     + b"\n"
@@ -48,88 +51,206 @@
     encode(m.ClientRequest(1, 0, 5, 2.0)) + b"\n" + HELLO,
     HELLO + encode(m.UsageReport(0.5)) + b"\n",
 )
-FINE_HTTP = b"GET /fine HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
-FINE_LINES = HELLO + encode(m.ClientRequest(77, 0, 5, 4.0)) + b"\n"
+VALID_HTTP = b"GET /fine HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
+VALID_LINES = HELLO + encode(m.ClientRequest(77, 0, 5, 4.0)) + b"\n"
+INSERTED_BYTES = (b"\r\n", b"\n", b"\0", b"\xff\xfe", b"{", b'"', b": ", b"\r\n\r\n")
+INSERTED_NUMBERS = (-1, 0, 2**31, 2**63, 2**64, 10**30, 1e308, "NaN")
+MAX_RANDOM_BYTES = 3000
+MAX_PIECE_BYTES = 40
+MAX_SINGLE_BYTES = 60  # that are sent one by one
+RECEIVE_BYTES = 65536
+VALID_REQUEST_PERIOD = 10  # cases
+CONNECT_TIMEOUT_S = 5
+RESPONSE_TIMEOUT_S = 5
+CASE_TIMEOUT_S = 0.3  # of each operation on the connection of a case
+SAMPLES = 10  # of memory and open files, within a run
+JOIN_TIMEOUT_S = 15
+IDLE_S = 3  # after the last case, until open files are counted
+MAX_GROWTH = 1.1  # of memory in the last half of the run
+MAX_FILES_AT_END = 60
+KB_PER_PAGE = 4
+KB_PER_MB = 1024
+MAX_PRINTED_CHARACTERS = 3000
 
 
-def damaged(rng: random.Random, seeds: tuple[bytes, ...]) -> bytes:
+class Interface(StrEnum):
+    """A port of the proxy."""
+
+    HTTP = "http"
+    LINES = "lines"
+
+
+class InvalidResponseError(Exception):
+    """A valid request was not answered as it should be."""
+
+
+def fuzz(rng: random.Random, seeds: tuple[bytes, ...]) -> bytes:
+    """A case: random bytes, or valid messages after some mutations."""
     if rng.random() < 0.1:
-        return rng.randbytes(rng.randint(1, 3000))
+        return rng.randbytes(rng.randint(1, MAX_RANDOM_BYTES))
     data = bytearray(b"".join(rng.choice(seeds) for _ in range(rng.choice((1, 1, 2, 5)))))
     for _ in range(rng.randint(0, 6)):
-        at = rng.randrange(len(data) + 1)
-        piece = bytes(data[at : at + rng.randint(1, 40)])
-        match rng.randrange(6):
-            case 0:
-                data[at : at + 1] = bytes([rng.randrange(256)])
-            case 1:
-                del data[at : at + len(piece)]
-            case 2:
-                data[at:at] = piece * rng.choice((1, 2, 50))
-            case 3:
-                data[rng.randrange(len(data) + 1) : 0] = piece
-            case 4:
-                data[at:at] = rng.choice((b"\r\n", b"\n", b"\0", b"\xff\xfe", b"{", b'"', b": ", b"\r\n\r\n"))
-            case 5:
-                data[at:at] = str(rng.choice((-1, 0, 2**31, 2**63, 2**64, 10**30, 1e308, "NaN"))).encode()
+        _mutate(rng, data)
         if not data:
             break
     return bytes(data)
 
 
+def _mutate(rng: random.Random, data: bytearray) -> None:
+    """Change, remove, repeat, move or insert bytes at a random place."""
+    at = rng.randrange(len(data) + 1)
+    piece = bytes(data[at : at + rng.randint(1, MAX_PIECE_BYTES)])
+    match rng.randrange(6):
+        case 0:
+            data[at : at + 1] = bytes([rng.randrange(256)])
+        case 1:
+            del data[at : at + len(piece)]
+        case 2:
+            data[at:at] = piece * rng.choice((1, 2, 50))
+        case 3:
+            data[rng.randrange(len(data) + 1) : 0] = piece
+        case 4:
+            data[at:at] = rng.choice(INSERTED_BYTES)
+        case 5:
+            data[at:at] = str(rng.choice(INSERTED_NUMBERS)).encode()
+
+
 class Job(threading.Thread):
-    def __init__(self, seed: int, ports: dict[str, int], until: float) -> None:
+    """Sends cases until a time, or until one fails.
+
+    Attributes:
+        cases: the number of cases sent, by interface.
+        failure: what failed, with the seed and the number of the case; empty if nothing has.
+    """
+
+    def __init__(self, seed: int, ports: dict[Interface, int], until_s: float) -> None:
         super().__init__(daemon=True)
-        self.rng, self.ports, self.until, self.seed = random.Random(seed), ports, until, seed
-        self.cases = {"http": 0, "lines": 0}
+        self.cases = dict.fromkeys(Interface, 0)
         self.failure = ""
+        self._seed = seed
+        self._rng = random.Random(seed)
+        self._ports = ports
+        self._until_s = until_s
 
     def run(self) -> None:
+        """Send the cases."""
         number = 0
-        while time.monotonic() < self.until and not self.failure:
+        while time.monotonic() < self._until_s and not self.failure:
             number += 1
-            way = self.rng.choice(("http", "lines"))
-            data = damaged(self.rng, SEEDS_HTTP if way == "http" else SEEDS_LINES)
+            interface = self._rng.choice(tuple(Interface))
+            data = fuzz(self._rng, HTTP_SEEDS if interface is Interface.HTTP else LINE_SEEDS)
             try:
-                self.one(way, data)
-                if number % 10 == 0:
-                    self.fine("http", FINE_HTTP, b" 200 ")
-                    self.fine("lines", FINE_LINES, b'"id":77,"status":0')
-            except (OSError, AssertionError) as error:
-                self.failure = f"seed {self.seed}, case {number} ({way}): {error!r} after {data[:300]!r}"
-            self.cases[way] += 1
-
-    def one(self, way: str, data: bytes) -> None:
-        with socket.create_connection(("127.0.0.1", self.ports[way]), 5) as sock:
-            sock.settimeout(0.3)
+                self._send_case(interface, data)
+                if number % VALID_REQUEST_PERIOD == 0:
+                    self._check_valid_request(Interface.HTTP, VALID_HTTP, b" 200 ")
+                    self._check_valid_request(Interface.LINES, VALID_LINES, b'"id":77,"status":0')
+            except (OSError, InvalidResponseError) as error:
+                self.failure = (
+                    f"seed {self._seed}, case {number} ({interface}): {error!r} after {data[:300]!r}"
+                )
+            self.cases[interface] += 1
+
+    def _send_case(self, interface: Interface, data: bytes) -> None:
+        with self._connect(interface) as connection:
+            connection.settimeout(CASE_TIMEOUT_S)
             with contextlib.suppress(OSError):
-                if self.rng.random() < 0.1:
-                    for k in range(min(60, len(data))):
-                        sock.sendall(data[k : k + 1])
+                if self._rng.random() < 0.1:
+                    for index in range(min(MAX_SINGLE_BYTES, len(data))):
+                        connection.sendall(data[index : index + 1])
                 else:
-                    sock.sendall(data)
-                end = self.rng.random()
-                if end < 0.5:
-                    sock.shutdown(socket.SHUT_WR)
-                if end < 0.9:
-                    while sock.recv(65536):
+                    connection.sendall(data)
+                ending = self._rng.random()
+                if ending < 0.5:
+                    connection.shutdown(socket.SHUT_WR)
+                if ending < 0.9:
+                    while connection.recv(RECEIVE_BYTES):
                         pass
 
-    def fine(self, way: str, data: bytes, wanted: bytes) -> None:
-        with socket.create_connection(("127.0.0.1", self.ports[way]), 5) as sock:
-            sock.settimeout(5)
-            sock.sendall(data)
-            got = b""
-            while wanted not in got:
-                more = sock.recv(65536)
-                assert more, f"a valid request over {way} got {got[:200]!r}"
-                got += more
+    def _check_valid_request(self, interface: Interface, request: bytes, expected: bytes) -> None:
+        with self._connect(interface) as connection:
+            connection.settimeout(RESPONSE_TIMEOUT_S)
+            connection.sendall(request)
+            response = b""
+            while expected not in response:
+                data = connection.recv(RECEIVE_BYTES)
+                if not data:
+                    raise InvalidResponseError(f"a valid request over {interface} got {response[:200]!r}")
+                response += data
+
+    def _connect(self, interface: Interface) -> socket.socket:
+        return socket.create_connection(("127.0.0.1", self._ports[interface]), CONNECT_TIMEOUT_S)
+
+
+@dataclass(frozen=True, slots=True)
+class ResourceUsage:
+    """Of a process."""
+
+    memory_kb: int
+    open_files: int
 
+    @classmethod
+    def of_process(cls, pid: int) -> ResourceUsage:
+        """Read the usage of a process that runs."""
+        pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
+        return cls(pages * KB_PER_PAGE, len(os.listdir(f"/proc/{pid}/fd")))
 
-def held(pid: int) -> tuple[int, int]:
-    """KiB in memory, open files."""
-    pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-    return pages * 4, len(os.listdir(f"/proc/{pid}/fd"))
+    def cells(self) -> str:
+        """Two cells of the table: MiB and open files."""
+        return f"{self.memory_kb / KB_PER_MB:.1f} | {self.open_files}"
+
+
+@dataclass(frozen=True, slots=True)
+class Outcome:
+    """Of a run without a crash or a hang."""
+
+    rows: list[str]
+    has_grown: bool
+    tracebacks: int  # in the proxy's log
+
+
+def run_jobs(
+    proxy: subprocess.Popen[str], log: TextIO, ports: dict[Interface, int], seeds: range, duration_s: float
+) -> Outcome:
+    """Fuzz a proxy that runs; the process exits with 1 at a crash or a hang."""
+    started_at_s = time.monotonic()
+    jobs = [Job(seed, ports, started_at_s + duration_s) for seed in seeds]
+    for job in jobs:
+        job.start()
+    rows = []
+    usage = []
+    for sample in range(1, SAMPLES + 1):
+        elapsed_s = duration_s * sample / SAMPLES
+        time.sleep(max(0.0, started_at_s + elapsed_s - time.monotonic()))
+        _exit_if_failed(proxy, jobs, log)
+        usage.append(ResourceUsage.of_process(proxy.pid))
+        cases = " | ".join(str(sum(job.cases[interface] for job in jobs)) for interface in Interface)
+        rows.append(f"| after {elapsed_s:.0f} s | {cases} | {usage[-1].cells()} |")
+    for job in jobs:
+        job.join(JOIN_TIMEOUT_S)
+    time.sleep(IDLE_S)
+    at_end = ResourceUsage.of_process(proxy.pid)
+    rows.append(f"| {IDLE_S} s after the end | | | {at_end.cells()} |")
+    half = usage[SAMPLES // 2 - 1]
+    has_grown = usage[-1].memory_kb > half.memory_kb * MAX_GROWTH or at_end.open_files > MAX_FILES_AT_END
+    return Outcome(rows, has_grown, _print_tracebacks(log))
+
+
+def _exit_if_failed(proxy: subprocess.Popen[str], jobs: list[Job], log: TextIO) -> None:
+    failures = [job.failure for job in jobs if job.failure]
+    if proxy.poll() is None and not failures:
+        return
+    log.seek(0)
+    click.echo(f"failed: {failures} exit {proxy.poll()} {log.read()[-MAX_PRINTED_CHARACTERS:]}")
+    sys.exit(1)
+
+
+def _print_tracebacks(log: TextIO) -> int:
+    """Print the first of a log's tracebacks; returns their number."""
+    log.seek(0)
+    text = log.read()
+    if "Traceback" in text:
+        click.echo(text[text.index("Traceback") :][:MAX_PRINTED_CHARACTERS])
+    return text.count("Traceback")
 
 
 @click.command()
@@ -138,57 +259,34 @@
 @click.option("--jobs", default=6)
 @click.option("--table", default="")
 def main(seconds: float, seed: int, jobs: int, table: str) -> None:
-    found = Ports(os.getpid() * 37)
-    server, lines, http, nobody = (found.take() for _ in range(4))
+    """Run the jobs, print the table, and exit with 1 if the proxy failed, grew or logged a traceback."""
+    ports = Ports(os.getpid() * 37)
+    server_port, lines_port, http_port, unused_port = (ports.take() for _ in range(4))
+    with tempfile.TemporaryDirectory() as folder, http_server([server_port]):
+        options = {"http": f"127.0.0.1:{http_port}", "head_s": "0.5", "idle_s": "1"}
+        config = proxy_file(Path(folder), [server_port], lines_port, unused_port, **options)
+        command = [sys.executable, "-m", "puffintide", "proxy", "--config", str(config)]
+        with (Path(folder) / "errors").open("w+") as log:
+            proxy = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log, text=True)
+            try:
+                assert proxy.stdout is not None
+                assert proxy.stdout.readline() == "ready\n"
+                interfaces = {Interface.HTTP: http_port, Interface.LINES: lines_port}
+                outcome = run_jobs(proxy, log, interfaces, range(seed, seed + jobs), seconds)
+            finally:
+                proxy.kill()
+                proxy.wait()
     rows = [
         f"| seeds {seed} to {seed + jobs - 1} | cases over HTTP | over lines | MiB | files |",
         "| --- | --- | --- | --- | --- |",
+        *outcome.rows,
+        "",
+        f"Unhandled errors in its log: {outcome.tracebacks}.",
     ]
-    with tempfile.TemporaryDirectory() as folder, http_server([server]):
-        more = {"http": f"127.0.0.1:{http}", "head_s": "0.5", "idle_s": "1"}
-        config = proxy_file(Path(folder), [server], lines, nobody, **more)
-        words = [sys.executable, "-m", "puffintide", "proxy", "--config", str(config)]
-        with (Path(folder) / "errors").open("w+") as errors:
-            running = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=errors, text=True)
-            try:
-                assert running.stdout is not None and running.stdout.readline() == "ready\n"
-                began = time.monotonic()
-                work = [Job(seed + k, {"http": http, "lines": lines}, began + seconds) for k in range(jobs)]
-                for job in work:
-                    job.start()
-                sizes = []
-                for k in range(1, 11):
-                    time.sleep(max(0.0, began + seconds * k / 10 - time.monotonic()))
-                    failed = [job.failure for job in work if job.failure]
-                    if running.poll() is not None or failed:
-                        errors.seek(0)
-                        click.echo(f"failed: {failed} exit {running.poll()} {errors.read()[-3000:]}")
-                        sys.exit(1)
-                    sizes.append(held(running.pid))
-                    cases = [sum(job.cases[way] for job in work) for way in ("http", "lines")]
-                    rows.append(
-                        f"| after {seconds * k / 10:.0f} s | {cases[0]} | {cases[1]} "
-                        f"| {sizes[-1][0] / 1024:.1f} | {sizes[-1][1]} |"
-                    )
-                for job in work:
-                    job.join(15)
-                time.sleep(3)
-                sizes.append(held(running.pid))
-                rows.append(f"| 3 s after the end | | | {sizes[-1][0] / 1024:.1f} | {sizes[-1][1]} |")
-                errors.seek(0)
-                log = errors.read()
-                traces = log.count("Traceback")
-                if traces:
-                    click.echo(log[log.index("Traceback") :][:3000])
-            finally:
-                running.kill()
-                running.wait()
-    rows += ["", f"Unhandled errors in its log: {traces}."]
     click.echo("\n".join(rows))
     if table:
         Path(table).write_text("\n".join(rows) + "\n", encoding="utf-8")
-    grown = sizes[-2][0] > sizes[4][0] * 1.1 or sizes[-1][1] > 60
-    sys.exit(1 if grown or traces else 0)
+    sys.exit(1 if outcome.has_grown or outcome.tracebacks else 0)
 
 
 if __name__ == "__main__":
