--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -1,170 +1,223 @@
-"""Days on which a zone goes: with the zone plan, with the module alone, and with an all-alike spread.
+"""Scenarios in which a zone is lost: with the zone plan, with the decision module alone, and with a uniform spread.
 
     python -m benchmarks.zone_days [SCENE ...] [--base days/bad-day.ini] [--seeds 3] [--jobs 3] [--out DIR]
         [--table FILE] [--plot FILE]
 
-Scenes are those of puffintide/scenarios/scenes.py, all of them by default. Each is played with the same seeds
-in three ways. "alike" is the plainest of directors: every slice on the ready servers in turn by its number,
-at once whenever the list changes. A row tells medians over the seeds: worth served, the worst 10 s, how long
-after the first loss the service was back to 95% of what it was before, and after the last return; slices
-moved (orders that put one on a server), servers that fell, and whether the rules were kept. All figures are
-of stand-ins.
+Scenes are those of puffintide/scenarios/zone_scenarios.py, all of them by default. Each is played with the same seeds
+with three planners. "alike" is the plainest of directors: each slice goes to one of the ready servers in turn by
+its number, at once whenever the list changes. A row contains medians over the seeds: the score, that of the worst
+10 s, how long after the first loss the service was back at 95% of what it was before, and after the last return;
+slices migrated (actions that put one on a server), servers that collapsed, and whether the rules were kept. All
+figures are of emulators.
 """
 
 from __future__ import annotations
 
 import configparser
 import io
-import json
 import statistics
 import sys
 from collections import defaultdict
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from concurrent.futures import ThreadPoolExecutor
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 
-from puffintide.audit.records import read_json_lines
+from benchmarks.zone_figures import Figures, read_figures
 from puffintide.config.loader import read_config
 from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.events import (
     EndpointListUpdate,
     EndpointStatus,
     Event,
+    ListUpdateType,
     OwnershipChanged,
     StoredWeight,
 )
 from puffintide.decisions.settings import Settings
 from puffintide.scenarios.errors import PlayError
-from puffintide.scenarios.faults import plan
-from puffintide.scenarios.results import evaluate
 from puffintide.scenarios.runner import ScenarioRunner
 from puffintide.scenarios.zone_scenarios import ZONE_SCENARIOS, script
 
-WAYS = ("plan", "module", "alike")
-STEP_S = 2.0
-SETTLED = 0.95
+PORTS_PER_RUN = 997  # runs beside each other use other ports
+HEADINGS = (
+    "scene",
+    "planner",
+    "rules",
+    "score",
+    "worst 10 s",
+    "settled after loss s",
+    "after return s",
+    "migrated",
+    "collapsed",
+)
+
+
+class Planner(StrEnum):
+    """What decides upon the slices of a lost zone."""
+
+    PLAN = "plan"
+    MODULE = "module"
+    UNIFORM = "alike"
 
 
-class Alike:
-    """All ready servers are alike, and every change of the list is followed at once."""
+class UniformDirector:
+    """A director to which all ready servers are alike, and which follows every change of the list at once."""
 
-    def __init__(self, settings: Settings) -> None:
-        self.states: dict[int, int] = {}
-        self.tables: dict[int, set[int]] = {}
+    def __init__(self, _settings: Settings) -> None:
+        self._statuses: dict[int, int] = {}
+        self._tables: dict[int, set[int]] = {}
 
-    def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
+    def handle(self, _now_s: float, events: Sequence[Event]) -> list[Action]:
+        """Take in events and return the actions that make all tables uniform."""
         for event in events:
-            match event:
-                case EndpointListUpdate():
-                    if event.update_type in ("full", "cached"):
-                        self.states = {}
-                    self.states |= {s.server_id: s.status for s in event.endpoints}
-                case OwnershipChanged(number, True):
-                    self.tables[number] = set()
-                case OwnershipChanged(number):
-                    self.tables.pop(number, None)
-                case StoredWeight(number, server, weight) if weight > 0 and number in self.tables:
-                    self.tables[number].add(server)
-        ready = sorted(s for s, state in self.states.items() if state == EndpointStatus.READY)
+            self._apply(event)
+        ready_ids = sorted(i for i, status in self._statuses.items() if status == EndpointStatus.READY)
         actions: list[Action] = []
-        for number, held in sorted(self.tables.items()):
-            wanted = {ready[number % len(ready)]} if ready else held
-            actions += [SetWeight(number, s, 1.0) for s in sorted(wanted - held)]
-            actions += [SetWeight(number, s, 0.0) for s in sorted(held - wanted)]
-            self.tables[number] = set(wanted)
+        for slice_id, current_ids in sorted(self._tables.items()):
+            target_ids = {ready_ids[slice_id % len(ready_ids)]} if ready_ids else current_ids
+            actions += [SetWeight(slice_id, i, 1.0) for i in sorted(target_ids - current_ids)]
+            actions += [SetWeight(slice_id, i, 0.0) for i in sorted(current_ids - target_ids)]
+            self._tables[slice_id] = set(target_ids)
         return actions
 
-
-def assigner(words: list[str]) -> None:
-    """An assigner process with the plain director in the module's place."""
+    def _apply(self, event: Event) -> None:
+        match event:
+            case EndpointListUpdate():
+                if event.update_type in (ListUpdateType.SNAPSHOT, ListUpdateType.CACHED):
+                    self._statuses = {}
+                self._statuses |= {endpoint.server_id: endpoint.status for endpoint in event.endpoints}
+            case OwnershipChanged(slice_id, True):
+                self._tables[slice_id] = set()
+            case OwnershipChanged(slice_id):
+                self._tables.pop(slice_id, None)
+            case StoredWeight(slice_id, server_id, weight) if weight > 0 and slice_id in self._tables:
+                self._tables[slice_id].add(server_id)
+
+
+def run_uniform_assigner(arguments: list[str]) -> None:
+    """Run an assigner process with the uniform director in place of the module's."""
     from puffintide.assigner import service
     from puffintide.cli.main import cli
 
-    made: Any = service
-    made.Director = Alike
-    cli(["assigner", *words], standalone_mode=False)
+    patched: Any = service
+    patched.Director = UniformDirector
+    cli(["assigner", *arguments], standalone_mode=False)
+
+
+class Run(NamedTuple):
+    """A scene to play."""
+
+    scene: str
+    planner: Planner
+    seed: int
 
 
-def variant(text: str, way: str) -> str:
+def play(run: Run, base: str, out: Path, number: int) -> Figures:
+    """Play a scene over the text of a base scenario.
+
+    Raises:
+        PlayError: It could not be played.
+    """
+    folder = out / f"{run.scene}-{run.planner}-{run.seed}"
+    folder.mkdir(parents=True, exist_ok=True)
+    path = folder / "script.ini"
+    path.write_text(_with_planner(script(base, run.scene), run.planner), encoding="utf-8")
+    config = read_config(str(path))
+    runner = ScenarioRunner(config, path.read_text(), folder, run.seed, port_start=number * PORTS_PER_RUN)
+    if run.planner is Planner.UNIFORM:
+        runner.assigner_command = ("benchmarks.zone_days", "--assigner")
+    runner.play()
+    return read_figures(folder, run.seed)
+
+
+def _with_planner(text: str, planner: Planner) -> str:
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     parser.read_string(text)
     if not parser.has_section("zones"):
         parser.add_section("zones")
-    parser["zones"]["plan"] = "yes" if way == "plan" else "no"
-    made = io.StringIO()
-    parser.write(made)
-    return made.getvalue()
-
-
-def play(text: str, way: str, seed: int, out: Path, number: int) -> dict[str, Any]:
-    out.mkdir(parents=True, exist_ok=True)
-    path = out / "script.ini"
-    path.write_text(variant(text, way), encoding="utf-8")
-    runner = ScenarioRunner(read_config(str(path)), path.read_text(), out, seed, port_start=number * 997)
-    if way == "alike":
-        runner.assigner_command = ("benchmarks.zone_days", "--assigner")
-    runner.play()
-    return figures(out, seed)
-
-
-def figures(out: Path, seed: int) -> dict[str, Any]:
-    config = read_config(str(out / "day.ini"))
-    verdict = evaluate(out)
-    steps = [s for s in plan(config, seed) if s.operation in ("crash", "start") and s.party == "fleet"]
-    lost = min((s.at_s for s in steps if s.operation == "crash"), default=0.0)
-    back = max((s.at_s for s in steps if s.operation == "start"), default=0.0)
-    got: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
-    kinds = list(config.classes.values())
-    for row in read_json_lines(out / "clients.jsonl"):
-        kind = kinds[row["class"]]
-        good = row["ok"] and row["took"] <= kind.aim_s
-        late = row["ok"] and not good and row["took"] <= kind.deadline_s
-        window = got[int(row["at"] / STEP_S)]
-        window[0] += kind.worth * (1.0 if good else kind.late_worth if late else 0.0)
-        window[1] += kind.worth
-    series = {k * STEP_S: w[0] / w[1] for k, w in sorted(got.items())}
-    before = statistics.mean([v for t, v in series.items() if 2 <= t < lost - STEP_S] or [1.0])
-
-    def settled(since: float) -> float:
-        """From then until the service stays at SETTLED of what it was."""
-        low = [t + STEP_S for t, v in series.items() if t >= since - STEP_S and v < SETTLED * before]
-        return max(0.0, max(low, default=since) - since)
-
-    fell = sum(row["what"] == "fall" for row in read_json_lines(out / "fleet.jsonl"))
-    broken = sorted({f.rule for f in verdict.report.findings})
-    return {
-        "worth": verdict.service.score,
-        "worst": verdict.service.worst_window_score,
-        "lost": settled(lost),
-        "back": settled(back),
-        "moved": moved(out),
-        "fell": fell,
-        "rules": ", ".join(broken) or ("unknown" if verdict.gaps else "kept"),
-        "series": series,
-    }
-
-
-def moved(out: Path) -> int:
-    """Slices put on a server, over all assigners, by their logs."""
-    count = 0
-    for path in sorted(out.glob("assigner-*.log")):
-        for line in path.read_text(encoding="utf-8").splitlines():
-            if '"decision"' in line:
-                row = json.loads(line)
-                count += (
-                    sum("SetWeight" in a and a["SetWeight"][2] >= 0.5 for a in row["actions"])
-                    + row["omitted_actions"] // 2
-                )
-    return count
+    parser["zones"]["plan"] = "yes" if planner is Planner.PLAN else "no"
+    changed = io.StringIO()
+    parser.write(changed)
+    return changed.getvalue()
+
+
+def table_row(scene: str, planner: Planner, runs: Sequence[Figures]) -> str:
+    """Medians of runs, and all of their verdicts."""
+    if not runs:
+        return f"| {scene} | {planner} | not played | | | | | | |"
+    cells = [
+        scene,
+        planner,
+        "; ".join(sorted({run.verdict for run in runs})),
+        f"{statistics.median(run.score for run in runs):.3f}",
+        f"{statistics.median(run.worst_window_score for run in runs):.3f}",
+        f"{statistics.median(run.settled_after_loss_s for run in runs):.0f}",
+        f"{statistics.median(run.settled_after_return_s for run in runs):.0f}",
+        f"{statistics.median(run.migrated for run in runs):.0f}",
+        f"{statistics.median(run.collapsed for run in runs):.0f}",
+    ]
+    return f"| {' | '.join(cells)} |"
+
+
+Results = dict[tuple[str, Planner], list[Figures]]
+
+
+def play_all(runs: Iterable[Run], base: str, out: Path, jobs: int) -> Results:
+    """Play runs, so many at a time; one that can't be played is printed and left out."""
+
+    def play_or_report(number: int, run: Run) -> Figures | None:
+        try:
+            return play(run, base, out, number)
+        except PlayError as error:
+            click.echo(f"{run.scene}, {run.planner}, seed {run.seed}: {error}", err=True)
+            return None
+
+    runs = list(runs)
+    with ThreadPoolExecutor(jobs) as pool:
+        played = list(pool.map(play_or_report, range(len(runs)), runs))
+    results: Results = defaultdict(list)
+    for run, figures in zip(runs, played, strict=True):
+        if figures is not None:
+            results[run.scene, run.planner].append(figures)
+    return results
+
+
+def _plot(results: Results, scenes: Sequence[str], path: str) -> None:
+    import matplotlib
+
+    matplotlib.use("svg")
+    from matplotlib import pyplot
+
+    figure, axes = pyplot.subplots(len(scenes), 1, figsize=(7, 2.4 * len(scenes)), squeeze=False)
+    for axis, scene in zip(axes[:, 0], scenes, strict=True):
+        for planner in Planner:
+            series = [run.series for run in results.get((scene, planner), [])]
+            times = sorted(set.intersection(*(set(one) for one in series))) if series else []
+            medians = [statistics.median(one[at_s] for one in series) for at_s in times]
+            axis.plot(times, medians, label=planner)
+        axis.set_title(f"{scene}: {ZONE_SCENARIOS[scene].description}", fontsize=9)
+        axis.set_ylabel("score")
+        axis.set_ylim(0, 1.05)
+    axes[-1, 0].set_xlabel("seconds")
+    axes[0, 0].legend(fontsize=8)
+    figure.tight_layout()
+    figure.savefig(path)
 
 
 @click.command()
 @click.argument("scenes", nargs=-1, type=click.Choice(list(ZONE_SCENARIOS)))
 @click.option("--base", default="days/bad-day.ini")
-@click.option("--ways", multiple=True, type=click.Choice(WAYS), help="By default all.")
+@click.option(
+    "--ways",
+    "planners",
+    multiple=True,
+    type=click.Choice([planner.value for planner in Planner]),
+    help="By default all.",
+)
 @click.option("--seeds", default=3)
 @click.option("--jobs", default=3)
 @click.option("--out", default="out/zones")
@@ -173,74 +226,37 @@
 def main(
     scenes: tuple[str, ...],
     base: str,
-    ways: tuple[str, ...],
+    planners: tuple[str, ...],
     seeds: int,
     jobs: int,
     out: str,
     table: str,
     plot: str,
 ) -> None:
-    days = scenes or tuple(ZONE_SCENARIOS)
-    text = Path(base).read_text(encoding="utf-8")
-    played = ways or WAYS
-    work = [(day, way, seed) for day in days for seed in range(1, seeds + 1) for way in played]
-
-    def one(number: int, day: str, way: str, seed: int) -> tuple[str, str, dict[str, Any]] | None:
-        folder = Path(out) / f"{day}-{way}-{seed}"
-        try:
-            return day, way, play(script(text, day), way, seed, folder, number)
-        except PlayError as error:
-            click.echo(f"{folder}: {error}", err=True)
-            return None
-
-    with ThreadPoolExecutor(jobs) as pool:
-        found = list(pool.map(lambda row: one(row[0], *row[1]), enumerate(work)))
-    lines = [
-        "| day | way | rules | worth served | worst 10 s | settled after loss s | after return s | moved | fell |",
-        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    """Play scenes, print the table, and write it and the curves to files."""
+    played_scenes = scenes or tuple(ZONE_SCENARIOS)
+    played_planners = [Planner(planner) for planner in planners] or list(Planner)
+    runs = [
+        Run(scene, planner, seed)
+        for scene in played_scenes
+        for seed in range(1, seeds + 1)
+        for planner in played_planners
     ]
-    for day in days:
-        for way in played:
-            runs = [row[2] for row in found if row is not None and row[:2] == (day, way)]
-            if not runs:
-                lines.append(f"| {day} | {way} | not played | | | | | | |")
-                continue
-            mid = {k: statistics.median(r[k] for r in runs) for k in runs[0] if k not in ("rules", "series")}
-            rules = "; ".join(sorted({r["rules"] for r in runs}))
-            shares = " | ".join(f"{mid[k]:.3f}" for k in ("worth", "worst"))
-            counts = " | ".join(f"{mid[k]:.0f}" for k in ("lost", "back", "moved", "fell"))
-            lines.append(f"| {day} | {way} | {rules} | {shares} | {counts} |")
-    made = "\n".join(lines)
-    click.echo(made)
+    results = play_all(runs, Path(base).read_text(encoding="utf-8"), Path(out), jobs)
+    lines = [f"| {' | '.join(HEADINGS)} |", "| " + " | ".join(["---"] * len(HEADINGS)) + " |"]
+    for scene in played_scenes:
+        for planner in played_planners:
+            lines.append(table_row(scene, planner, results.get((scene, planner), [])))
+    text = "\n".join(lines)
+    click.echo(text)
     if table:
-        Path(table).write_text(made + "\n", encoding="utf-8")
+        Path(table).write_text(text + "\n", encoding="utf-8")
     if plot:
-        _plot([row for row in found if row is not None], days, plot)
-
-
-def _plot(found: list[tuple[str, str, dict[str, Any]]], days: tuple[str, ...], path: str) -> None:
-    import matplotlib
-
-    matplotlib.use("svg")
-    from matplotlib import pyplot
-
-    figure, axes = pyplot.subplots(len(days), 1, figsize=(7, 2.4 * len(days)), squeeze=False)
-    for axis, day in zip(axes[:, 0], days, strict=True):
-        for way in WAYS:
-            runs = [r["series"] for d, w, r in found if (d, w) == (day, way)]
-            times = sorted(set.intersection(*(set(r) for r in runs))) if runs else []
-            axis.plot(times, [statistics.median(r[t] for r in runs) for t in times], label=way)
-        axis.set_title(f"{day}: {ZONE_SCENARIOS[day].description}", fontsize=9)
-        axis.set_ylabel("worth served")
-        axis.set_ylim(0, 1.05)
-    axes[-1, 0].set_xlabel("seconds")
-    axes[0, 0].legend(fontsize=8)
-    figure.tight_layout()
-    figure.savefig(path)
+        _plot(results, played_scenes, plot)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["--assigner"]:
-        assigner(sys.argv[2:])
+        run_uniform_assigner(sys.argv[2:])
     else:
         main()
