--- a/benchmarks/fuzz_fronts.py
+++ b/benchmarks/fuzz_fronts.py
@@ -27,7 +27,7 @@
 
 import click
 
-from benchmarks.proxy_cost import http_server, proxy_file
+from benchmarks.proxy_processes import http_server, proxy_file
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
 from puffintide.scenarios.place import Ports
--- a/benchmarks/proxy_churn.py
+++ b/benchmarks/proxy_churn.py
@@ -24,7 +24,8 @@
 
 import click
 
-from benchmarks.proxy_cost import WEIGHTS, WINDOW, _counts, _drive, _spawn
+from benchmarks.load_generator import WINDOW
+from benchmarks.proxy_processes import WEIGHTS, attempt_counts, run_client, start_line_servers, start_process
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 from puffintide.scenarios.place import Ports
@@ -135,8 +136,8 @@
             parser.write(file)
         started: list[subprocess.Popen[str]] = []
         try:
-            started.append(_spawn("benchmarks.proxy_cost", "--serve", ",".join(map(str, servers))))
-            started.append(_spawn("puffintide", "proxy", "--config", str(path)))
+            started.append(start_line_servers(servers))
+            started.append(start_process("puffintide", "proxy", "--config", str(path)))
             while steering.out is None:
                 time.sleep(0.05)
             time.sleep(0.5)
@@ -155,16 +156,16 @@
                         steering.order(batch)
 
                 worker = threading.Thread(target=churn, args=(stop,))
-                before = _counts(servers)
+                before = attempt_counts(servers)
                 began = time.monotonic()
                 if orders:
                     worker.start()
-                run = _drive(front, "proxy", requests, 0, WINDOW)
+                run = run_client(front, "proxy", requests, 0, WINDOW)
                 ended = time.monotonic()
                 stop.set()
                 if orders:
                     worker.join()
-                got = [b - a for a, b in zip(before, _counts(servers), strict=True)]
+                got = [b - a for a, b in zip(before, attempt_counts(servers), strict=True)]
                 assert sum(got) == requests, f"{sum(got)} of {requests} came"
                 wanted = shares(steering.applied, began, ended)
                 off = max(abs(g / (requests * w) - 1) for g, w in zip(got, wanted, strict=True))
