--- a/puffintide/cli/emulator_processes.py
+++ b/puffintide/cli/emulator_processes.py
@@ -83,29 +83,26 @@
 
 def run_tap(folder: Path) -> None:
     """Run the recording proxy."""
-    from puffintide.scenarios.tap import Bend, Tap
+    from puffintide.scenarios.link_faults import parse_link_fault
+    from puffintide.scenarios.recording_proxy import RecordingProxy
 
     reactor = monotonic_reactor()
     config, place = _read_scenario(folder)
     assert config.day is not None
 
     def execute(operation: str, arguments: dict[str, Any]) -> None:
-        name = str(arguments.pop("name"))
+        name = str(arguments["name"])
         if operation == "straighten":
-            tap.bend(name, None)
-            return
-        arguments["kinds"] = tuple(arguments["kinds"])
-        arguments["words"] = tuple(word.encode() for word in arguments.get("words", []))
-        for key in ("proxies", "parties", "facing", "senders"):
-            arguments[key] = frozenset(arguments.get(key, []))
-        tap.bend(name, Bend(**arguments))
+            proxy.clear_fault(name)
+        else:
+            proxy.set_fault(name, parse_link_fault(arguments))
 
     with (folder / "tap.jsonl").open("wb", buffering=1 << 16) as sink:
-        tap = Tap(reactor, place.links, config.net.model_dump(), config.day.seed, sink)
+        proxy = RecordingProxy(reactor, place.links, config.net.model_dump(), config.day.seed, sink)
         with _ports_required():
-            tap.listen()
+            proxy.listen()
         _run_controlled(reactor, execute)
-        tap.close()
+        proxy.close()
 
 
 def run_proxies(folder: Path, first: int, last: int) -> None:
--- a/puffintide/scenarios/place.py
+++ b/puffintide/scenarios/place.py
@@ -10,7 +10,7 @@
 
 from puffintide.config.model import Config
 from puffintide.scenarios.errors import PortError
-from puffintide.scenarios.tap import Link
+from puffintide.scenarios.link_faults import Link
 
 FIRST_PORT = 20000
 LAST_PORT = 32000  # exclusive; ephemeral ports begin above
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -24,10 +24,11 @@
 from puffintide.proxy.service import ProxyService
 from puffintide.replication.table_restore import FENCING_TOKEN_GAP, TableRestore
 from puffintide.scenarios.faults import plan
+from puffintide.scenarios.link_faults import Link, parse_link_fault
 from puffintide.scenarios.place import Place, at
+from puffintide.scenarios.recording_proxy import RecordingProxy
 from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.steps import Step
-from puffintide.scenarios.tap import Bend, Link, Tap
 from puffintide.store.engine import Commit
 from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.service import StoreService
@@ -154,7 +155,7 @@
     def _start_processes(self) -> None:
         config, out, place = self.config, self.out, self.place
         self.sink = (out / "tap.jsonl").open("wb")
-        self.tap = Tap(
+        self.tap = RecordingProxy(
             self._new_reactor("tap"), place.links, config.net.model_dump(), self.day.seed, self.sink
         )
         self.tap.listen()
@@ -238,11 +239,11 @@
                 self.reactors[name].resume()
 
     def set_link_fault(self, name: str, **how: Any) -> None:
-        """A fault of the ways, or its end."""
-        words = tuple(w.encode() for w in how.pop("words", ()))
-        how |= {key: frozenset(how.get(key, ())) for key in ("proxies", "parties", "facing", "senders")}
-        kinds = tuple(how.pop("kinds", ()))
-        self.tap.bend(name, Bend(kinds=kinds, words=words, **how) if kinds else None)
+        """A fault of the links, or its end."""
+        if how.get("kinds"):
+            self.tap.set_fault(name, parse_link_fault(how))
+        else:
+            self.tap.clear_fault(name)
 
     def _apply_step(self, step: Step) -> None:
         if step.party == "fleet":
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -10,7 +10,7 @@
 from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 from puffintide.replication import conflict_resolution
-from puffintide.scenarios.tap import Bend, Conn, Link
+from puffintide.scenarios.link_faults import Cut, Initiator, Link, LinkFault
 from tests.deployment import Deployment
 
 PEERS: dict[str, Any] = {"peers": {"every_s": 0.5}, "deployment": {"assigners": 3}}
@@ -117,9 +117,11 @@
 
 @pytest.mark.parametrize(("ends", "cut"), [((0, 4), True), ((4, 0), True), ((0, 2), False), ((2, 4), False)])
 def test_partition_between_some_leaves_other_paths(ends: tuple[int, int], cut: bool) -> None:
-    bend = Bend(("peer",), cut="silent", parties=frozenset({0, 1}), facing=frozenset({4, 5}))
+    fault = LinkFault(
+        ("peer",), cut=Cut.SILENT, assigners=frozenset({0, 1}), other_assigners=frozenset({4, 5})
+    )
     link = Link("peer", "peer", 0, "", number=ends[1])
-    assert bend.takes(link, Conn(1, link, "assigner", ends[0]), 0, b"") is cut
+    assert fault.affects(link, Initiator("assigner", ends[0]), 0, b"") is cut
 
 
 @pytest.mark.parametrize("name", MANY)
