--- a/benchmarks/proxy_churn.py
+++ b/benchmarks/proxy_churn.py
@@ -1,181 +1,249 @@
-"""The proxy on sockets while its tables change: do its choices still match, and what does it cost?
+"""The proxy while its tables change: whether its choices match the weights, and what the changes cost.
 
     python -m benchmarks.proxy_churn [--requests 100000] [--rate 10] [--slices 500] [--table FILE]
 
-A real proxy of 500 slices; a scripted assigner orders all tables anew ten times a second, one message each, between
-two sets of weights, (1, 2, 3, 4) and (4, 3, 2, 1), while 64 requests are under way all the time. Each order is
-answered by the proxy when it is in force (a mark), so that the share of time under each set is known, and with it
-what each server should get. The same requests without changes in the same run.
+A scripted assigner sends a real proxy of 500 slices new weights for all of them ten times a second, one message
+each, alternating between (1, 2, 3, 4) and (4, 3, 2, 1), with 64 requests in flight all the time. The proxy
+acknowledges each update when it is in force (a checkpoint), so that the time under either set of weights is
+known, and with it what each server should receive. The same requests are sent without changes in the same run.
 """
 
 from __future__ import annotations
 
-import configparser
 import contextlib
+import itertools
 import os
 import socket
 import subprocess
-import sys
 import tempfile
 import threading
 import time
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import click
 
 from benchmarks.load_generator import WINDOW
-from benchmarks.proxy_processes import WEIGHTS, attempt_counts, run_client, start_line_servers, start_process
+from benchmarks.proxy_processes import (
+    WEIGHTS,
+    attempt_counts,
+    kill_all,
+    run_client,
+    start_line_servers,
+    start_process,
+    write_config,
+)
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 from puffintide.scenarios.place import Ports
 
+MAX_CHECKPOINT_IDS = 65536
+FENCING_TOKEN = 1
+CONNECT_POLL_S = 0.05
+SETTLE_S = 0.5  # after a change that is not measured
+US_PER_MS = 1000
 
-class Steering:
-    """A store and an assigner for one proxy, on plain sockets."""
 
-    def __init__(self, servers: list[int], slices: int, store: int, order: int) -> None:
-        self.servers, self.slices = servers, slices
-        self.out: socket.socket | None = None
-        self.lock = threading.Lock()
-        self.applied: list[tuple[float, int]] = []  # when, mark
-        for port, serve in ((store, self._store), (order, self._order)):
-            listener = socket.create_server(("127.0.0.1", port))
-            threading.Thread(target=self._accept, args=(listener, serve), daemon=True).start()
+@dataclass(frozen=True, slots=True)
+class Applied:
+    """An update that the proxy has applied."""
 
-    def _accept(self, listener: socket.socket, serve: Any) -> None:
-        with contextlib.suppress(OSError):
-            while True:
-                threading.Thread(target=serve, args=(listener.accept()[0],), daemon=True).start()
+    at_s: float
+    batch: int
 
-    def _say(self, sock: socket.socket, message: m.Message) -> None:
-        with self.lock:
-            sock.sendall(encode(message) + b"\n")
 
-    def _store(self, sock: socket.socket) -> None:
-        held = [
-            m.TableEntry(s, w, f"127.0.0.1:{p}")
-            for s, (w, p) in enumerate(zip(WEIGHTS, self.servers, strict=True))
+def weights_of(batch: int) -> tuple[float, ...]:
+    """The weights that a batch publishes."""
+    return WEIGHTS if batch % 2 else WEIGHTS[::-1]
+
+
+class ControlPlane:
+    """A store and an assigner for one proxy, on threads that end with the process.
+
+    Attributes:
+        applied: updates that the proxy has acknowledged.
+    """
+
+    def __init__(self, servers: list[int], slice_count: int, store_port: int, assigner_port: int) -> None:
+        self.applied: list[Applied] = []
+        self._servers = servers
+        self._slice_count = slice_count
+        self._batch = 1
+        self._proxy: socket.socket | None = None
+        self._lock = threading.Lock()
+        self._serve(store_port, self._store_message_received)
+        self._serve(assigner_port, self._assigner_message_received)
+
+    def wait_for_proxy(self) -> None:
+        """Wait until the proxy has connected to the assigner."""
+        while self._proxy is None:
+            time.sleep(CONNECT_POLL_S)
+
+    def reset(self) -> None:
+        """Forget what was applied and publish the first set of weights."""
+        self.applied = [Applied(time.monotonic(), 1)]
+        self._publish(self._batch + self._batch % 2 + 1)
+
+    def publish_next(self) -> None:
+        """Publish the other set of weights for all slices."""
+        self._publish(self._batch + 1)
+
+    @contextlib.contextmanager
+    def publishing(self, rate: float) -> Iterator[None]:
+        """Within the block publish so many updates a second, or none if the rate is 0."""
+        if not rate:
+            yield
+            return
+        stop = threading.Event()
+
+        def publish_until_stopped() -> None:
+            while not stop.wait(1 / rate):
+                self.publish_next()
+
+        worker = threading.Thread(target=publish_until_stopped)
+        worker.start()
+        try:
+            yield
+        finally:
+            stop.set()
+            worker.join()
+
+    def _publish(self, batch: int) -> None:
+        self._batch = batch
+        entries = [
+            m.WeightEntry(slice_id, server_id, weight, FENCING_TOKEN)
+            for slice_id in range(self._slice_count)
+            for server_id, weight in enumerate(weights_of(batch))
         ]
-        with contextlib.suppress(OSError):
-            for line in sock.makefile("rb"):
-                match decode(line.rstrip(b"\n")):
-                    case m.Hello():
-                        self._say(sock, m.Welcome(m.PROTOCOL_VERSION, "store", 0))
-                    case m.ReadRequest():
-                        self._say(
-                            sock,
-                            m.SliceOwnerships(
-                                [m.SliceOwnership(n, 1, 0, held, 0, 1) for n in range(self.slices)]
-                            ),
-                        )
-                        self._say(sock, m.ReadComplete(self.slices, 1, "x"))
-                    case m.Ping():
-                        self._say(sock, m.Pong())
-
-    def _order(self, sock: socket.socket) -> None:
-        with contextlib.suppress(OSError):
-            for line in sock.makefile("rb"):
-                match decode(line.rstrip(b"\n")):
-                    case m.Hello():
-                        self._say(sock, m.Welcome(m.PROTOCOL_VERSION, "assigner", 0))
-                        self.out = sock
-                    case m.CheckpointReply(mark):
-                        self.applied.append((time.monotonic(), mark))
-                    case m.Ping():
-                        self._say(sock, m.Pong())
-
-    def order(self, batch: int) -> None:
-        weights = WEIGHTS if batch % 2 else WEIGHTS[::-1]
-        lines = [m.WeightEntry(n, s, w, 1) for n in range(self.slices) for s, w in enumerate(weights)]
-        assert self.out is not None
-        self._say(self.out, m.ProxyUpdate(batch, 0.0, len(lines), lines, checkpoint_id=batch % 65536))
-
-
-def shares(applied: list[tuple[float, int]], began: float, ended: float) -> list[float]:
-    """What each server should have had, by the time under each set of weights."""
-    times = [began, *(at for at, _ in applied if began < at < ended), ended]
-    marks = [next((k for at, k in reversed(applied) if at <= t), 1) for t in times[:-1]]
-    total = [0.0] * len(WEIGHTS)
-    for start, end, mark in zip(times, times[1:], marks, strict=False):
-        for s, w in enumerate(WEIGHTS if mark % 2 else WEIGHTS[::-1]):
-            total[s] += (end - start) * w
-    return [t / sum(total) for t in total]
+        checkpoint_id = batch % MAX_CHECKPOINT_IDS
+        assert self._proxy is not None
+        self._send(self._proxy, m.ProxyUpdate(batch, 0.0, len(entries), entries, checkpoint_id=checkpoint_id))
+
+    def _serve(self, port: int, message_received: Callable[[socket.socket, m.AnyMessage], None]) -> None:
+        listener = socket.create_server(("127.0.0.1", port))
+
+        def read(connection: socket.socket) -> None:
+            with contextlib.suppress(OSError):
+                for line in connection.makefile("rb"):
+                    message = decode(line.rstrip(b"\n"))
+                    if isinstance(message, m.Ping):
+                        self._send(connection, m.Pong())
+                    else:
+                        message_received(connection, message)
+
+        def accept() -> None:
+            with contextlib.suppress(OSError):
+                while True:
+                    threading.Thread(target=read, args=(listener.accept()[0],), daemon=True).start()
+
+        threading.Thread(target=accept, daemon=True).start()
+
+    def _send(self, connection: socket.socket, message: m.Message) -> None:
+        with self._lock:
+            connection.sendall(encode(message) + b"\n")
+
+    def _store_message_received(self, connection: socket.socket, message: m.AnyMessage) -> None:
+        match message:
+            case m.Hello():
+                self._send(connection, m.Welcome(m.PROTOCOL_VERSION, "store", 0))
+            case m.ReadRequest():
+                self._send(connection, m.SliceOwnerships(self._ownerships()))
+                self._send(connection, m.ReadComplete(self._slice_count, 1, "x"))
+
+    def _ownerships(self) -> list[m.SliceOwnership]:
+        table = [
+            m.TableEntry(server_id, weight, f"127.0.0.1:{port}")
+            for server_id, (weight, port) in enumerate(zip(WEIGHTS, self._servers, strict=True))
+        ]
+        return [
+            m.SliceOwnership(slice_id, FENCING_TOKEN, 0, table, 0, 1) for slice_id in range(self._slice_count)
+        ]
+
+    def _assigner_message_received(self, connection: socket.socket, message: m.AnyMessage) -> None:
+        match message:
+            case m.Hello():
+                self._send(connection, m.Welcome(m.PROTOCOL_VERSION, "assigner", 0))
+                self._proxy = connection
+            case m.CheckpointReply():
+                self.applied.append(Applied(time.monotonic(), message.checkpoint_id))
+
+
+def expected_fractions(applied: list[Applied], started_at_s: float, ended_at_s: float) -> list[float]:
+    """The fraction of requests that each server should receive, by the time under each set of weights."""
+    changes_s = [update.at_s for update in applied if started_at_s < update.at_s < ended_at_s]
+    bounds_s = [started_at_s, *changes_s, ended_at_s]
+    totals = [0.0] * len(WEIGHTS)
+    for begin_s, end_s in itertools.pairwise(bounds_s):
+        batch = next((update.batch for update in reversed(applied) if update.at_s <= begin_s), 1)
+        for server_id, weight in enumerate(weights_of(batch)):
+            totals[server_id] += (end_s - begin_s) * weight
+    return [total / sum(totals) for total in totals]
+
+
+def table_row(
+    control_plane: ControlPlane, servers: list[int], proxy_port: int, requests: int, rate: float
+) -> str:
+    """Send requests while so many updates a second are published; returns the row of the table."""
+    control_plane.reset()
+    time.sleep(SETTLE_S)
+    counts_before = attempt_counts(servers)
+    started_at_s = time.monotonic()
+    with control_plane.publishing(rate):
+        figures = run_client(proxy_port, "proxy", requests, 0, WINDOW)
+        ended_at_s = time.monotonic()
+    counts_after = attempt_counts(servers)
+    received = [after - before for before, after in zip(counts_before, counts_after, strict=True)]
+    assert sum(received) == requests, f"{sum(received)} of {requests} requests reached a server"
+    expected = expected_fractions(control_plane.applied, started_at_s, ended_at_s)
+    deviation = max(
+        abs(count / (requests * fraction) - 1) for count, fraction in zip(received, expected, strict=True)
+    )
+    p99_ms = figures["p99"] / US_PER_MS
+    return f"| {rate:g} | {requests} | {figures['rate']:.0f} | {p99_ms:.2f} | {deviation:.2%} |"
+
+
+def _proxy_config(folder: Path, slice_count: int, proxy: int, assigner: int, store: int) -> Path:
+    sections = {
+        "deployment": {"name": "churn", "proxies": "1", "slices": str(slice_count)},
+        "class read": {"aim_s": "1", "deadline_s": "10"},
+        "proxy": {
+            "id": "0",
+            "listen": f"127.0.0.1:{proxy}",
+            "assigners": f"127.0.0.1:{assigner}",
+            "store": f"127.0.0.1:{store}",
+        },
+    }
+    return write_config(folder / "proxy.ini", sections)
 
 
 @click.command()
 @click.option("--requests", default=100_000)
-@click.option("--rate", default=10.0, help="Orders a second.")
+@click.option("--rate", default=10.0, help="Updates of all tables a second.")
 @click.option("--slices", default=500)
 @click.option("--table", default="")
 def main(requests: int, rate: float, slices: int, table: str) -> None:
+    """Print the table, and write it to a file."""
     ports = Ports(os.getpid() * 23)
     servers = [ports.take() for _ in WEIGHTS]
-    front, store, order = ports.take(), ports.take(), ports.take()
-    steering = Steering(servers, slices, store, order)
+    proxy_port, store_port, assigner_port = (ports.take() for _ in range(3))
+    control_plane = ControlPlane(servers, slices, store_port, assigner_port)
     rows = [
-        "| orders of all tables a second | requests | a second | p99 ms | most off what was published |",
+        "| updates of all tables a second | requests | a second | p99 ms | most off what was published |",
         "| --- | --- | --- | --- | --- |",
     ]
-    with tempfile.TemporaryDirectory() as made:
-        parser = configparser.ConfigParser(interpolation=None)
-        parser.read_dict(
-            {
-                "deployment": {"name": "churn", "proxies": "1", "slices": str(slices)},
-                "class read": {"aim_s": "1", "deadline_s": "10"},
-                "proxy": {
-                    "id": "0",
-                    "listen": f"127.0.0.1:{front}",
-                    "assigners": f"127.0.0.1:{order}",
-                    "store": f"127.0.0.1:{store}",
-                },
-            }
-        )
-        path = Path(made) / "proxy.ini"
-        with path.open("w") as file:
-            parser.write(file)
-        started: list[subprocess.Popen[str]] = []
+    processes: list[subprocess.Popen[str]] = []
+    with tempfile.TemporaryDirectory() as folder:
+        config = _proxy_config(Path(folder), slices, proxy_port, assigner_port, store_port)
         try:
-            started.append(start_line_servers(servers))
-            started.append(start_process("puffintide", "proxy", "--config", str(path)))
-            while steering.out is None:
-                time.sleep(0.05)
-            time.sleep(0.5)
-            batch = 1
-            for orders in (0.0, rate):
-                steering.applied = [(time.monotonic(), 1)]
-                steering.order(batch + batch % 2 + 1)
-                batch += batch % 2 + 1
-                time.sleep(0.5)
-                stop = threading.Event()
-
-                def churn(stop: threading.Event) -> None:
-                    nonlocal batch
-                    while not stop.wait(1 / rate):
-                        batch += 1
-                        steering.order(batch)
-
-                worker = threading.Thread(target=churn, args=(stop,))
-                before = attempt_counts(servers)
-                began = time.monotonic()
-                if orders:
-                    worker.start()
-                run = run_client(front, "proxy", requests, 0, WINDOW)
-                ended = time.monotonic()
-                stop.set()
-                if orders:
-                    worker.join()
-                got = [b - a for a, b in zip(before, attempt_counts(servers), strict=True)]
-                assert sum(got) == requests, f"{sum(got)} of {requests} came"
-                wanted = shares(steering.applied, began, ended)
-                off = max(abs(g / (requests * w) - 1) for g, w in zip(got, wanted, strict=True))
-                rows.append(
-                    f"| {orders:g} | {requests} | {run['rate']:.0f} | {run['p99'] / 1000:.2f} | {off:.2%} |"
-                )
+            processes.append(start_line_servers(servers))
+            processes.append(start_process("puffintide", "proxy", "--config", str(config)))
+            control_plane.wait_for_proxy()
+            time.sleep(SETTLE_S)
+            for update_rate in (0.0, rate):
+                rows.append(table_row(control_plane, servers, proxy_port, requests, update_rate))
         finally:
-            for process in started:
-                process.kill()
-                process.wait()
+            kill_all(processes)
     text = "\n".join(rows)
     click.echo(text)
     if table:
@@ -183,4 +251,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(main())
+    main()
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -4,11 +4,11 @@
         [--table FILE] [--plot FILE]
 
 Scenes are those of puffintide/scenarios/zone_scenarios.py, all of them by default. Each is played with the same
-seeds with three planners. "alike" is the plainest of directors: each slice goes to one of the ready servers in turn
-by its number, at once whenever the list changes. A row contains medians over the seeds: the score, that of the worst
-10 s, how long after the first loss the service was back at 95% of what it was before, and after the last return;
-slices migrated (actions that put one on a server), servers that collapsed, and whether the rules were kept. All
-figures are of emulators.
+seeds with three planners. "alike" is the plainest of directors: each slice goes to one of the ready servers in
+turn by its number, at once whenever the list changes. A row contains medians over the seeds: the score, that of
+the worst 10 s, how long after the first loss the service was back at 95% of what it was before, and after the
+last return; slices migrated (actions that put one on a server), servers that collapsed, and whether the rules
+were kept. All figures are of emulators.
 """
 
 from __future__ import annotations
