--- a/puffintide/decisions/observations.py
+++ b/puffintide/decisions/observations.py
@@ -113,15 +113,15 @@
 
 
 def apply_stored_weight(fleet: FleetState, event: StoredWeight) -> None:
-    """Take in an entry of a granted slice's table; the first server with a full weight is its default."""
+    """Take in an entry of a granted slice's table; the first server with a primary weight is its default."""
     slice_state = fleet.slices.get(event.slice_id)
     if slice_state is None or event.weight <= 0:
         return
     weights = slice_state.weights
     weights[event.server_id] = event.weight
-    min_full_weight = max(weights.values()) / 2  # a standby entry has far less
+    min_primary_weight = max(weights.values()) / 2  # a standby entry has far less
     slice_state.assigned_servers = [
-        server_id for server_id, weight in sorted(weights.items()) if weight >= min_full_weight
+        server_id for server_id, weight in sorted(weights.items()) if weight >= min_primary_weight
     ]
     slice_state.default_server = slice_state.assigned_servers[0]
 
--- a/puffintide/decisions/placement.py
+++ b/puffintide/decisions/placement.py
@@ -80,7 +80,7 @@
         projection = self._projection
         alternate_id = projection.find_alternate(slice_id, parameters.ALTERNATE_MAX_UTILIZATION)
         # Server 0 counts as none here, and is taken only as the least utilized.
-        return alternate_id or projection.least_utilized(slice_id)
+        return alternate_id or projection.lowest_utilization_server(slice_id)
 
     def _move_off_unavailable_servers(self) -> None:
         """Move slices off draining and removed servers, and off ejected ones if that overloads no other."""
@@ -145,8 +145,8 @@
         projection = self._projection
         target_id = projection.find_alternate(slice_id, parameters.ALTERNATE_MAX_UTILIZATION)
         if target_id is None and server_id not in projection.warm:
-            least_utilized_id = projection.least_utilized(slice_id)
-            target_id = least_utilized_id if least_utilized_id in projection.warm else None
+            lowest_utilization_id = projection.lowest_utilization_server(slice_id)
+            target_id = lowest_utilization_id if lowest_utilization_id in projection.warm else None
         if target_id is None and self._is_overwhelmed(server_id):
             target_id = projection.find_alternate(slice_id, parameters.MAX_UTILIZATION)
         return target_id
@@ -205,6 +205,6 @@
         """Move a slice off servers that are warming up, as the parts without a server of their own fall on all."""
         projection = self._projection
         for server_id in [s for s in projection.plan[slice_id] if s in projection.warming]:
-            target_id = projection.least_utilized(slice_id)
+            target_id = projection.lowest_utilization_server(slice_id)
             if target_id in projection.warm:
                 projection.move(slice_id, server_id, target_id)
--- a/puffintide/decisions/projection.py
+++ b/puffintide/decisions/projection.py
@@ -180,7 +180,7 @@
                 return server_id
         return None
 
-    def least_utilized(self, slice_id: int) -> int | None:
+    def lowest_utilization_server(self, slice_id: int) -> int | None:
         """Return the warm server with most spare capacity, or one that is warming up, up to a safe load."""
         candidates = [
             server_id
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -46,7 +46,8 @@
     changes = {"day": {"length_s": 8}, "deployment": SECTIONS["deployment"] | levels}
     deployment = Deployment(tmp_path, steps=[(4, put)], **changes)
     verdict = deployment.play()
-    assert not verdict.report.findings and verdict.service.score > 0.8
+    assert not verdict.report.findings
+    assert verdict.service.score > 0.8
     assert not deployment.inconsistencies()
     for assigner in deployment.assigners.values():  # its rounds went on to the end
         assert assigner.runtime.director.director.fleet.now_s > deployment.net.seconds() - 1  # type: ignore[attr-defined]
@@ -68,7 +69,9 @@
     deployment = play(tmp_path, put)
     for number, assigner in deployment.assigners.items():
         seen = assigner.runtime.director.director.servers  # type: ignore[attr-defined]
-        assert seen[0].endpoint.status == 1 and seen[0].endpoint.weight == 1.0 and len(seen) == 8
+        assert seen[0].endpoint.status == 1
+        assert seen[0].endpoint.weight == 1.0
+        assert len(seen) == 8
         assert any(e == "endpoint_rejected" for e, _ in deployment.log[f"assigner:{number}"].rows)
 
 
@@ -80,7 +83,9 @@
 def test_sums_out_of_range_end_their_stream_alone(name: str, tmp_path: Path) -> None:
     deployment = play(tmp_path, lambda d: d.proxies[0].control_plane.assigners[1].send(BAD_SUMS[name]))
     left = [what for e, what in deployment.log["assigner:1"].rows if e == "proxy_disconnected"]
-    assert len(left) == 1 and left[0]["proxy_id"] == 0 and left[0]["reason"]
+    assert len(left) == 1
+    assert left[0]["proxy_id"] == 0
+    assert left[0]["reason"]
 
 
 @pytest.mark.parametrize("name", BAD_ORDERS)
@@ -105,7 +110,8 @@
         asked[0].send_line(encode(m.ClientRequest(10**6, 0, 1, 1e300, 0.05)))
 
     deployment = play(tmp_path, put)
-    assert asked[0].closed and "time left" in asked[0].close_reason
+    assert asked[0].closed
+    assert "time left" in asked[0].close_reason
     assert not any(proxy.engine.requests for proxy in deployment.proxies.values())
 
 
@@ -125,8 +131,10 @@
     tokens = {n: book.slices[n].fencing_token for n in (0, 1)}
     line = replace_token(line, tokens) if reason != "token" else line
     refused = book.write(0, [line, m.WeightEntry(1, 5, 1.0, tokens[1], "127.0.0.1:5")], 3)
-    assert list(refused) == [line.slice_id] and reason in refused[line.slice_id]
-    assert not book.slices[0].entries and set(book.slices[1].entries) == {5}
+    assert list(refused) == [line.slice_id]
+    assert reason in refused[line.slice_id]
+    assert not book.slices[0].entries
+    assert set(book.slices[1].entries) == {5}
 
 
 def replace_token(line: m.WeightEntry, tokens: dict[int, int]) -> m.WeightEntry:
