--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -13,6 +13,7 @@
 from puffintide.protocol.clock import monotonic_reactor
 
 if TYPE_CHECKING:
+    from puffintide.replication.table_restore import TableRestore
     from puffintide.store.engine import StorageEngine, StoreSnapshot
     from puffintide.store.ownership import OwnershipLedger
 
@@ -85,6 +86,29 @@
     return engine, snapshot
 
 
+def _ownership_ledger(config: Config, now_s: float) -> OwnershipLedger:
+    from puffintide.store.ownership import OwnershipLedger
+
+    deployment = config.deployment
+    return OwnershipLedger(
+        deployment.slices,
+        deployment.assigners,
+        config.charge.takeover_s,
+        deployment.single_writer,
+        opened_at_s=now_s,
+        max_transfers_per_s=config.charge.moves_per_s,
+    )
+
+
+def _table_restore(config: Config, process: StoreProcess) -> TableRestore | None:
+    """Restores an empty store from the assigners' replicas; None where that is not configured."""
+    from puffintide.replication.table_restore import TableRestore
+
+    if not process.refill:
+        return None
+    return TableRestore(config.deployment.slices, config.deployment.assigners, process.refill_wait_s)
+
+
 def run_store(config: Config) -> None:
     """Run the store until it is stopped, or another one has taken its place."""
     from functools import partial
@@ -93,48 +117,31 @@
     from twisted.internet.threads import deferToThreadPool
     from twisted.python.threadpool import ThreadPool
 
-    from puffintide.replication.table_restore import TableRestore
-    from puffintide.store.ownership import OwnershipLedger
     from puffintide.store.service import StoreService
 
     assert config.store is not None
     process = config.store
-    deployment = config.deployment
     reactor = monotonic_reactor()
     log = setup("store", process.log, process.level)
-    ledger = OwnershipLedger(
-        deployment.slices,
-        deployment.assigners,
-        config.charge.takeover_s,
-        deployment.single_writer,
-        opened_at_s=reactor.seconds(),
-        max_transfers_per_s=config.charge.moves_per_s,
-    )
+    ledger = _ownership_ledger(config, reactor.seconds())
     engine, snapshot = _load_tables(config, process, ledger)
     pool = ThreadPool(1, 1, "engine")  # one thread: the engine's calls follow each other
     service = StoreService(
         reactor,
         ledger,
-        deployment.name,
+        config.deployment.name,
         log,
         engine,
         snapshot,
-        len(deployment.zones),
+        len(config.deployment.zones),
         run=partial(deferToThreadPool, reactor, pool) if process.file or process.etcd else maybeDeferred,
         max_streams=process.streams_most,
         backup_path=partial(_backup_path, process.backups) if process.file and process.backups else None,
-        table_restore=TableRestore(deployment.slices, deployment.assigners, process.refill_wait_s)
-        if process.refill
-        else None,
+        table_restore=_table_restore(config, process),
     )
     listen(reactor, process.listen, service.factory(), tls_contexts(config, log))
-    log.info(
-        "started",
-        file=process.file,
-        identity=snapshot.store_id,
-        revision=snapshot.revision,
-        slices=len(snapshot.slices),
-    )
+    started = {"file": process.file, "identity": snapshot.store_id, "revision": snapshot.revision}
+    log.info("started", slices=len(snapshot.slices), **started)
     reactor.callWhenRunning(pool.start)
     reactor.addSystemEventTrigger("during", "shutdown", pool.stop)
     service.start()
