--- a/tests/proxy_random_history.py
+++ b/tests/proxy_random_history.py
@@ -122,6 +122,9 @@
         levels = [m.AdmissionLevel(0xFFFF, 0, fraction, retry_mode)]
         update = m.ProxyUpdate(1, self.now_s, 1.0, weights=weights, admission_levels=levels)
         self._check(self.engine.on_proxy_update(self.now_s, 0, update))
+        for slice_id in range(SLICES):
+            for class_index in range(len(CLASSES)):
+                assert self.engine.tables.retry_mode(slice_id, class_index) == retry_mode
 
     def _report(self) -> None:
         report = self.engine.take_usage_report(self.now_s, 0, MIN_REPORT_INTERVAL_S)
