--- a/puffintide/platform/__main__.py
+++ b/puffintide/platform/__main__.py
@@ -1,4 +1,4 @@
-"""python -m puffintide.platform: one assigner of the platform, in the foreground."""
+"""Entry point of `python -m puffintide.platform`: runs an assigner of the platform in the foreground."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
     from puffintide.platform.config import Address, Config
     from puffintide.platform.log import Log
 
-EXIT_UNUSABLE = 2  # the configuration, or its address
+EXIT_CONFIG_ERROR = 2  # The configuration is invalid, or its listen address cannot be used.
 
 
 def main() -> int:
     """Run an assigner until SIGTERM, and return the exit status."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
-    # No TLS here: what Twisted would load for it is a fourth of the least memory.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # Ignored until the service has started.
+    # Prevents Twisted from loading TLS, which is not used and would take a quarter of the smallest memory
+    # limit.
     sys.modules["OpenSSL"] = None  # type: ignore[assignment]
     from puffintide.platform.config import load_config
     from puffintide.platform.errors import ConfigError
@@ -27,23 +28,27 @@
     path = os.environ.get("GW_CONFIG", "")
     try:
         if not path:
-            raise ConfigError("GW_CONFIG: not set")
+            raise ConfigError("GW_CONFIG: environment variable is not set")
         config = load_config(path)
     except ConfigError as error:
         print(f"puffintide: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE
+        return EXIT_CONFIG_ERROR
     log = EventLog(config.name)
-    _compare_environment(config, path, log)
+    _log_ignored_addresses(config, path, log)
     return _run(config, path, log)
 
 
-def _compare_environment(config: Config, path: str, log: Log) -> None:
-    """Log addresses in the environment that differ from those in the file, which are used."""
+def _log_ignored_addresses(config: Config, path: str, log: Log) -> None:
+    """Log addresses in the environment that are ignored because they differ from those in the file."""
     for variable, address in (("GW_LISTEN", config.listen), ("GW_DISCOVERY", config.discovery)):
         text = os.environ.get(variable, "")
         difference = _address_difference(variable, text, address) if text else ""
         if difference:
-            log("environment_ignored", variable=variable, reason=f"{difference}; {path} is used")
+            log(
+                "environment_ignored",
+                variable=variable,
+                reason=f"{difference}; using the address from {path}",
+            )
 
 
 def _address_difference(variable: str, text: str, address: Address) -> str:
@@ -69,19 +74,19 @@
     try:
         service.start()
     except CannotListenError as error:
-        print(f"puffintide: listen {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE
+        print(f"puffintide: cannot listen on {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
+        return EXIT_CONFIG_ERROR
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(service.reload))
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(service.stop))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: reactor.callFromThread(service.stop))
     gc.collect()
-    gc.freeze()  # what is loaded stays: the collector need not look at it
+    gc.freeze()  # Excludes the loaded modules, which stay in memory, from garbage collection.
     reactor.run(installSignalHandlers=False)
     return 0
 
 
 def _log_handler_failures(log: Log) -> None:
-    """Log errors that handlers raise, by which Twisted ends their connections."""
+    """Log exceptions raised by handlers, upon which Twisted closes their connections."""
     from twisted.logger import globalLogBeginner
 
     from puffintide.platform.rounds import error_location
--- a/puffintide/platform/context.py
+++ b/puffintide/platform/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one assigner share."""
+"""Objects shared by the components of an assigner."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """Shared objects of an assigner."""
+    """Holds the objects shared by the components of an assigner."""
 
     reactor: Reactor
     settings: Settings
--- a/puffintide/platform/errors.py
+++ b/puffintide/platform/errors.py
@@ -1,35 +1,35 @@
-"""Errors of the platform's assigner."""
+"""Exceptions raised by the platform's assigner."""
 
 from __future__ import annotations
 
 
 class PlatformError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 class ConfigError(PlatformError):
-    """The configuration is unusable; the text names the key and the value."""
+    """Raised for an invalid configuration. The message names the key and the value."""
 
 
 class UnknownServerError(PlatformError):
-    """An order is for a server that has no host name."""
+    """Raised for an order that refers to a server without a registered host name."""
 
 
 class InvalidMessageError(PlatformError):
-    """A message has impossible values; the messages before and after it on the same connection are good."""
+    """Raised for a message with invalid values. Other messages on the same connection remain usable."""
 
 
 class StreamError(PlatformError):
-    """A connection delivered what can't be read, and is of no further use."""
+    """Raised for unreadable data on a connection, which must then be closed."""
 
 
 class LineTooLongError(StreamError):
-    """A line exceeds the limit of its connection."""
+    """Raised for a line that exceeds the length limit of its connection."""
 
 
 class MalformedResponseError(StreamError):
-    """What was received is no HTTP response, or one whose body exceeds its limit."""
+    """Raised for data that is not an HTTP response, or for a response body that exceeds its limit."""
 
 
 class MalformedMessageError(StreamError):
-    """A line is no message at all."""
+    """Raised for a line that cannot be parsed as a message."""
--- a/puffintide/platform/identifiers.py
+++ b/puffintide/platform/identifiers.py
@@ -1,7 +1,8 @@
-"""Maps the platform's host names to server ids, and the names in the settings to their indexes. Performs no I/O.
+"""Maps the platform's host names to server ids, and names in the settings to indexes. Performs no I/O.
 
-A host has the same id at every assigner and after a restart, as placement ranks servers by id: the id is a hash of
-the name alone. If two names hash to one id, the later one is hashed again.
+Placement ranks servers by id, so a host must have the same id at every assigner and after a restart. The id
+is therefore a hash of the host name alone. If two names hash to the same id, the later one is hashed again
+with a salt.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 MAX_HASH_ATTEMPTS = 8
 MAX_LOAD_VALUE = 1e9
-# Load values by their names in the settings, with the platform's names for them.
+# Maps the names of load values in the settings to the platform's names.
 PLATFORM_FIELDS = {
     "rif": "inflight",
     "q": "queue",
@@ -25,13 +26,13 @@
 
 
 def hash_host(host: str, salt: int = 0) -> int:
-    """Return an id below 2**31."""
+    """Return a server id below 2**31 derived from a host name and a salt."""
     digest = blake2b(host.encode("utf-8", "surrogatepass"), digest_size=4, salt=salt.to_bytes(2, "little"))
     return int.from_bytes(digest.digest(), "little") >> 1
 
 
 class HostRegistry:
-    """Server ids of hosts, and back; only retained hosts can be mapped back."""
+    """Maps host names to server ids, and the ids of retained hosts back to names."""
 
     def __init__(self) -> None:
         self._ids: dict[str, int] = {}
@@ -42,7 +43,7 @@
         return len(self._hosts)
 
     def register(self, host: str) -> int:
-        """Return the id of a host, retained from now on."""
+        """Return the id of a host, and retain the host."""
         known = self._ids.get(host)
         if known is not None:
             return known
@@ -56,21 +57,21 @@
         return server_id
 
     def server_id(self, host: str) -> int | None:
-        """Return the id of a retained host."""
+        """Return the id of a host, or None if it is not retained."""
         return self._ids.get(host)
 
     def host(self, server_id: int) -> str | None:
-        """Return the name of a retained host."""
+        """Return the name of the host with this id, or None if it is not retained."""
         return self._hosts.get(server_id)
 
     def retain(self, server_ids: Collection[int]) -> None:
-        """Forget all other hosts."""
+        """Forget all hosts except those with the given ids."""
         for server_id in self._hosts.keys() - set(server_ids):
             del self._ids[self._hosts.pop(server_id)]
 
 
 class SettingsNames:
-    """Indexes of zones, request classes, server types and load values, in the order of the settings."""
+    """Maps names of zones, request classes, server types and load values to indexes in the settings."""
 
     def __init__(
         self,
@@ -90,7 +91,7 @@
     def parse_load_values(self, report: Mapping[str, object] | None) -> tuple[float, ...]:
         """Return the values of a load report in the order of the settings.
 
-        A value that is absent or invalid is NaN; the result is empty if all are.
+        A missing or invalid value is NaN. The result is empty if all values are.
         """
         if not report:
             return ()
@@ -98,7 +99,7 @@
         return () if all(map(math.isnan, values)) else values
 
     def classes_in(self, class_mask: int) -> list[str]:
-        """Return the names of the classes whose bits are set."""
+        """Return the names of the request classes whose bits are set in a mask."""
         return [name for index, name in enumerate(self.class_names) if class_mask >> index & 1]
 
 
--- a/puffintide/platform/lifecycle.py
+++ b/puffintide/platform/lifecycle.py
@@ -1,7 +1,8 @@
-"""Start, reload and shutdown of an assigner, as states. Performs no I/O.
+"""State machine for start, reload and shutdown of an assigner. Performs no I/O.
 
-STARTING --on_ready--> SERVING --on_terminate--> STOPPING --on_idle--> STOPPED;
-on_terminate leads to STOPPING from STARTING too.
+STARTING --on_ready--> SERVING --on_terminate--> STOPPING --on_idle--> STOPPED
+
+on_terminate also leads from STARTING to STOPPING.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from puffintide.decisions.settings import Settings
 from puffintide.platform.config import Config
 
-RESTART_KEYS = ("name", "listen", "sockets", "memory_mb")  # that take effect at a restart
+RESTART_KEYS = ("name", "listen", "sockets", "memory_mb")  # Keys that take effect only after a restart.
 
 
 class Phase(Enum):
-    """State of an assigner."""
+    """Phase in the lifecycle of an assigner."""
 
     STARTING = auto()
     SERVING = auto()
@@ -25,32 +26,32 @@
 
 
 class Lifecycle:
-    """The phase of an assigner; each method returns whether the phase has changed."""
+    """Tracks the phase of an assigner. Each method returns whether the phase has changed."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
 
     @property
     def running(self) -> bool:
-        """Whether rounds are run, connections opened and configurations reloaded."""
+        """Whether the assigner runs rounds, opens connections and reloads its configuration."""
         return self.phase in (Phase.STARTING, Phase.SERVING)
 
     def on_ready(self) -> bool:
-        """Start to answer pings: the initial state was received, or the wait for it has ended."""
+        """Enter SERVING once the initial state was received or the wait for it timed out."""
         if self.phase is not Phase.STARTING:
             return False
         self.phase = Phase.SERVING
         return True
 
     def on_terminate(self) -> bool:
-        """Start nothing new from now on: SIGTERM was received."""
+        """Enter STOPPING after SIGTERM."""
         if not self.running:
             return False
         self.phase = Phase.STOPPING
         return True
 
     def on_idle(self) -> bool:
-        """End the process: what was in flight has ended, or the wait for it has."""
+        """Enter STOPPED once no call is in flight or the wait for it timed out."""
         if self.phase is not Phase.STOPPING:
             return False
         self.phase = Phase.STOPPED
@@ -61,8 +62,9 @@
     """Merge a reloaded configuration into the current one.
 
     Returns:
-        The configuration in force, where only the addresses of discovery and relay are new, and the other keys that
-        differ and take effect at a restart. The last endpoint list and the seed matter at a start alone.
+        The configuration in force, and the changed keys that take effect only after a restart. Only the
+        addresses of discovery and relay are taken from the reloaded configuration. The last endpoint list and
+        the seed are used only at a start, so that changes of them are not listed.
     """
     ignored = [key for key in RESTART_KEYS if getattr(reloaded, key) != getattr(current, key)]
     for setting in fields(Settings):
--- a/puffintide/platform/log.py
+++ b/puffintide/platform/log.py
@@ -1,6 +1,6 @@
-"""Log of the assigner: JSON lines on standard error, with a limit on the rate of each event.
+"""Writes the assigner's log as JSON lines to standard error, with a rate limit per event.
 
-structlog is not loaded here, as memory is scarce in service.
+structlog is not used because of the process's tight memory limit.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-BURST_LINES = 20.0  # of one event, at once
-LINES_PER_S = 2.0  # of one event, over time
+BURST_LINES = 20.0  # Maximum lines of one event in a burst.
+LINES_PER_S = 2.0  # Maximum sustained rate of one event, in lines per second.
 
-Log = Callable[..., None]  # log("event", field=value, ...)
+Log = Callable[..., None]  # Called as log("event", field=value, ...).
 
 
 @dataclass(slots=True)
-class _Budget:
-    """Token bucket of one event."""
+class _TokenBucket:
+    """Token bucket that limits the rate of one event."""
 
     tokens: float
     updated_at_s: float
@@ -28,7 +28,11 @@
 
 
 class EventLog:
-    """Writes log("event", field=value) as a line; lines over the limit are counted in the next line's `skipped`."""
+    """Writes each call of log("event", field=value) as a JSON line.
+
+    Lines over the rate limit are dropped, and their number is written in the field `skipped` of the next
+    line.
+    """
 
     def __init__(
         self,
@@ -40,32 +44,32 @@
         """Open a log.
 
         Args:
-            name: Name of this assigner, in each line.
-            write: Where lines go to; by default standard error.
-            clock: Monotonic time in seconds, for the limit.
-            wall_clock: Unix time in seconds, for the lines.
+            name: The name of this assigner, which is written in each line.
+            write: A function that writes a line, by default to standard error.
+            clock: A function that returns the monotonic time in seconds, for the rate limit.
+            wall_clock: A function that returns the Unix time in seconds, for the timestamps.
         """
         self.name = name
         self._write = write or sys.stderr.write
         self._clock = clock
         self._wall_clock = wall_clock
-        self._budgets: dict[str, _Budget] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Write one line, unless the event is over its limit."""
+        """Write one line, unless the event exceeds its rate limit."""
         now_s = self._clock()
-        budget = self._budgets.setdefault(event, _Budget(BURST_LINES, now_s))
-        budget.tokens = min(BURST_LINES, budget.tokens + (now_s - budget.updated_at_s) * LINES_PER_S)
-        budget.updated_at_s = now_s
-        if budget.tokens < 1:
-            budget.skipped += 1
+        bucket = self._buckets.setdefault(event, _TokenBucket(BURST_LINES, now_s))
+        bucket.tokens = min(BURST_LINES, bucket.tokens + (now_s - bucket.updated_at_s) * LINES_PER_S)
+        bucket.updated_at_s = now_s
+        if bucket.tokens < 1:
+            bucket.skipped += 1
             return
-        budget.tokens -= 1
+        bucket.tokens -= 1
         row: dict[str, Any] = {"t": round(self._wall_clock(), 3), "name": self.name, "event": event, **fields}
-        if budget.skipped:
-            row["skipped"] = budget.skipped
-            budget.skipped = 0
+        if bucket.skipped:
+            row["skipped"] = bucket.skipped
+            bucket.skipped = 0
         try:
             self._write(json.dumps(row, default=str) + "\n")
-        except OSError:  # nobody reads the log: the service goes on
+        except OSError:  # The log has no reader. The service continues without it.
             return
--- a/puffintide/platform/message_decoding.py
+++ b/puffintide/platform/message_decoding.py
@@ -1,4 +1,4 @@
-"""Decodes JSON texts to typed messages, and tells what is no JSON from what is another message. Performs no I/O."""
+"""Decodes JSON to typed messages, and distinguishes malformed from invalid texts. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from puffintide.platform.errors import InvalidMessageError, MalformedMessageError
 
 MS_PER_S = 1000.0
-QUOTED_CHARACTERS = 40  # of an invalid value, in an error
+QUOTED_CHARACTERS = 40  # Maximum characters of an invalid value in an error message.
 
 _Message = TypeVar("_Message")
 
@@ -20,20 +20,21 @@
 
     Raises:
         MalformedMessageError: The text is not JSON.
-        InvalidMessageError: It is JSON, but not of the decoder's type.
+        InvalidMessageError: The text is JSON, but does not match the decoder's type.
     """
     try:
         return decoder.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        failure = error
-    # The decoder stops at the first fault; this one reads on, and accepts numbers that JSON does not have.
+        decode_error = error
+    # The typed decoder stops at the first error. json.loads parses the whole text, and it accepts numbers
+    # that JSON does not define, such as NaN, so that such a message counts as invalid and not as malformed.
     try:
         json.loads(text)
     except (ValueError, RecursionError):
-        raise MalformedMessageError(str(failure)) from failure
-    raise InvalidMessageError(str(failure)) from failure
+        raise MalformedMessageError(str(decode_error)) from decode_error
+    raise InvalidMessageError(str(decode_error)) from decode_error
 
 
 def quoted(text: str) -> str:
-    """Quote the start of a received text for an error."""
+    """Quote the start of a received text for an error message."""
     return repr(text[:QUOTED_CHARACTERS])
--- a/puffintide/platform/relay_client.py
+++ b/puffintide/platform/relay_client.py
@@ -1,7 +1,8 @@
-"""Makes the calls of the outbox at the relay, one after another, each on a connection of its own.
+"""Sends the outbox's calls to the relay sequentially, each on a new connection.
 
-An idle connection may be closed by the relay at any time, and a call that is lost with it may or may not have been
-carried out: calls are a few a second, and a connection costs less than such a doubt.
+The relay may close an idle connection at any time, and a call lost with that connection may or may not have
+been applied. There are only a few calls per second, so a new connection per call costs less than resolving
+such uncertain calls.
 """
 
 from __future__ import annotations
@@ -20,28 +21,29 @@
 
 CALL_TARGET = "/api/txn"
 CONNECT_TIMEOUT_S = 0.5
-RESPONSE_TIMEOUT_S = 0.12  # a response comes within 50 ms or never; the rest is for a busy core
+# A response arrives within 50 ms or not at all. The remainder allows for scheduling delays on a busy core.
+RESPONSE_TIMEOUT_S = 0.12
 MAX_BODY_BYTES = 64 * 1024
 
 
 class RelayClient:
-    """Sends what is queued in an outbox."""
+    """Sends the orders queued in an outbox to the relay."""
 
     def __init__(self, reactor: Reactor, address: Address, outbox: Outbox, log: Log) -> None:
         self.reactor = reactor
-        self.address = address  # of the next call
+        self.address = address  # Used from the next call on.
         self.outbox = outbox
         self.log = log
         self.in_flight = False
         self.calls = 0
-        self.max_duration_s = 0.0  # of a call, since the last statistics
+        self.max_duration_s = 0.0  # Longest answered call since the last statistics, in seconds.
         self._next_call = Timer(reactor)
         self._not_before_s = 0.0
         self._started_at_s = 0.0
         self._on_stopped: Callable[[], None] | None = None
 
     def send_next(self) -> None:
-        """Make the next call as soon as the outbox allows."""
+        """Make the next call as soon as the outbox and the retry delay allow it."""
         if self._on_stopped is not None:
             return
         now_s = self.reactor.seconds()
@@ -63,10 +65,10 @@
         HttpRequest(self.reactor, self.address, ("POST", CALL_TARGET, call.body), self._on_response, limits)
 
     def stop(self, on_stopped: Callable[[], None]) -> None:
-        """Make no call from now on.
+        """Stop making calls.
 
         Args:
-            on_stopped: Called once no call is in flight, at once if none is now.
+            on_stopped: Called once no call is in flight, immediately if none is in flight now.
         """
         self._on_stopped = on_stopped
         self._next_call.cancel()
@@ -81,13 +83,13 @@
             return
         if response.result is RequestResult.ANSWERED:
             self.max_duration_s = max(self.max_duration_s, now_s - self._started_at_s)
-        self._continue(now_s, self.outbox.on_response(now_s, response))
+        self._perform_step(now_s, self.outbox.on_response(now_s, response))
 
     def _on_snapshot(self, tables: Tables | None, complete: bool) -> None:
         now_s = self.reactor.seconds()
-        self._continue(now_s, self.outbox.on_snapshot(now_s, tables, complete))
+        self._perform_step(now_s, self.outbox.on_snapshot(now_s, tables, complete))
 
-    def _continue(self, now_s: float, step: NextStep) -> None:
+    def _perform_step(self, now_s: float, step: NextStep) -> None:
         if step.event:
             self.log(step.event, **step.fields)
         if step.snapshot:
--- a/puffintide/platform/relay_messages.py
+++ b/puffintide/platform/relay_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the relay's watch: proxies, slices and their tables. Performs no I/O.
+"""Decodes messages of the relay's watch about proxies, slices and tables. Performs no I/O.
 
-The platform's field names are mapped to the terms of this program here.
+The message types map the platform's field names to the names used in this program.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
         "first_connection": "standing",
     },
 ):
-    """A proxy has connected to the relay."""
+    """Reports that a proxy connected to the relay."""
 
     proxy_id: int
     zone: str
@@ -31,7 +31,7 @@
 
 
 class ProxyDeparted(msgspec.Struct, frozen=True, rename={"proxy_id": "sidecar"}):
-    """A proxy is no longer connected."""
+    """Reports that a proxy is no longer connected to the relay."""
 
     proxy_id: int
 
@@ -41,7 +41,7 @@
     frozen=True,
     rename={"proxy_id": "sidecar", "checkpoint_id": "version", "elapsed_ms": "lag_ms"},
 ):
-    """A proxy has applied all orders before a checkpoint."""
+    """Reports that a proxy applied all orders before a checkpoint."""
 
     proxy_id: int
     checkpoint_id: int
@@ -49,14 +49,14 @@
 
 
 class SliceGranted(msgspec.Struct, frozen=True, rename={"slice_id": "partition", "granted": "yes"}):
-    """This assigner was granted a slice, or its ownership was revoked."""
+    """Reports that this assigner was granted ownership of a slice, or that it was revoked."""
 
     slice_id: int
     granted: bool
 
 
 class TableWeight(msgspec.Struct, frozen=True, rename={"slice_id": "partition", "weight": "share"}):
-    """One entry of a slice's table as the relay has it."""
+    """Reports one weight entry of a slice's table as stored by the relay."""
 
     slice_id: int
     host: str
@@ -64,7 +64,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """All messages about the state before it have been sent."""
+    """Marks that all messages about earlier state changes have been sent."""
 
 
 class _RelayMessage(msgspec.Struct, frozen=True):
@@ -84,11 +84,14 @@
 
 
 def decode_relay_message(line: bytes) -> RelayMessage | Heartbeat | None:
-    """Decode a line of the relay's watch; None: its type is not known.
+    """Decode a line of the relay's watch.
+
+    Returns:
+        The decoded message, or None if its type is unknown.
 
     Raises:
         MalformedMessageError: The line is not JSON.
-        InvalidMessageError: It is JSON, but no such message.
+        InvalidMessageError: The line is JSON, but not a valid message of the relay's watch.
     """
     message = decode_json(_relay_messages, line)
     if not message.type:
--- a/puffintide/platform/relay_orders.py
+++ b/puffintide/platform/relay_orders.py
@@ -1,6 +1,6 @@
-"""Encodes the actions of the director as orders to the relay. Performs no I/O.
+"""Encodes the director's actions as orders to the relay. Performs no I/O.
 
-The platform's field names and verbs are written here and nowhere else.
+This is the only module that writes the platform's field names and operation names of orders.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class OrderType(Enum):
-    """What an order sets."""
+    """The kind of state that an order sets."""
 
     WEIGHT = auto()
     WITHDRAWAL = auto()
@@ -37,7 +37,11 @@
 
 
 class SendPriority(IntEnum):
-    """The order in which the parts of a batch that exceeds one call are safe; the lowest goes first."""
+    """Sending priority of orders when a batch exceeds one call. The lowest value is sent first.
+
+    Sent in this sequence, each part of a split batch is safe by itself: weights are added before any are
+    removed.
+    """
 
     WITHDRAWAL = 0
     ADDED_WEIGHT = 1
@@ -48,15 +52,15 @@
 
 
 class OrderKey(NamedTuple):
-    """Identifies what an order sets: a newer order with the same key replaces it."""
+    """Identifies the state that an order sets. A newer order with the same key replaces an older one."""
 
     order_type: OrderType
     slice_id: int = NO_SLICE
-    item_id: int = 0  # server of a weight or withdrawal, class mask of an admission, id of a checkpoint
+    item_id: int = 0  # Server id (weight, withdrawal), class mask (admission) or checkpoint id (checkpoint).
 
 
 class OrderedWeight(NamedTuple):
-    """A table entry that an order sets."""
+    """A weight entry that an order sets."""
 
     slice_id: int
     host: str
@@ -65,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An encoded order."""
+    """An encoded order with its key and sending priority."""
 
     key: OrderKey
     text: bytes
     priority: SendPriority
-    weight: OrderedWeight | None = None  # of a weight
+    weight: OrderedWeight | None = None  # Set for orders of type WEIGHT.
 
     @property
     def is_weight(self) -> bool:
-        """Whether it sets a table entry."""
+        """Whether the order sets a weight entry."""
         return self.key.order_type is OrderType.WEIGHT
 
 
 class OrderEncoder:
-    """Encodes actions; those that concern only this process are left out."""
+    """Encodes actions as orders and omits those that concern only this process."""
 
     def __init__(self, names: SettingsNames, hosts: HostRegistry) -> None:
         self._names = names
@@ -91,11 +95,11 @@
         """Encode a batch of actions.
 
         Args:
-            actions: In the order in which they were decided.
-            owned_slices: Weights of other slices are left out.
+            actions: The actions, in the sequence in which they were decided.
+            owned_slices: Ids of the slices that this assigner owns. Weights of other slices are omitted.
 
         Returns:
-            The orders, and the errors of actions that can't be encoded.
+            The encoded orders, and an error message for each action that cannot be encoded.
         """
         orders: list[Order] = []
         errors: list[str] = []
@@ -127,14 +131,14 @@
 
     def _weight(self, action: SetWeight) -> Order:
         slice_id = action.slice_id
-        host = self._host(action.server_id, f"weight in slice {slice_id}")
+        host = self._host(action.server_id, f"weight order for slice {slice_id}")
         text = _json(do="SET", group=slice_id, host=host, share=round(action.weight, WEIGHT_DECIMALS))
         priority = SendPriority.ADDED_WEIGHT if action.weight > 0 else SendPriority.REMOVED_WEIGHT
         key = OrderKey(OrderType.WEIGHT, slice_id, action.server_id)
         return Order(key, text, priority, OrderedWeight(slice_id, host, action.weight))
 
     def _withdrawal(self, action: SetWithdrawn) -> Order:
-        host = self._host(action.server_id, "withdrawal")
+        host = self._host(action.server_id, "withdrawal order")
         text = _json(do="OUT" if action.withdrawn else "IN", host=host)
         priority = SendPriority.WITHDRAWAL if action.withdrawn else SendPriority.READMISSION
         return Order(OrderKey(OrderType.WITHDRAWAL, item_id=action.server_id), text, priority)
@@ -153,7 +157,9 @@
     def _host(self, server_id: int, purpose: str) -> str:
         host = self._hosts.host(server_id)
         if host is None:
-            raise UnknownServerError(f"{purpose}: server {server_id} has no host name")
+            raise UnknownServerError(
+                f"cannot encode {purpose}: server {server_id} has no registered host name"
+            )
         return host
 
 
--- a/puffintide/platform/relay_outbox.py
+++ b/puffintide/platform/relay_outbox.py
@@ -1,9 +1,9 @@
-"""Orders on their way to the relay: which go into the next call, and what each answer means. Performs no I/O.
+"""Queues orders for the relay, builds calls from them and interprets the responses. Performs no I/O.
 
-The orders of one round are one call, and so one message to each proxy; calls are made one after another. Of orders
-with the same key only the newest is sent: repeating a call that may have been carried out never replaces a newer
-value by an older one. Whether it was carried out is read from the relay's tables first, as the weights of a large
-call would not fit into the channel twice.
+The orders of one round form one call, and therefore one message to each proxy. Calls are made sequentially.
+Only the newest of several orders with the same key is sent, so retrying a call that may have been applied
+never replaces a newer value by an older one. Before such a retry the relay's tables are read to find out
+whether the call was applied, because the weights of a large call would not fit into the channel twice.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 from puffintide.platform.relay_state import WEIGHT_TOLERANCE
 
 MAX_CALL_BYTES = 60_000
-CALL_HEAD = b'{"orders":['
-CALL_TAIL = b"]}"
-EMPTY_CALL_BYTES = len(CALL_HEAD + CALL_TAIL)
-INITIAL_BACKOFF_S = 0.02  # before a call or a snapshot is repeated, doubled up to the maximum
+CALL_PREFIX = b'{"orders":['
+CALL_SUFFIX = b"]}"
+EMPTY_CALL_BYTES = len(CALL_PREFIX + CALL_SUFFIX)
+INITIAL_BACKOFF_S = 0.02  # Delay before the first retry of a call or a snapshot. Doubles with each retry.
 MAX_BACKOFF_S = 0.5
 THROTTLED_RETRY_S = 0.25
-MAX_SNAPSHOTS = 5  # that fail, before an uncertain call is repeated without
-MAX_INVALID_ANSWERS = 3  # before the orders of a call are dropped
+MAX_SNAPSHOT_ATTEMPTS = 5  # After this many failed snapshots an uncertain call is retried without one.
+MAX_INVALID_ANSWERS = 3  # After this many INVALID responses the orders of the call are dropped.
 MAX_LOGGED_BODY_BYTES = 120
 
 
 @dataclass(slots=True)
 class Outbox:
-    """Queue of orders: put() them, make the call of next_call(), and give its response to on_response().
+    """Queue of orders to the relay.
 
-    Where the next step asks for a snapshot, on_snapshot() takes it.
+    Orders are queued with put(). next_call() returns the call to make, and on_response() handles its
+    response. If the returned step requires a snapshot, on_snapshot() handles its result.
     """
 
-    max_messages_per_window: int = 0  # to one proxy; 0: no limit
+    max_messages_per_window: int = 0  # Maximum messages to one proxy in `message_window_s`. 0 means no limit.
     message_window_s: float = 10.0
     uncertain_calls: int = 0
     dropped_orders: int = 0
     _queue: dict[OrderKey, Order] = field(default_factory=dict)
     _call: Call | None = None
-    _call_times: deque[float] = field(
-        default_factory=deque
-    )  # of calls that were or may have been carried out
+    # Completion times of the calls in the current window that were or may have been applied, in seconds.
+    _call_times: deque[float] = field(default_factory=deque)
     _invalid_answers: int = 0
     _rejected_once: set[OrderKey] = field(default_factory=set)
     _backoff_s: float = INITIAL_BACKOFF_S
@@ -56,17 +56,17 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether a call is in flight or uncertain."""
+        """Whether a call is in flight, or its outcome is uncertain."""
         return self._call is not None
 
     def put(self, orders: Iterable[Order]) -> None:
-        """Queue orders, each in place of an older one with its key."""
+        """Queue orders, and replace queued orders that have the same key."""
         for order in orders:
             self._queue.pop(order.key, None)
             self._queue[order.key] = order
 
     def revoke_slice(self, slice_id: int) -> None:
-        """Drop the queued weights of a slice that is no longer owned, and repeat none that are in flight."""
+        """Drop the queued weights of a revoked slice, and exclude those in flight from retries."""
         if self._call is not None:
             self._call.revoked_slices.add(slice_id)
         self._queue = {
@@ -76,14 +76,18 @@
         }
 
     def pending_servers(self, slice_id: int) -> set[int]:
-        """Return the servers of a slice's weights that are queued or in flight."""
+        """Return the ids of the servers whose weights in a slice are queued or in flight."""
         pending = list(self._queue.values())
         if self._call is not None:
-            pending += [order for order in self._call.orders if self._call.may_repeat(order)]
+            pending += [order for order in self._call.orders if self._call.may_resend(order)]
         return {order.key.item_id for order in pending if order.is_weight and order.key.slice_id == slice_id}
 
     def ready_in_s(self, now_s: float) -> float | None:
-        """Return the seconds until a call may be made; None: nothing is queued, or a call is in flight."""
+        """Return the seconds until the next call may be made.
+
+        Returns:
+            The delay in seconds, or None if nothing is queued or a call is in flight.
+        """
         if self._call is not None or not self._queue:
             return None
         while self._call_times and self._call_times[0] <= now_s - self.message_window_s:
@@ -93,20 +97,23 @@
         return 0.0
 
     def next_call(self) -> Call:
-        """Return the next call; what exceeds its size is sent later, in an order of priority that is safe."""
+        """Build and return the next call.
+
+        If the queue exceeds the size limit, orders are selected by priority and the rest stays queued.
+        """
         orders = list(self._queue.values())
         if sum(len(order.text) + 1 for order in orders) + EMPTY_CALL_BYTES > MAX_CALL_BYTES:
             orders.sort(key=lambda order: order.priority)
         size = EMPTY_CALL_BYTES
-        chosen = []
+        selected = []
         for order in orders:
             size += len(order.text) + 1
             if size > MAX_CALL_BYTES:
                 break
-            chosen.append(order)
-        for order in chosen:
+            selected.append(order)
+        for order in selected:
             del self._queue[order.key]
-        self._call = Call(chosen, CALL_HEAD + b",".join(order.text for order in chosen) + CALL_TAIL)
+        self._call = Call(selected, CALL_PREFIX + b",".join(order.text for order in selected) + CALL_SUFFIX)
         return self._call
 
     def on_response(self, now_s: float, response: Response) -> NextStep:
@@ -118,7 +125,7 @@
         if answer.accepted is not None:
             return self._on_accepted(now_s, answer.accepted, order_count)
         if answer.error == THROTTLED:
-            self.restore()
+            self.requeue_throttled()
             return NextStep(THROTTLED_RETRY_S)
         if answer.error == INVALID:
             return self._on_invalid(response, order_count)
@@ -139,7 +146,7 @@
         return NextStep(delay_s, event="call_dropped" if dropped else "", fields=fields)
 
     def _on_uncertain(self, now_s: float, response: Response, order_count: int) -> NextStep:
-        """Read the tables if they tell whether the call was carried out, or else repeat it."""
+        """Request a snapshot if it can show whether the call was applied, otherwise retry the call."""
         delay_s = self._next_backoff_s()
         self.uncertain_calls += 1
         reachable = response.result is not RequestResult.UNREACHABLE
@@ -147,7 +154,7 @@
         if snapshot:
             self._failed_snapshots = 0
         else:
-            self.repeat(now_s, maybe_applied=reachable)
+            self.retry(now_s, maybe_applied=reachable)
         fields = {
             "result": response.result,
             "status": response.status,
@@ -160,18 +167,18 @@
         """Handle a snapshot of the relay's tables after an uncertain call.
 
         Args:
-            now_s: The current time.
-            tables: Tables of the owned slices; None: the snapshot failed.
-            complete: All of it was received; else entries may be missing.
+            now_s: The current time, in seconds.
+            tables: The tables of the owned slices, or None if the snapshot failed.
+            complete: Whether the whole snapshot was received. Otherwise entries may be missing.
         """
         if tables is not None:
             self._backoff_s = INITIAL_BACKOFF_S
             applied = self.resolve(now_s, tables, complete)
             return NextStep(event="call_resolved", fields={"applied": applied})
         self._failed_snapshots += 1
-        if self._failed_snapshots < MAX_SNAPSHOTS:
+        if self._failed_snapshots < MAX_SNAPSHOT_ATTEMPTS:
             return NextStep(self._next_backoff_s(), snapshot=True)
-        self.repeat(now_s, maybe_applied=True)
+        self.retry(now_s, maybe_applied=True)
         return NextStep(self._next_backoff_s())
 
     def _next_backoff_s(self) -> float:
@@ -189,20 +196,21 @@
         return call
 
     def _requeue(self, call: Call, orders: list[Order]) -> None:
-        """Queue orders of a call again before all others, except those that newer ones have replaced."""
-        repeated = {
-            order.key: order for order in orders if call.may_repeat(order) and order.key not in self._queue
+        """Requeue orders of a call ahead of all others, except those replaced by newer orders."""
+        requeued = {
+            order.key: order for order in orders if call.may_resend(order) and order.key not in self._queue
         }
-        self._queue = repeated | self._queue
+        self._queue = requeued | self._queue
 
     def accept(self, now_s: float, accepted: int) -> Order | None:
-        """End the call of which this many orders were accepted.
+        """End a call of which the relay accepted the first `accepted` orders.
 
-        The order after the last accepted one is wrong, and the rest is sent without it. It is sent once more by
-        itself, as an answer may be wrong in ways that can be read.
+        The order after the last accepted one was rejected. The remaining orders are requeued, and the
+        rejected order is requeued once after them, because the number in a response may be readable but
+        wrong.
 
         Returns:
-            The order that is rejected for the second time and dropped, if there is one.
+            The order that was rejected for the second time and is dropped, or None.
         """
         call = self._end_call()
         self._invalid_answers = 0
@@ -222,8 +230,13 @@
         self._requeue(call, remaining)
         return rejected
 
-    def repeat(self, now_s: float, maybe_applied: bool) -> None:
-        """Queue the orders of the call again."""
+    def retry(self, now_s: float, maybe_applied: bool) -> None:
+        """End a call that is not known to be applied, and requeue its orders.
+
+        Args:
+            now_s: The current time, in seconds.
+            maybe_applied: Whether the call may have been applied and counts towards the message limit.
+        """
         call = self._end_call()
         if maybe_applied:
             self._call_times.append(now_s)
@@ -231,23 +244,29 @@
 
     @property
     def has_weights_in_flight(self) -> bool:
-        """Whether the relay's tables tell if the call in flight was carried out."""
+        """Whether the relay's tables can show if the call in flight was applied."""
         return self._call is not None and any(order.weight for order in self._call.orders)
 
     def resolve(self, now_s: float, tables: StoredTables, complete: bool) -> bool:
-        """Decide by the relay's tables whether the call was carried out, as it was in full or not at all.
+        """Determine from the relay's tables whether the call was applied.
 
-        An absent table decides nothing; if all are absent, the call counts as not carried out, as no order may be
-        lost. Nor does an absent entry show that it was removed, unless the snapshot is complete.
+        A call is applied either completely or not at all. A missing table proves nothing. If all tables are
+        missing, the call counts as not applied, so that no order is lost. A missing entry proves its removal
+        only if the snapshot is complete.
+
+        Args:
+            now_s: The current time, in seconds.
+            tables: The tables of the owned slices that the snapshot contains.
+            complete: Whether the whole snapshot was received.
 
         Returns:
-            Whether it was carried out; else its orders are queued again.
+            Whether the call was applied. Otherwise its orders are requeued.
         """
         call = self._current_call()
         weights = [
             order.weight
             for order in call.orders
-            if order.weight is not None and call.may_repeat(order) and order.weight.slice_id in tables
+            if order.weight is not None and call.may_resend(order) and order.weight.slice_id in tables
         ]
         all_agree = all(
             abs(tables[slice_id].get(host, 0.0) - weight) < WEIGHT_TOLERANCE
@@ -258,14 +277,15 @@
         if applied:
             self.accept(now_s, len(call.orders))
         else:
-            self.repeat(now_s, maybe_applied=not complete)
+            self.retry(now_s, maybe_applied=not complete)
         return applied
 
     def reject(self) -> bool:
-        """End a call that the relay has not understood.
+        """End a call that the relay answered with INVALID, and requeue or drop its orders.
 
         Returns:
-            Whether its orders are dropped after some attempts, so that they don't block all others.
+            Whether the orders are dropped. This happens after MAX_INVALID_ANSWERS attempts, so that they do
+            not block all other orders.
         """
         call = self._end_call()
         self._invalid_answers += 1
@@ -276,8 +296,8 @@
         self.dropped_orders += len(call.orders)
         return True
 
-    def restore(self) -> None:
-        """End a call that was not carried out, and queue its orders again."""
+    def requeue_throttled(self) -> None:
+        """End a throttled call, which was not applied, and requeue its orders."""
         call = self._end_call()
         self._requeue(call, call.orders)
 
--- a/puffintide/platform/relay_session.py
+++ b/puffintide/platform/relay_session.py
@@ -1,4 +1,4 @@
-"""Everything between this assigner and the relay: its state into the runtime, and the director's orders to it."""
+"""Connects this assigner to the relay: passes its state to the runtime and sends it the director's orders."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from puffintide.platform.relay_watch import RelayWatch
 from puffintide.protocol.messages import SliceOwnership, TableEntry
 
-SETTLING_S = 2.0  # within which a weight that was sent may be missing from the relay's tables
-FENCING_TOKEN = 1  # the relay fences writers itself
-MAX_LOGGED_WITHDRAWALS = 5  # of one round
+SETTLING_S = 2.0  # Time for which a sent weight may be missing from the relay's tables, in seconds.
+FENCING_TOKEN = 1  # A constant suffices because the relay itself fences writers.
+MAX_LOGGED_WITHDRAWALS = 5  # Maximum withdrawals of one round in the log.
 
 
 class RelaySession:
-    """The watch of the relay, and the calls to it."""
+    """The watch of the relay's state and the calls to the relay."""
 
     def __init__(self, context: Context, address: Address, on_first_state: Callable[[], None]) -> None:
         """Prepare the session.
@@ -32,7 +32,7 @@
         Args:
             context: Shared objects of the assigner.
             address: The relay's address.
-            on_first_state: Called once, before the initial state is passed on for the first time.
+            on_first_state: Called once, before the initial state is passed to the runtime.
         """
         settings = context.settings
         self.context = context
@@ -41,14 +41,14 @@
         self.client = RelayClient(context.reactor, address, self.outbox, context.log)
         self.watch = RelayWatch(context.reactor, address, self.on_changes, on_first_state, context.log)
         self._encoder = OrderEncoder(context.names, context.hosts)
-        self._sent_weights: dict[OrderKey, float] = {}  # when each was queued last
+        self._sent_weights: dict[OrderKey, float] = {}  # Time at which each weight was last queued.
 
     def start(self) -> None:
         """Open the watch."""
         self.watch.watch.start()
 
     def move(self, address: Address) -> None:
-        """Use another address: for the watch at once, for calls from the next one on."""
+        """Change the relay's address: for the watch immediately, for calls from the next one on."""
         self.client.address = address
         self.watch.watch.move(address)
 
@@ -57,18 +57,20 @@
         self.watch.stop()
 
     def stop_calls(self, on_stopped: Callable[[], None]) -> None:
-        """Make no call from now on; on_stopped is called once none is in flight."""
+        """Stop making calls, and call on_stopped once none is in flight."""
         self.client.stop(on_stopped)
 
-    def forget_settled(self) -> None:
-        """Forget weights that the relay's tables have by now."""
-        settled_s = self.context.reactor.seconds() - SETTLING_S
-        self._sent_weights = {key: at_s for key, at_s in self._sent_weights.items() if at_s > settled_s}
+    def forget_settled_weights(self) -> None:
+        """Forget sent weights that are old enough to be present in the relay's tables."""
+        settled_before_s = self.context.reactor.seconds() - SETTLING_S
+        self._sent_weights = {
+            key: sent_at_s for key, sent_at_s in self._sent_weights.items() if sent_at_s > settled_before_s
+        }
 
     # From the relay ---------------------------------------------------------------------------------
 
     def on_changes(self, changes: RelayChanges) -> None:
-        """Pass changes of the relay's state on to the runtime."""
+        """Pass changes of the relay's state to the runtime."""
         if not changes:
             return
         now_s = self.context.rounds.now_s()
@@ -96,7 +98,7 @@
     def _apply_joined(self, now_s: float, proxy: ProxyJoined) -> None:
         zone = self.context.names.zones.get(proxy.zone)
         if zone is None:
-            reason = f"zone {quoted(proxy.zone)} of proxy {proxy.proxy_id}"
+            reason = f"cannot add proxy {proxy.proxy_id}: unknown zone {quoted(proxy.zone)}"
             self.log("relay_message_rejected", reason=reason)
             return
         self.context.runtime.on_proxy_connected(
@@ -109,7 +111,7 @@
             self.context.runtime.on_ownership_revoked(now_s, slice_id)
         for slice_id, table in sorted(changes.granted_tables.items()):
             self.outbox.revoke_slice(slice_id)
-            self._own(now_s, slice_id, self._by_server_id(table))
+            self._grant_ownership(now_s, slice_id, self._by_server_id(table))
         for slice_id, weights in sorted(changes.added_weights.items()):
             self._add_weights(now_s, slice_id, weights)
         for slice_id, table in sorted(changes.retained_tables.items()):
@@ -123,7 +125,7 @@
     def _by_server_id(self, weights: dict[str, float]) -> dict[int, float]:
         return {self.context.hosts.register(host): weight for host, weight in sorted(weights.items())}
 
-    def _own(self, now_s: float, slice_id: int, table: dict[int, float]) -> None:
+    def _grant_ownership(self, now_s: float, slice_id: int, table: dict[int, float]) -> None:
         entries = [TableEntry(server_id, weight) for server_id, weight in table.items()]
         assigner_index = self.context.settings.assigner_index
         self.context.runtime.on_ownership_granted(
@@ -131,17 +133,17 @@
         )
 
     def _unsettled_servers(self, slice_id: int) -> set[int]:
-        """Servers whose weights in a slice are in flight, or were sent so lately that the relay may be behind."""
-        settled_s = self.context.reactor.seconds() - SETTLING_S
+        """Return the servers of a slice whose weights are pending or may not be in the relay's tables yet."""
+        settled_before_s = self.context.reactor.seconds() - SETTLING_S
         recent = {
             key.item_id
-            for key, at_s in self._sent_weights.items()
-            if key.slice_id == slice_id and at_s > settled_s
+            for key, sent_at_s in self._sent_weights.items()
+            if key.slice_id == slice_id and sent_at_s > settled_before_s
         }
         return recent | self.outbox.pending_servers(slice_id)
 
     def _add_weights(self, now_s: float, slice_id: int, weights: dict[str, float]) -> None:
-        """Add entries to a table that was passed on before."""
+        """Add entries to a table that the runtime has already received."""
         unsettled = self._unsettled_servers(slice_id)
         added = self._by_server_id(weights)
         self.log("weights_added", slice=slice_id, weights=len(weights))
@@ -153,21 +155,23 @@
         self.context.runtime.add_events(now_s, *events)
 
     def _compare_table(self, now_s: float, slice_id: int, table: dict[str, float]) -> None:
-        """Read a table anew if another assigner has owned its slice meanwhile."""
+        """Replace the table of a slice that another assigner has modified during a reconnection."""
         hosts = self.context.hosts
         stored = {hosts.register(host): weight for host, weight in table.items() if weight > 0}
         director = self.context.runtime.director
         view = director.slices.get(slice_id) if isinstance(director, Director) else None
-        believed = view.weights if view is not None else {}
+        expected = view.weights if view is not None else {}
         unsettled = self._unsettled_servers(slice_id)
-        if tables_differ(stored, believed, unsettled):
-            self.log("table_differs", slice=slice_id, stored=len(stored), believed=len(believed))
-            self._own(now_s, slice_id, dict(sorted(merge_tables(stored, believed, unsettled).items())))
+        if tables_differ(stored, expected, unsettled):
+            self.log("table_differs", slice=slice_id, stored=len(stored), believed=len(expected))
+            self._grant_ownership(
+                now_s, slice_id, dict(sorted(merge_tables(stored, expected, unsettled).items()))
+            )
 
     # To the relay -----------------------------------------------------------------------------------
 
     def send(self, effects: Effects) -> None:
-        """Queue the orders of a round, and make the next call."""
+        """Queue the orders of a round, and make the next call if possible."""
         if not effects.actions:
             return
         orders, errors = self._encoder.encode(effects.actions, self.context.runtime.fencing_tokens)
--- a/puffintide/platform/relay_snapshot.py
+++ b/puffintide/platform/relay_snapshot.py
@@ -1,4 +1,4 @@
-"""Reads the relay's state once: a watch that is closed at the end of its snapshot."""
+"""Reads a snapshot of the relay's state through a watch that is closed when the snapshot ends."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 from puffintide.platform.watch_stream import MAX_LINE_BYTES
 
 CONNECT_TIMEOUT_S = 0.5
-QUIET_S = 0.06  # after so long without a line the snapshot has most likely been sent
-TIMEOUT_S = 0.6
+IDLE_TIMEOUT_S = 0.06  # After this time without a line, in seconds, the snapshot has most likely been sent.
+TIMEOUT_S = 0.6  # Maximum duration of a snapshot, in seconds.
 
 OnSnapshot = Callable[[Tables | None, bool], None]
 
 
 class RelaySnapshot(Protocol):
-    """Calls on_done(tables, complete) once.
+    """Reads one snapshot and calls on_done(tables, complete) exactly once.
 
-    The tables are those of all owned slices, complete if a heartbeat ended the snapshot; None: it failed.
+    `tables` holds the tables of all owned slices, or None if the snapshot failed. `complete` is set if a
+    heartbeat ended the snapshot, and unset if it ended by a pause.
     """
 
     transport: Any
@@ -39,9 +40,9 @@
         self.state = RelayState()
         self.state.on_watch_opened()
         self._ended = False
-        self._quiet = Timer(reactor)
-        self._timeout = Timer(reactor)
-        self._timeout.start(TIMEOUT_S, self._fail)
+        self._idle_timer = Timer(reactor)
+        self._timeout_timer = Timer(reactor)
+        self._timeout_timer.start(TIMEOUT_S, self._fail)
         connect(reactor, address, self, self._fail, CONNECT_TIMEOUT_S)
 
     def connectionMade(self) -> None:
@@ -53,11 +54,11 @@
         self.transport.write(self.exchange.request("GET", WATCH_TARGET))
 
     def dataReceived(self, data: bytes) -> None:
-        """Read a part of the snapshot."""
+        """Process received data, and end the snapshot at a heartbeat."""
         if self._ended:
             return
         try:
-            lines = [line for piece in self.exchange.receive(data) for line in self.lines.feed(piece)]
+            lines = [line for chunk in self.exchange.receive(data) for line in self.lines.feed(chunk)]
             messages = [decode_relay_message(line) for line in lines]
         except (StreamError, InvalidMessageError):
             self._fail()
@@ -67,11 +68,11 @@
                 self._end(self.state.snapshot_tables, complete=True)
                 return
             self.state.on_message(message)
-        if messages:  # before the first line nothing was sent, however long the pause
-            self._quiet.start(QUIET_S, self._end, self.state.snapshot_tables, False)
+        if messages:  # A pause before the first line does not end the snapshot: nothing has been sent yet.
+            self._idle_timer.start(IDLE_TIMEOUT_S, self._end, self.state.snapshot_tables, False)
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Fail, unless the snapshot has ended before."""
+        """Fail, unless the snapshot has already ended."""
         self._fail()
 
     def _fail(self) -> None:
@@ -81,8 +82,8 @@
         if self._ended:
             return
         self._ended = True
-        self._quiet.cancel()
-        self._timeout.cancel()
+        self._idle_timer.cancel()
+        self._timeout_timer.cancel()
         if self.transport is not None:
             self.transport.abortConnection()
         self._on_done(tables, complete)
--- a/puffintide/platform/relay_state.py
+++ b/puffintide/platform/relay_state.py
@@ -1,9 +1,10 @@
-"""State of the relay as its watch delivers it: proxies, owned slices and their tables. Performs no I/O.
+"""Tracks the relay's state from its watch: proxies, owned slices and their tables. Performs no I/O.
 
-A watch starts with a snapshot of the state, and only the next heartbeat ends it: a pause may as well be a gap
-between two packets, or this process being late. So what a snapshot adds is passed on after a pause, and what it
-lacks counts as removed at the heartbeat alone. A later watch is compared with the known state, so that a lost
-connection looks neither as if all proxies had left nor as if all slices were granted anew.
+A watch starts with a snapshot of the state. Only the next heartbeat marks its end, because a pause may also
+be a gap between two packets or a delay of this process. Additions in a snapshot are therefore passed on after
+a pause, while items missing from it count as removed only at the heartbeat. A later watch is compared with
+the known state, so that a lost connection is reported neither as the departure of all proxies nor as a new
+grant of all slices.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
     TableWeight,
 )
 
-Tables = dict[int, dict[str, float]]  # weights by host, by slice
-WEIGHT_TOLERANCE = 1e-3  # the relay stores rounded weights
+Tables = dict[int, dict[str, float]]  # Maps slice id to host name to weight.
+WEIGHT_TOLERANCE = 1e-3  # Weights that differ by less are equal, as the relay stores rounded weights.
 
 
 @dataclass(slots=True)
 class RelayChanges:
-    """Changes of the state, which take effect in this order."""
+    """Changes of the state. They take effect in the sequence of the fields."""
 
     departed_proxies: list[int] = field(default_factory=list)
     joined_proxies: list[ProxyJoined] = field(default_factory=list)
     revoked_slices: list[int] = field(default_factory=list)
     granted_tables: Tables = field(default_factory=dict)
-    added_weights: Tables = field(default_factory=dict)  # of tables that were passed on before
+    added_weights: Tables = field(default_factory=dict)  # Entries for tables granted in earlier changes.
     applied_checkpoints: list[CheckpointApplied] = field(default_factory=list)
-    retained_tables: Tables = field(default_factory=dict)  # of slices owned before and after a reconnection
+    retained_tables: Tables = field(default_factory=dict)  # Tables of slices owned across a reconnection.
 
     def __bool__(self) -> bool:
         return any(
@@ -51,25 +52,27 @@
 
 
 class RelayState:
-    """Turns the messages of successive watches into changes of the state."""
+    """Converts the messages of successive watches to changes of the state."""
 
     def __init__(self) -> None:
         self.proxies: dict[int, ProxyJoined] = {}
         self.slices: set[int] = set()
-        self.in_snapshot = False  # of the watch that was opened last
-        self.unowned_weights = 0  # table entries of slices that were not granted
-        # Before the first proxy joins, servers answer health checks without the work that these take in service,
-        # and all later answers would look slow: no health check is sent.
+        self.in_snapshot = False  # Whether the snapshot of the current watch has not ended yet.
+        self.unowned_weights = 0  # Number of weight entries received for slices without an open table.
+        # Whether a proxy has ever joined. No health check is sent before that: servers would answer it
+        # without the work that a check involves in service, and all later responses would look slow by
+        # comparison.
         self.in_service = False
-        self._snapshot_proxies: dict[int, ProxyJoined] = {}  # that were not passed on yet
-        self._listed_proxies: set[int] = set()  # by the snapshot
-        self._listed_slices: set[int] = set()
-        self._new_tables: Tables = {}  # granted, with entries that may still follow
-        self._open_tables: set[int] = set()  # passed on since the last heartbeat: entries may still follow
-        self._added_weights: Tables = {}
+        self._snapshot_proxies: dict[int, ProxyJoined] = {}  # Proxies of the snapshot not passed on yet.
+        self._listed_proxies: set[int] = set()  # Proxies that the current snapshot contains.
+        self._listed_slices: set[int] = set()  # Slices that the current snapshot contains.
+        self._new_tables: Tables = {}  # Granted tables not passed on yet. More entries may follow.
+        # Slices whose tables were passed on since the last heartbeat. More entries may follow.
+        self._open_tables: set[int] = set()
+        self._added_weights: Tables = {}  # Entries of open tables not passed on yet.
 
     def on_watch_opened(self) -> None:
-        """Expect a snapshot from now on."""
+        """Prepare for the snapshot of a new watch."""
         self.in_snapshot = True
         self._snapshot_proxies = {}
         self._listed_proxies = set()
@@ -80,16 +83,16 @@
 
     @property
     def has_unflushed(self) -> bool:
-        """Whether flush() may have something to pass on."""
+        """Whether flush() may return changes."""
         return self.in_snapshot or bool(self._new_tables or self._added_weights)
 
     @property
     def snapshot_tables(self) -> Tables:
-        """Tables of all slices granted so far, if nothing was passed on."""
+        """Tables of all slices granted so far, provided that flush() was not called."""
         return self._new_tables
 
     def on_message(self, message: RelayMessage | None) -> RelayChanges:
-        """Handle a message, and return the changes that take effect at once."""
+        """Handle a message, and return the changes that take effect immediately."""
         changes = RelayChanges()
         match message:
             case ProxyJoined():
@@ -143,7 +146,7 @@
             self.unowned_weights += 1
 
     def _join(self, proxy: ProxyJoined, changes: RelayChanges) -> None:
-        if proxy.proxy_id in self.proxies:  # it reconnected before its leaving was reported
+        if proxy.proxy_id in self.proxies:  # It reconnected before its departure was reported.
             changes.departed_proxies.append(proxy.proxy_id)
         self.proxies[proxy.proxy_id] = proxy
         self.in_service = True
@@ -153,7 +156,8 @@
         """Return the changes received so far.
 
         Args:
-            at_heartbeat: A heartbeat was received, and so all before it; else a pause.
+            at_heartbeat: Whether a heartbeat was received, and therefore all messages before it. Otherwise
+                the watch has only paused.
         """
         changes = RelayChanges()
         retained = self.slices & self._new_tables.keys() if self.in_snapshot else set[int]()
@@ -167,7 +171,7 @@
             retained = set()
         self._flush_tables(retained, changes)
         granted = changes.granted_tables.keys()
-        # A heartbeat may come between a slice and its entries.
+        # A heartbeat may arrive between the grant of a slice and its table entries.
         self._open_tables = set(granted) if at_heartbeat else self._open_tables | granted
         return changes
 
@@ -186,7 +190,7 @@
             changes.revoked_slices.append(slice_id)
 
     def _flush_tables(self, retained: set[int], changes: RelayChanges) -> None:
-        """Pass on new tables, but for those that wait to be compared at the heartbeat."""
+        """Add the new tables to the changes, except retained ones, which are compared at the heartbeat."""
         for slice_id, table in self._new_tables.items():
             if slice_id not in retained:
                 changes.granted_tables[slice_id] = table
@@ -199,31 +203,33 @@
 
 
 def merge_tables(
-    stored: Mapping[int, float], believed: Mapping[int, float], unsettled_servers: Collection[int]
+    stored: Mapping[int, float], expected: Mapping[int, float], unsettled_servers: Collection[int]
 ) -> dict[int, float]:
-    """Return the table that holds: the stored one, except for our own entries that the relay may not have yet.
+    """Merge the stored table with the entries of this assigner that the relay may not have stored yet.
 
     Args:
-        stored: Weights by server id, as the relay has them.
-        believed: Weights by server id, as this assigner decided them.
-        unsettled_servers: Servers whose entries are in flight or were sent just now.
+        stored: Weights by server id, as stored by the relay.
+        expected: Weights by server id, as decided by this assigner.
+        unsettled_servers: Servers whose entries are in flight or were sent recently.
     """
     settled = {
         server_id: weight for server_id, weight in stored.items() if server_id not in unsettled_servers
     }
-    own = {server_id: weight for server_id, weight in believed.items() if server_id in unsettled_servers}
-    return settled | own
+    unsettled = {
+        server_id: weight for server_id, weight in expected.items() if server_id in unsettled_servers
+    }
+    return settled | unsettled
 
 
 def tables_differ(
-    stored: Mapping[int, float], believed: Mapping[int, float], unsettled_servers: Collection[int]
+    stored: Mapping[int, float], expected: Mapping[int, float], unsettled_servers: Collection[int]
 ) -> bool:
-    """Whether another assigner has written to the table of a slice that was owned before and after a reconnection.
+    """Return whether another assigner has modified a table of a slice owned across a reconnection.
 
-    Entries of unsettled servers are not compared, as the relay may be behind.
+    Entries of unsettled servers are not compared, as the relay may not have stored them yet.
     """
-    compared = (stored.keys() | believed.keys()) - set(unsettled_servers)
+    compared = (stored.keys() | expected.keys()) - set(unsettled_servers)
     return any(
-        abs(stored.get(server_id, 0.0) - believed.get(server_id, 0.0)) > WEIGHT_TOLERANCE
+        abs(stored.get(server_id, 0.0) - expected.get(server_id, 0.0)) > WEIGHT_TOLERANCE
         for server_id in compared
     )
--- a/puffintide/platform/relay_watch.py
+++ b/puffintide/platform/relay_watch.py
@@ -1,4 +1,4 @@
-"""Follows the relay's state by a watch, and decides when what it has received is passed on."""
+"""Watches the relay's state and decides when received changes are passed on."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from puffintide.platform.relay_state import RelayChanges, RelayState
 from puffintide.platform.watch_stream import Watch
 
-SNAPSHOT_PAUSE_S = 0.15  # after so long without a line, what was received of a snapshot is passed on
-TABLE_PAUSE_S = 0.03  # and the table of a slice just granted
-SILENCE_TIMEOUT_S = 3.0  # the relay writes every second
+SNAPSHOT_IDLE_S = 0.15  # A partial snapshot is passed on after this time without a line, in seconds.
+TABLE_IDLE_S = 0.03  # A newly granted table is passed on after this time without a line, in seconds.
+SILENCE_TIMEOUT_S = 3.0  # A watch without data for this time is reopened. The relay writes every second.
 
 
 class RelayWatch:
@@ -31,11 +31,11 @@
         """Prepare the watch.
 
         Args:
-            reactor: The reactor of its connections.
+            reactor: The reactor that runs the connections and timers.
             address: The relay's address.
-            on_changes: Called with each change of the state; it may be empty.
-            on_first_flush: Called once, before the initial state is passed on for the first time.
-            log: Log of the assigner.
+            on_changes: Called with the changes of the state, which may be empty.
+            on_first_flush: Called once, before the initial state is passed to on_changes.
+            log: The log of the assigner.
         """
         self.log = log
         self.state = RelayState()
@@ -43,11 +43,11 @@
         self.flushed = False
         self._on_changes = on_changes
         self._on_first_flush = on_first_flush
-        self._pause = Timer(reactor)
+        self._idle_timer = Timer(reactor)
 
     def stop(self) -> None:
         """Close the watch."""
-        self._pause.cancel()
+        self._idle_timer.cancel()
         self.watch.stop()
 
     def watch_target(self) -> str:
@@ -55,37 +55,38 @@
         return WATCH_TARGET
 
     def on_watch_opened(self) -> None:
-        """Expect a snapshot."""
+        """Prepare for the snapshot of the new watch."""
         self.log("relay_watch_opened")
         self.state.on_watch_opened()
-        self._pause.start(SNAPSHOT_PAUSE_S, self._flush)
+        self._idle_timer.start(SNAPSHOT_IDLE_S, self._flush)
 
     def on_watch_lost(self, reason: str) -> None:
-        """Keep what is known until the next watch."""
+        """Log the loss of the watch, and keep the known state until the next watch."""
         self.log("relay_watch_lost", reason=reason)
-        self._pause.cancel()
+        self._idle_timer.cancel()
 
     def on_watch_line(self, line: bytes) -> None:
-        """Handle a message.
+        """Decode a message and apply it to the state.
 
         Raises:
-            StreamError: The line is no message: its content is in the snapshot of a new watch.
+            StreamError: The line is not a valid message. The watch must be reopened, as the snapshot of a new
+                watch contains the lost information.
         """
         try:
             message = decode_relay_message(line)
         except (InvalidMessageError, MalformedMessageError) as error:
             self.log("relay_message_rejected", reason=str(error))
-            raise StreamError("malformed relay message") from error
+            raise StreamError(f"cannot decode relay message: {error}") from error
         if isinstance(message, Heartbeat):
             self._flush(at_heartbeat=True)
             return
         self._on_changes(self.state.on_message(message))
         if self.state.has_unflushed:
-            pause_s = SNAPSHOT_PAUSE_S if self.state.in_snapshot else TABLE_PAUSE_S
-            self._pause.start(pause_s, self._flush)
+            idle_s = SNAPSHOT_IDLE_S if self.state.in_snapshot else TABLE_IDLE_S
+            self._idle_timer.start(idle_s, self._flush)
 
     def _flush(self, at_heartbeat: bool = False) -> None:
-        self._pause.cancel()
+        self._idle_timer.cancel()
         changes = self.state.flush(at_heartbeat)
         if not self.flushed:
             self.flushed = True
--- a/puffintide/platform/rounds.py
+++ b/puffintide/platform/rounds.py
@@ -1,4 +1,4 @@
-"""When the rounds of the runtime are run: soon after an event, and at its timers."""
+"""Schedules the rounds of the runtime: shortly after an event, and when a timer of the runtime is due."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from puffintide.platform.log import Log
 from puffintide.platform.reactor import Reactor, Timer
 
-EPOCH_S = 1e6  # added to the monotonic clock: times before the machine started are still positive
-BATCH_WINDOW_S = 0.004  # events received within it are one batch
+CLOCK_OFFSET_S = 1e6  # Added to the monotonic clock, so that times before the boot are positive.
+BATCH_WINDOW_S = 0.004  # Events received within this time form one batch, in seconds.
 MIN_TIMER_DELAY_S = 0.001
-RECOVERY_DELAY_S = 0.25  # after a round that failed
+RECOVERY_DELAY_S = 0.25  # Delay between a failed round and the restart of the rounds, in seconds.
 
 
 @dataclass(slots=True)
 class RoundCounters:
-    """What rounds have cost; the maxima are since the last statistics."""
+    """Counters of rounds and their cost. The maxima cover the time since the last statistics."""
 
-    rounds: int = 0  # in which the runtime had events
+    rounds: int = 0  # Number of rounds in which the runtime had events.
     cpu_s: float = 0.0
     max_duration_s: float = 0.0
     max_timer_delay_s: float = 0.0
 
     def reset_maxima(self) -> None:
-        """Start another interval."""
+        """Reset the maxima at the start of a statistics interval."""
         self.max_duration_s = 0.0
         self.max_timer_delay_s = 0.0
 
 
 class RoundScheduler:
-    """Runs the rounds, and passes their effects on."""
+    """Runs the rounds of the runtime and passes their effects to a callback."""
 
     def __init__(
         self, reactor: Reactor, runtime: Runtime, on_effects: Callable[[Effects], None], log: Log
     ) -> None:
-        """Prepare the rounds.
+        """Prepare the scheduler.
 
         Args:
-            reactor: Clock of the rounds.
-            runtime: What is run.
+            reactor: The reactor that provides the clock and timers.
+            runtime: The runtime whose rounds are run.
             on_effects: Called with the effects of each round.
-            log: Log of the assigner.
+            log: The log of the assigner.
         """
         self.reactor = reactor
         self.runtime = runtime
@@ -55,17 +55,21 @@
         self._stopped = False
 
     def now_s(self) -> float:
-        """Return the time that events and decisions go by."""
-        return float(self.reactor.seconds()) + EPOCH_S
+        """Return the time used for events and decisions, in seconds."""
+        return float(self.reactor.seconds()) + CLOCK_OFFSET_S
 
     def schedule(self, delay_s: float | None = None) -> None:
-        """Run a round after this delay, by default the batch window, unless one is due before."""
+        """Schedule a round, unless an earlier one is due.
+
+        Args:
+            delay_s: The delay of the round in seconds, by default the batch window.
+        """
         delay_s = BATCH_WINDOW_S if delay_s is None else delay_s
         if not self._stopped and self._next_round.due_at_s() > self.reactor.seconds() + delay_s:
             self._next_round.start(delay_s, self._run)
 
     def stop(self) -> None:
-        """Run no round from now on."""
+        """Stop running rounds."""
         self._stopped = True
         self._next_round.cancel()
 
@@ -87,7 +91,7 @@
             if effects is not None:
                 self.counters.rounds += 1
                 self._on_effects(effects)
-        except Exception as error:  # a round that failed must not be the last one
+        except Exception as error:  # The next rounds must still run after a failed one.
             self.log("round_failed", error=f"{type(error).__name__}: {error}", location=error_location(error))
             self.reactor.callLater(RECOVERY_DELAY_S, self._recover)
 
@@ -104,7 +108,7 @@
 
 
 def error_location(error: BaseException) -> str:
-    """Return the file and line that raised an error."""
+    """Return the name of the file and the line that raised an error, as FILE:LINE."""
     traceback = error.__traceback__
     if traceback is None:
         return "?"
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -1,4 +1,7 @@
-"""One assigner of the platform: wires its parts to the runtime that runs the director. It decides nothing."""
+"""An assigner of the platform: connects its components to the runtime, which runs the director.
+
+This module makes no decisions itself.
+"""
 
 from __future__ import annotations
 
@@ -25,19 +28,19 @@
 from puffintide.platform.rounds import RoundScheduler
 from puffintide.platform.stats import Statistics
 
-READY_TIMEOUT_S = 3.0  # after which pings are answered without the relay's state
-STOP_TIMEOUT_S = 0.2  # that a call in flight has to end after SIGTERM
-FORGET_PERIOD_S = 20.0
+READY_TIMEOUT_S = 3.0  # Maximum wait for the relay's state before pings are answered, in seconds.
+STOP_TIMEOUT_S = 0.2  # Maximum wait for a call in flight after SIGTERM, in seconds.
+FORGET_PERIOD_S = 20.0  # Interval at which unused hosts are forgotten, in seconds.
 LISTEN_BACKLOG = 512
-RESERVED_DESCRIPTORS = 64  # for discovery, relay, collectors and the process itself
-DESCRIPTORS_PER_SERVER = 2  # for health checks
-ACCEPT_BURST = 40  # connections accepted in one turn, before those that give way to them are closed
+RESERVED_DESCRIPTORS = 64  # Reserved for discovery, relay, collectors and the process itself.
+DESCRIPTORS_PER_SERVER = 2  # Reserved for the health checks of one server.
+ACCEPT_BURST = 40  # Connections accepted in one reactor turn, before the ones they replace are closed.
 MIN_UNIDENTIFIED_CONNECTIONS = 16
-MAX_UNIDENTIFIED_CONNECTIONS = 400  # more cost memory
+MAX_UNIDENTIFIED_CONNECTIONS = 400  # Bounds the memory that these connections use.
 
 
 class Service:
-    """An assigner, from start() to stop()."""
+    """An assigner of the platform, which runs from start() to stop()."""
 
     def __init__(
         self,
@@ -50,11 +53,11 @@
         """Create an assigner.
 
         Args:
-            reactor: Its clock, listeners and connections.
-            config: The configuration it starts with.
-            path: File of the configuration, for reloads.
-            log: Log of the assigner.
-            wall_clock: Unix time in seconds.
+            reactor: The reactor that provides the clock, listeners and connections.
+            config: The initial configuration.
+            path: The path of the configuration file, which is read again at a reload.
+            log: The log of the assigner.
+            wall_clock: A function that returns the Unix time in seconds.
         """
         self.reactor = reactor
         self.config = config
@@ -80,25 +83,25 @@
         self.port: Any = None
 
     def start(self) -> None:
-        """Listen, and connect to discovery and relay.
+        """Listen for connections, and connect to discovery and relay.
 
         Raises:
-            CannotListenError: The address is taken.
+            CannotListenError: The listen address is already in use.
         """
         host, port = self.config.listen
         self.port = self.reactor.listenTCP(port, self.listener, backlog=LISTEN_BACKLOG, interface=host)
         self.listener.start(self.port)
-        self.endpoint_watch.start(self.config.known)
+        self.endpoint_watch.start(self.config.last_endpoint_list)
         self.relay.start()
         self.reactor.callLater(READY_TIMEOUT_S, self._serve)
         self.statistics.start()
-        self.reactor.callLater(FORGET_PERIOD_S, self._forget)
+        self.reactor.callLater(FORGET_PERIOD_S, self._forget_unused_hosts)
         self.rounds.schedule(0.0)
         slice_count = self.config.settings.slice_count
         self.log("started", listen=f"{host}:{port}", pid=os.getpid(), slices=slice_count)
 
     def reload(self) -> None:
-        """Handle SIGHUP: read the configuration again; an invalid one leaves the current one in force."""
+        """Reload the configuration on SIGHUP. If it is invalid, the current one stays in force."""
         if not self.lifecycle.running:
             return
         try:
@@ -108,13 +111,13 @@
             return
         self.config, ignored = merge_reloaded(self.config, reloaded)
         for key in ignored:
-            self.log("reload_ignored", key=key, reason="takes effect at a restart")
+            self.log("reload_ignored", key=key, reason="changes of this key take effect only after a restart")
         self.log("reloaded", discovery=str(reloaded.discovery), relay=str(reloaded.relay))
         self.relay.move(reloaded.relay)
         self.endpoint_watch.move(reloaded.discovery)
 
     def stop(self) -> None:
-        """Handle SIGTERM: start nothing new, refuse connections, and let a call in flight end."""
+        """Shut down on SIGTERM: stop all activity, refuse connections and wait for a call in flight."""
         if not self.lifecycle.on_terminate():
             return
         self.log("stopping", queued_orders=len(self.relay.outbox))
@@ -140,7 +143,7 @@
             self.listener.serve()
 
     def apply_effects(self, effects: Effects) -> None:
-        """Send the orders and health checks of a round, and log its messages."""
+        """Send the orders and health checks of a round, and log its log messages."""
         self.relay.send(effects)
         if effects.health_checks and self.relay.watch.state.in_service:
             self.health_checks.send(effects.health_checks)
@@ -153,9 +156,9 @@
         except InvalidMessageError as error:
             self.listener.on_invalid_message(str(error))
 
-    def _forget(self) -> None:
-        """Forget the hosts that the director has forgotten."""
-        self.reactor.callLater(FORGET_PERIOD_S, self._forget)
+    def _forget_unused_hosts(self) -> None:
+        """Forget the hosts that neither the runtime nor the director refers to."""
+        self.reactor.callLater(FORGET_PERIOD_S, self._forget_unused_hosts)
         director = self.runtime.director
         retained = set(self.runtime.endpoints) | self.runtime.pending_server_ids()
         if isinstance(director, Director):
@@ -163,12 +166,12 @@
             for view in director.slices.values():
                 retained |= view.weights.keys()
         self.hosts.retain(retained)
-        self.relay.forget_settled()
+        self.relay.forget_settled_weights()
 
 
 def _max_unidentified_connections(config: Config) -> int:
-    """Descriptors that are left for connections to the listener that are no collectors."""
-    known_hosts = config.known.get("hosts") if config.known else None
+    """Return the number of descriptors available for listener connections other than collectors."""
+    known_hosts = config.last_endpoint_list.get("hosts") if config.last_endpoint_list else None
     servers = len(known_hosts) if isinstance(known_hosts, list) else 0
     used = RESERVED_DESCRIPTORS + DESCRIPTORS_PER_SERVER * servers + ACCEPT_BURST
     return max(MIN_UNIDENTIFIED_CONNECTIONS, min(config.sockets - used, MAX_UNIDENTIFIED_CONNECTIONS))
--- a/puffintide/platform/stats.py
+++ b/puffintide/platform/stats.py
@@ -1,4 +1,4 @@
-"""Logs periodic statistics of the process and of its parts."""
+"""Logs periodic statistics of the process and its components."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from puffintide.platform.load_reports import LoadReports
 from puffintide.platform.relay_session import RelaySession
 
-PERIOD_S = 5.0
+PERIOD_S = 5.0  # Interval between two log lines, in seconds.
 BYTES_PER_MB = 1e6
 MS_PER_S = 1000
 
 
 class Statistics:
-    """Logs the event `stats`."""
+    """Logs the event `stats` periodically."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.health_checks = health_checks
 
     def start(self) -> None:
-        """Log after each period from now on."""
+        """Start to log the statistics after each period."""
         self.context.reactor.callLater(PERIOD_S, self._log)
 
     def _log(self) -> None:
@@ -90,7 +90,7 @@
 
 
 def resident_memory_mb() -> float:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in megabytes."""
     with open("/proc/self/statm", encoding="ascii") as statm:
         pages = int(statm.read().split()[1])
     return pages * resource.getpagesize() / BYTES_PER_MB
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -34,7 +34,8 @@
 def hook(name, args):
     if name == "socket.__new__":
         seen.add(f"{args[1]}/{args[2] & 0xf}")
-    elif name.startswith(("os.fork", "os.exec", "os.posix_spawn", "os.system", "subprocess", "socket.getaddrinfo")):
+    elif name.startswith(("os.fork", "os.exec", "os.posix_spawn", "os.system", "subprocess",
+    "socket.getaddrinfo")):
         seen.add(name)
 sys.addaudithook(hook)
 for call in ("sendfile", "splice"):
@@ -59,7 +60,7 @@
     path.write_text(json.dumps(config | {"discovery": "discovery.invalid:8500"}))
     out, err = node.communicate(timeout=20)
     assert '"reload_rejected"' in err
-    assert "no IPv4 address" in err
+    assert "host 'discovery.invalid' is not an IPv4 address" in err
     assert out.split() == [f"{int(socket.AF_INET)}/{int(socket.SOCK_STREAM)}", "libc"]
 
 
@@ -111,7 +112,7 @@
     second = start(str(path))
     assert second.stderr is not None
     assert second.wait(20) == 2
-    assert "listen 127.0.0.1" in second.stderr.read()
+    assert "cannot listen on 127.0.0.1" in second.stderr.read()
     second.stderr.close()
     node.send_signal(signal.SIGHUP)
     assert any('"reloaded"' in line for line in iter(node.stderr.readline, ""))
--- a/tests/test_platform_relay_outbox.py
+++ b/tests/test_platform_relay_outbox.py
@@ -134,7 +134,7 @@
     outbox.put([weight_order(1, 1.0), weight_order(2, 1.0)])
     outbox.next_call()
     outbox.put([weight_order(1, 0.0), weight_order(4, 1.0)])
-    outbox.repeat(0.0, maybe_applied=True)
+    outbox.retry(0.0, maybe_applied=True)
     assert [(o.key.item_id, json.loads(o.text)["share"]) for o in next_orders(outbox)] == [
         (2, 1.0),
         (1, 0.0),
@@ -178,8 +178,8 @@
 def test_weights_of_an_uncertain_call_are_dropped_once_their_slice_was_revoked() -> None:
     """It may be given again with another table, which they must not be laid over."""
     ends: list[Callable[[Outbox], Any]] = [
-        lambda outbox: outbox.repeat(0.0, maybe_applied=True),
-        lambda outbox: outbox.restore(),
+        lambda outbox: outbox.retry(0.0, maybe_applied=True),
+        lambda outbox: outbox.requeue_throttled(),
         lambda outbox: outbox.reject(),
         lambda outbox: outbox.accept(0.0, 0),
         lambda outbox: outbox.resolve(0.0, {5: {"s-9": 1.0}, 6: {}}, complete=True),
@@ -243,7 +243,7 @@
         outbox.put([weight_order(1, now)])
         assert outbox.ready_in_s(now) == 0.0
         outbox.next_call()
-        outbox.repeat(now, applied)
+        outbox.retry(now, applied)
     assert outbox.ready_in_s(3.0) == 7.0  # two of three may have been carried out
     assert outbox.ready_in_s(10.5) == 0.0
 
@@ -267,7 +267,7 @@
     outbox = Outbox(max_messages_per_window=1)
     outbox.put([weight_order(1, 1.0)])
     outbox.next_call()
-    outbox.restore()
+    outbox.requeue_throttled()
     assert outbox.ready_in_s(0.0) == 0.0  # no message was written
     for _ in range(2):
         outbox.next_call()
