--- a/tests/platform_config.py
+++ b/tests/platform_config.py
@@ -1,4 +1,4 @@
-"""A configuration of the platform's assigner for tests."""
+"""Configuration of the platform's assigner for tests."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -1,4 +1,4 @@
-"""Configuration and log of the platform's assigner."""
+"""Tests of the configuration and the log of the platform's assigner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.platform_config import CONFIG, SETTINGS
 
 
-def test_configuration_is_parsed_with_its_settings() -> None:
+def test_parse_config_returns_addresses_limits_and_settings() -> None:
     config = parse_config(json.dumps(CONFIG).encode())
     assert (config.listen, config.discovery, config.relay) == (
         ("127.0.0.1", 3000),
@@ -43,8 +43,8 @@
         ({"settings": {**SETTINGS, "zones": [1]}}, "settings"),
     ],
 )
-def test_error_of_an_invalid_configuration_names_the_key(changes: dict[str, Any], key: str) -> None:
-    tree = {k: v for k, v in (CONFIG | changes).items() if v is not ...}
+def test_invalid_configuration_raises_error_that_names_the_key(changes: dict[str, Any], key: str) -> None:
+    tree = {name: value for name, value in (CONFIG | changes).items() if value is not ...}
     with pytest.raises(ConfigError, match=key):
         parse_config(json.dumps(tree).encode())
     for text in (b"", b"{", b"[]", b"\xff"):
@@ -53,12 +53,12 @@
 
 
 def test_log_is_rate_limited_and_counts_skipped_lines() -> None:
-    rows: list[str] = []
+    lines: list[str] = []
     now = [0.0]
-    log = EventLog("n0", rows.append, lambda: now[0], lambda: 1.0)
+    log = EventLog("n0", lines.append, lambda: now[0], lambda: 1.0)
     for k in range(1000):
-        log("spoilt", k=k)
-    assert len(rows) < 30
+        log("event", k=k)
+    assert len(lines) < 30
     now[0] = 10.0
-    log("spoilt", k=1000)
-    assert json.loads(rows[-1])["skipped"] > 900
+    log("event", k=1000)
+    assert json.loads(lines[-1])["skipped"] > 900
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the platform, decoded."""
+"""Tests of the decoding of the platform's messages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from puffintide.platform.identifiers import HostRegistry, hash_host
 from tests.platform_config import NAMES
 
-GOOD = {
+VALID_REPORT = {
     "msg": "heard",
     "az": "a",
     "host": "s-1",
@@ -39,7 +39,7 @@
 def decode_server_report(**changes: Any) -> ServerLoadReport:
     hosts = HostRegistry()
     hosts.register("s-1")
-    row = {k: v for k, v in (GOOD | changes).items() if v is not ...}
+    row = {k: v for k, v in (VALID_REPORT | changes).items() if v is not ...}
     message = decode_client_message(json.dumps(row).encode())
     assert isinstance(message, ServerReport)
     return server_load_report(message, NAMES, hosts)
@@ -50,9 +50,8 @@
     assert decode_server_report(report=..., avg=...).load_values == ()
     report = decode_client_message(b'{"msg":"heat","partition":3,"kind":"start","n":2,"bad":5,"window":500}')
     assert isinstance(report, SliceReport)
-    assert slice_load_report(report, NAMES, 4) == SliceLoadReport(
-        3, 1, 2, 5, 0.5
-    )  # unanswered ones came earlier
+    # Attempts of an earlier window can fail in this one, so failures may exceed attempts.
+    assert slice_load_report(report, NAMES, 4) == SliceLoadReport(3, 1, 2, 5, 0.5)
     with pytest.raises(InvalidMessageError):
         slice_load_report(report, NAMES, 3)
 
@@ -64,7 +63,7 @@
         {"host": ...},
         {"az": "z"},
         {"az": 5},
-        {"host": "s-unheard"},
+        {"host": "s-unknown"},
         {"host": None},
         {"n": -1},
         {"bad": 5},
@@ -80,7 +79,7 @@
         {"avg": math.nan},
         {"window": math.inf},
         {"report": 5},
-        {"msg": "unheard of"},
+        {"msg": "unknown"},
         {"msg": 5},
         {"msg": ...},
     ],
@@ -98,7 +97,7 @@
         decode_client_message(message)
 
 
-def member(**changes: Any) -> dict[str, Any]:
+def endpoint_row(**changes: Any) -> dict[str, Any]:
     row = {
         "host": "s-1",
         "dial": "127.0.0.1:1",
@@ -114,20 +113,20 @@
 
 def test_invalid_entry_does_not_affect_the_rest_of_the_list() -> None:
     rows = [
-        member(),
-        member(host="s-2", site="z"),
-        member(host="s-3", health="odd"),
+        endpoint_row(),
+        endpoint_row(host="s-2", site="z"),
+        endpoint_row(host="s-3", health="odd"),
         {"host": 5},
         7,
-        member(host="s-4", health="left", site="?"),
-        member(host="s-5", born_ms=60_000, health="leaving"),
+        endpoint_row(host="s-4", health="left", site="?"),
+        endpoint_row(host="s-5", born_ms=60_000, health="leaving"),
     ]
     hosts = HostRegistry()
     message = decode_endpoint_list(
         json.dumps({"seq": 9, "whole": True, "hosts": rows}).encode(), NAMES, hosts, 62_500.0
     )
     assert (message.version, message.is_snapshot, len(message.errors)) == (9, True, 4)
-    first, removed, young = message.entries
+    first, removed, draining = message.entries
     assert (first.zone, first.server_type, first.status, first.weight, first.age_s) == (
         0,
         1,
@@ -136,7 +135,7 @@
         -1.0,
     )
     assert removed.status == EndpointStatus.REMOVED
-    assert (young.status, young.age_s, young.incarnation) == (
+    assert (draining.status, draining.age_s, draining.incarnation) == (
         EndpointStatus.DRAINING,
         2.5,
         60_000,
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The assigner as a process."""
+"""Tests of the assigner as a separate process."""
 
 from __future__ import annotations
 
@@ -19,46 +19,48 @@
 
 
 def process_config() -> dict[str, Any]:
-    """Of a real process: ports of its own, and nobody at discovery's and the relay's."""
+    """Return a configuration with free ports, where neither discovery nor the relay is listening."""
     ports = []
     for _ in range(3):
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            ports.append(f"127.0.0.1:{probe.getsockname()[1]}")
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            ports.append(f"127.0.0.1:{listener.getsockname()[1]}")
     return CONFIG | {"listen": ports[0], "discovery": ports[1], "store": {"address": ports[2]}}
 
 
-HOOK = """
+AUDIT_SCRIPT = """
 import os, signal, sys, threading
-seen = set()
+operations = set()
 def hook(name, args):
     if name == "socket.__new__":
-        seen.add(f"{args[1]}/{args[2] & 0xf}")
+        operations.add(f"{args[1]}/{args[2] & 0xf}")
     elif name.startswith(("os.fork", "os.exec", "os.posix_spawn", "os.system", "subprocess",
     "socket.getaddrinfo")):
-        seen.add(name)
+        operations.add(name)
 sys.addaudithook(hook)
 for call in ("sendfile", "splice"):
-    setattr(os, call, lambda *a, call=call: seen.add(call))
+    setattr(os, call, lambda *a, call=call: operations.add(call))
 import puffintide.platform.__main__ as main
 threading.Timer(2.0, os.kill, (os.getpid(), signal.SIGHUP)).start()
 threading.Timer(2.5, os.kill, (os.getpid(), signal.SIGTERM)).start()
 assert main.main() == 0
 libc = any("libc.so" in line for line in open("/proc/self/maps"))
-print(*sorted(seen), "libc" if libc else "static")
+print(*sorted(operations), "libc" if libc else "static")
 """
 
 
 def test_run_starts_no_process_resolves_no_name_and_opens_only_ipv4_sockets(tmp_path: Path) -> None:
-    """Through a start, a reload to a file with a name for an address, which is refused, and SIGTERM."""
+    """Covers a start, a rejected reload with a host name as an address, and SIGTERM."""
     path, config = tmp_path / "config.json", process_config()
     path.write_text(json.dumps(config))
     env = {**os.environ, "GW_CONFIG": str(path)}
-    node = subprocess.Popen([sys.executable, "-c", HOOK], env=env, text=True, stdout=-1, stderr=-1)
-    assert node.stderr is not None
-    assert any('"started"' in line for line in iter(node.stderr.readline, ""))
+    assigner = subprocess.Popen(
+        [sys.executable, "-c", AUDIT_SCRIPT], env=env, text=True, stdout=-1, stderr=-1
+    )
+    assert assigner.stderr is not None
+    assert any('"started"' in line for line in iter(assigner.stderr.readline, ""))
     path.write_text(json.dumps(config | {"discovery": "discovery.invalid:8500"}))
-    out, err = node.communicate(timeout=20)
+    out, err = assigner.communicate(timeout=20)
     assert '"reload_rejected"' in err
     assert "host 'discovery.invalid' is not an IPv4 address" in err
     assert out.split() == [f"{int(socket.AF_INET)}/{int(socket.SOCK_STREAM)}", "libc"]
@@ -75,9 +77,11 @@
         "print(*{m.split('.')[0] for m, it in sys.modules.items() if it} - set(sys.stdlib_module_names))\n"
     )
     env = {**os.environ, "GW_CONFIG": str(path)}
-    got = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True)
+    completed = subprocess.run(
+        [sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True
+    )
     allowed = {"__main__", "puffintide", "twisted", "h11", "msgspec"}
-    # What Twisted itself needs.
+    # Dependencies of Twisted.
     allowed |= {
         "attr",
         "attrs",
@@ -88,36 +92,36 @@
         "automat",
         "hyperlink",
     }
-    loaded = set(got.stdout.split())
-    assert {"twisted", "msgspec"} <= loaded
-    assert {n for n in loaded if not n.startswith("_")} <= allowed
+    imported = set(completed.stdout.split())
+    assert {"twisted", "msgspec"} <= imported
+    assert {name for name in imported if not name.startswith("_")} <= allowed
 
 
-def test_process_starts_reports_errors_and_ends_on_sigterm(tmp_path: Path) -> None:
+def test_process_reports_unusable_configuration_and_address_and_ends_on_sigterm(tmp_path: Path) -> None:
     def start(path: str) -> subprocess.Popen[str]:
         env = {**os.environ, "GW_CONFIG": path}
         return subprocess.Popen(
             [sys.executable, "-m", "puffintide.platform"], env=env, stderr=subprocess.PIPE, text=True
         )
 
-    bad = start(str(tmp_path / "none.json"))
-    assert bad.wait(20) == 2
-    assert bad.stderr is not None
-    assert bad.stderr.read().count("\n") == 1
+    invalid = start(str(tmp_path / "none.json"))
+    assert invalid.wait(20) == 2
+    assert invalid.stderr is not None
+    assert invalid.stderr.read().count("\n") == 1
     path = tmp_path / "config.json"
     path.write_text(json.dumps(process_config()))
-    node = start(str(path))
-    assert node.stderr is not None
-    assert any('"started"' in line for line in iter(node.stderr.readline, ""))
+    assigner = start(str(path))
+    assert assigner.stderr is not None
+    assert any('"started"' in line for line in iter(assigner.stderr.readline, ""))
     second = start(str(path))
     assert second.stderr is not None
     assert second.wait(20) == 2
     assert "cannot listen on 127.0.0.1" in second.stderr.read()
     second.stderr.close()
-    node.send_signal(signal.SIGHUP)
-    assert any('"reloaded"' in line for line in iter(node.stderr.readline, ""))
-    node.send_signal(signal.SIGTERM)
-    assert node.wait(5) == 0
-    node.stderr.close()
-    if bad.stderr is not None:
-        bad.stderr.close()
+    assigner.send_signal(signal.SIGHUP)
+    assert any('"reloaded"' in line for line in iter(assigner.stderr.readline, ""))
+    assigner.send_signal(signal.SIGTERM)
+    assert assigner.wait(5) == 0
+    assigner.stderr.close()
+    if invalid.stderr is not None:
+        invalid.stderr.close()
--- a/tests/test_platform_relay_outbox.py
+++ b/tests/test_platform_relay_outbox.py
@@ -1,4 +1,4 @@
-"""Orders to the relay, the outbox and the relay's answers."""
+"""Tests of order encoding, the outbox and the parsing of the relay's responses."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 
 def test_orders_are_encoded_with_the_platforms_field_names() -> None:
     hosts = HostRegistry()
-    s = hosts.register("s-1")
+    server_id = hosts.register("s-1")
     actions: list[Action] = [
-        SetWithdrawn(s, True),
-        SetWithdrawn(s, False),
-        SetWeight(2, s, 1.5),
-        SetWeight(2, s, 0.0),
-        SetWeight(3, s, 1.0),
+        SetWithdrawn(server_id, True),
+        SetWithdrawn(server_id, False),
+        SetWeight(2, server_id, 1.5),
+        SetWeight(2, server_id, 0.0),
+        SetWeight(3, server_id, 1.0),
         SetWeight(2, 99, 1.0),
         SetAdmission(ALL_SLICES, 0, 1.0, 1),
         SetAdmission(2, 2, 0.25, 0),
         SendCheckpoint(77),
-        SendHealthCheck(s),
+        SendHealthCheck(server_id),
         LogMessage("x"),
     ]
     orders, errors = OrderEncoder(NAMES, hosts).encode(actions, [2])
@@ -71,13 +71,13 @@
     return OrderKey(OrderType.WITHDRAWAL, item_id=server_id)
 
 
-def added(slice_id: int, server_id: int) -> Order:
-    """A weight that a snapshot of the tables can show."""
+def added_weight(slice_id: int, server_id: int) -> Order:
+    """Return the order of a weight, which a snapshot of the relay's tables can contain."""
     weight = OrderedWeight(slice_id, f"s-{server_id}", 1.0)
     return Order(weight_key(slice_id, server_id), b"{}", SendPriority.ADDED_WEIGHT, weight)
 
 
-def removed(slice_id: int, server_id: int) -> Order:
+def removed_weight(slice_id: int, server_id: int) -> Order:
     weight = OrderedWeight(slice_id, f"s-{server_id}", 0.0)
     return Order(weight_key(slice_id, server_id), b"{}", SendPriority.REMOVED_WEIGHT, weight)
 
@@ -112,7 +112,7 @@
         OrderType.WEIGHT,
     ]
     outbox.put([weight_order(3, 1.0)])
-    assert outbox.ready_in_s(0.0) is None  # the first is not answered yet
+    assert outbox.ready_in_s(0.0) is None  # The first call has no response yet.
     assert outbox.accept(0.0, 3) is None
     assert [o.key for o in next_orders(outbox)] == [weight_key(0, 3)]
 
@@ -122,14 +122,15 @@
     outbox.put([weight_order(1, 1.0), weight_order(2, 1.0), weight_order(3, 1.0)])
     outbox.next_call()
     assert outbox.accept(0.0, 1) is None
-    assert [o.key.item_id for o in next_orders(outbox)] == [3, 2]  # once more, last
+    # The rejected order is retried once, after the others.
+    assert [o.key.item_id for o in next_orders(outbox)] == [3, 2]
     rejected = outbox.accept(0.0, 1)
     assert rejected is not None
     assert rejected.key == weight_key(0, 2)
     assert len(outbox) == 0
 
 
-def test_after_an_uncertain_call_the_newest_order_is_sent_and_never_an_older_one() -> None:
+def test_retry_of_an_uncertain_call_never_replaces_a_newer_order() -> None:
     outbox = Outbox()
     outbox.put([weight_order(1, 1.0), weight_order(2, 1.0)])
     outbox.next_call()
@@ -144,7 +145,7 @@
     assert len(outbox) == 0
 
 
-def test_tables_of_the_relay_resolve_an_uncertain_call() -> None:
+def test_relay_tables_resolve_an_uncertain_call() -> None:
     cases: list[tuple[dict[int, dict[str, float]], bool]] = [
         ({0: {"s-1": 1.0}}, False),
         ({0: {"s-2": 1.0}}, True),
@@ -153,8 +154,7 @@
     ]
     for tables, applied in cases:
         outbox = Outbox()
-        new = added(0, 2)
-        outbox.put([withdrawal_order(9), new, removed(0, 1)])
+        outbox.put([withdrawal_order(9), added_weight(0, 2), removed_weight(0, 1)])
         outbox.next_call()
         assert outbox.has_weights_in_flight
         assert outbox.resolve(0.0, tables, complete=False) is applied
@@ -166,52 +166,52 @@
 
 
 @pytest.mark.parametrize(("complete", "applied"), [(False, False), (True, True)])
-def test_absent_weight_shows_its_removal_only_in_a_complete_snapshot(complete: bool, applied: bool) -> None:
+def test_missing_weight_proves_its_removal_only_in_a_complete_snapshot(complete: bool, applied: bool) -> None:
     outbox = Outbox(max_messages_per_window=1, message_window_s=10.0)
-    outbox.put([removed(0, 1)])
+    outbox.put([removed_weight(0, 1)])
     outbox.next_call()
     assert outbox.resolve(0.0, {0: {}}, complete) is applied
     assert len(outbox) == (0 if applied else 1)
-    assert outbox.ready_in_s(1.0) in (None, 9.0)  # and it may have been carried out: it counts as a message
+    assert outbox.ready_in_s(1.0) in (None, 9.0)  # A call that may have been applied counts as a message.
 
 
-def test_weights_of_an_uncertain_call_are_dropped_once_their_slice_was_revoked() -> None:
-    """It may be given again with another table, which they must not be laid over."""
-    ends: list[Callable[[Outbox], Any]] = [
+def test_weights_in_flight_are_not_retried_after_their_slice_was_revoked() -> None:
+    """The slice may be granted again with another table, which old weights must not overwrite."""
+    end_calls: list[Callable[[Outbox], Any]] = [
         lambda outbox: outbox.retry(0.0, maybe_applied=True),
         lambda outbox: outbox.requeue_throttled(),
         lambda outbox: outbox.reject(),
         lambda outbox: outbox.accept(0.0, 0),
         lambda outbox: outbox.resolve(0.0, {5: {"s-9": 1.0}, 6: {}}, complete=True),
     ]
-    for end in ends:
+    for end_call in end_calls:
         outbox = Outbox()
-        outbox.put(added(s, 1) for s in (5, 6))
+        outbox.put(added_weight(s, 1) for s in (5, 6))
         outbox.next_call()
         outbox.revoke_slice(5)
         assert outbox.pending_servers(6) == {1}
         assert not outbox.pending_servers(5)
-        end(outbox)
+        end_call(outbox)
         assert [o.key for o in next_orders(outbox)] == [weight_key(6, 1)]
 
 
 def test_next_step_after_each_result_of_a_call() -> None:
-    def after(
+    def step_after(
         result: RequestResult, body: bytes = b"", *, with_weight: bool = True
     ) -> tuple[bool, bool, int]:
         outbox = Outbox()
-        outbox.put([added(0, 2) if with_weight else withdrawal_order(1)])
+        outbox.put([added_weight(0, 2) if with_weight else withdrawal_order(1)])
         outbox.next_call()
         step = outbox.on_response(0.0, Response(result, 200, body))
         return step.snapshot, step.delay_s > 0, len(outbox)
 
-    assert after(RequestResult.ANSWERED, b'{"accepted":1}') == (False, False, 0)
+    assert step_after(RequestResult.ANSWERED, b'{"accepted":1}') == (False, False, 0)
     assert (
-        after(RequestResult.ANSWERED, b'{"error":"throttled"}')
-        == after(RequestResult.ANSWERED, b'{"error":"invalid"}')
+        step_after(RequestResult.ANSWERED, b'{"error":"throttled"}')
+        == step_after(RequestResult.ANSWERED, b'{"error":"invalid"}')
         == (False, True, 1)
     )
-    assert after(RequestResult.UNREACHABLE) == (False, True, 1)  # surely not carried out
+    assert step_after(RequestResult.UNREACHABLE) == (False, True, 1)  # The call was certainly not applied.
     for result, body in (
         (RequestResult.DISCONNECTED, b""),
         (RequestResult.TIMED_OUT, b""),
@@ -219,20 +219,20 @@
         (RequestResult.ANSWERED, b"{"),
         (RequestResult.ANSWERED, b"[]"),
     ):
-        assert after(result, body) == (True, True, 1)
-        assert after(result, body, with_weight=False) == (False, True, 1)
+        assert step_after(result, body) == (True, True, 1)
+        assert step_after(result, body, with_weight=False) == (False, True, 1)
 
 
 def test_failed_snapshots_are_repeated_a_limited_number_of_times() -> None:
     outbox = Outbox()
-    outbox.put([added(0, 2)])
+    outbox.put([added_weight(0, 2)])
     outbox.next_call()
-    step, snapshots, pauses = outbox.on_response(0.0, Response(RequestResult.TIMED_OUT)), 0, list[float]()
+    step, snapshots, delays = outbox.on_response(0.0, Response(RequestResult.TIMED_OUT)), 0, list[float]()
     while step.snapshot:
-        snapshots, pauses = snapshots + 1, [*pauses, step.delay_s]
+        snapshots, delays = snapshots + 1, [*delays, step.delay_s]
         step = outbox.on_snapshot(0.0, None)
     assert snapshots == 5
-    assert pauses == sorted(pauses)
+    assert delays == sorted(delays)
     assert not outbox.in_flight
     assert len(outbox) == 1
 
@@ -244,7 +244,7 @@
         assert outbox.ready_in_s(now) == 0.0
         outbox.next_call()
         outbox.retry(now, applied)
-    assert outbox.ready_in_s(3.0) == 7.0  # two of three may have been carried out
+    assert outbox.ready_in_s(3.0) == 7.0  # Two of the three calls may have been applied.
     assert outbox.ready_in_s(10.5) == 0.0
 
 
@@ -260,15 +260,15 @@
     assert len(parts) > 1
     assert parts[0][0] == 0
     assert sum(map(len, parts)) == 302
-    assert not any(2 in part for part in parts[:-1])  # nothing is taken away before all is added
+    assert not any(2 in part for part in parts[:-1])  # No weight is removed before all are added.
 
 
-def test_throttled_call_is_queued_again_and_an_invalid_one_blocks_nothing() -> None:
+def test_throttled_call_is_requeued_and_invalid_call_is_dropped_after_three_attempts() -> None:
     outbox = Outbox(max_messages_per_window=1)
     outbox.put([weight_order(1, 1.0)])
     outbox.next_call()
     outbox.requeue_throttled()
-    assert outbox.ready_in_s(0.0) == 0.0  # no message was written
+    assert outbox.ready_in_s(0.0) == 0.0  # A throttled call does not count as a message.
     for _ in range(2):
         outbox.next_call()
         assert not outbox.reject()
@@ -303,6 +303,6 @@
         (503, b'{"error":{"code":"throttled"}}', None, "throttled"),
     ],
 )
-def test_answers_of_the_relay_are_parsed(status: int, body: bytes, accepted: int | None, error: str) -> None:
+def test_relay_responses_are_parsed(status: int, body: bytes, accepted: int | None, error: str) -> None:
     answer = parse_answer(status, body, 3)
     assert (answer.accepted, answer.error) == (accepted, error)
--- a/tests/test_platform_relay_state.py
+++ b/tests/test_platform_relay_state.py
@@ -1,4 +1,4 @@
-"""State of the relay, from the messages of its watch."""
+"""Tests of the relay's state as tracked from the messages of its watch."""
 
 from __future__ import annotations
 
@@ -10,35 +10,37 @@
 
 
 def relay_message(message_type: str, **fields: Any) -> RelayMessage:
-    changes = decode_relay_message(json.dumps({"type": message_type, "object": fields}).encode())
-    assert changes is not None
-    assert not isinstance(changes, Heartbeat)
-    return changes
+    message = decode_relay_message(json.dumps({"type": message_type, "object": fields}).encode())
+    assert message is not None
+    assert not isinstance(message, Heartbeat)
+    return message
 
 
 def apply_snapshot(state: RelayState, proxies: list[int], tables: dict[int, str]) -> RelayChanges:
-    """A watch that tells what stands, and its end."""
+    """Apply the complete snapshot of a new watch, including the heartbeat that ends it."""
     state.on_watch_opened()
-    for p in proxies:
-        assert not state.on_message(relay_message("joined", sidecar=p, az="a", share=1.0, standing=False))
-    for s in tables:
-        assert not state.on_message(relay_message("given", partition=s, yes=True))
-    for s, host in tables.items():
-        assert not state.on_message(relay_message("held", partition=s, host=host, share=1.0))
+    for proxy_id in proxies:
+        assert not state.on_message(
+            relay_message("joined", sidecar=proxy_id, az="a", share=1.0, standing=False)
+        )
+    for slice_id in tables:
+        assert not state.on_message(relay_message("given", partition=slice_id, yes=True))
+    for slice_id, host in tables.items():
+        assert not state.on_message(relay_message("held", partition=slice_id, host=host, share=1.0))
     return state.flush(at_heartbeat=True)
 
 
 def test_state_is_passed_on_when_the_snapshot_is_complete() -> None:
     state = RelayState()
     changes = apply_snapshot(state, [1, 2], {7: "s-1"})
-    assert [j.proxy_id for j in changes.joined_proxies] == [1, 2]
+    assert [proxy.proxy_id for proxy in changes.joined_proxies] == [1, 2]
     assert changes.granted_tables == {7: {"s-1": 1.0}}
     assert decode_relay_message(b"{}") == Heartbeat()
-    assert decode_relay_message(b'{"type":"new kind","object":{}}') is None
+    assert decode_relay_message(b'{"type":"unknown type","object":{}}') is None
 
 
-def test_nothing_counts_as_removed_before_the_heartbeat() -> None:
-    """A pause is no end: it may be a gap between two pieces."""
+def test_missing_items_are_removed_only_at_the_heartbeat() -> None:
+    """A pause does not end a snapshot, as it may be a gap between two packets."""
     state = RelayState()
     apply_snapshot(state, [1, 2], {7: "s-1", 8: "s-1"})
     state.on_watch_opened()
@@ -47,13 +49,14 @@
     state.on_message(relay_message("given", partition=9, yes=True))
     state.on_message(relay_message("held", partition=9, host="s-3", share=1.0))
     changes = state.flush(at_heartbeat=False)
-    assert [j.proxy_id for j in changes.joined_proxies] == [3]
+    assert [proxy.proxy_id for proxy in changes.joined_proxies] == [3]
     assert changes.granted_tables == {9: {"s-3": 1.0}}
     assert not (changes.departed_proxies)
     assert not (changes.revoked_slices)
     assert not (changes.retained_tables)
     assert state.has_unflushed
-    state.on_message(relay_message("held", partition=8, host="s-1", share=1.0))  # the next piece
+    # The next packet of the snapshot arrives.
+    state.on_message(relay_message("held", partition=8, host="s-1", share=1.0))
     state.on_message(relay_message("held", partition=9, host="s-4", share=0.5))
     state.on_message(relay_message("joined", sidecar=1, az="a", share=1.0, standing=False))
     changes = state.flush(at_heartbeat=True)
@@ -68,7 +71,7 @@
     assert not state.has_unflushed
 
 
-def test_heartbeat_between_a_grant_and_its_weights_loses_none() -> None:
+def test_heartbeat_between_a_grant_and_its_weights_loses_no_weight() -> None:
     state = RelayState()
     apply_snapshot(state, [1], {})
     state.on_message(relay_message("given", partition=4, yes=True))
@@ -87,9 +90,8 @@
     assert not state.flush(at_heartbeat=False)
     assert state.slices == set()
     assert not state.has_unflushed
-    state.on_message(
-        relay_message("held", partition=7, host="s-1", share=1.0)
-    )  # a table after its slice has gone
+    # A weight arrives after its slice was revoked.
+    state.on_message(relay_message("held", partition=7, host="s-1", share=1.0))
     assert state.unowned_weights == 1
     assert not state.flush(at_heartbeat=True)
 
@@ -100,7 +102,7 @@
     changes = apply_snapshot(state, [2, 3], {8: "s-2", 9: "s-3"})
     assert (
         changes.departed_proxies,
-        [j.proxy_id for j in changes.joined_proxies],
+        [proxy.proxy_id for proxy in changes.joined_proxies],
         changes.revoked_slices,
     ) == (
         [1],
@@ -113,14 +115,14 @@
     assert state.proxies.keys() == {2, 3}
 
 
-def test_which_table_holds_after_a_reconnection() -> None:
+def test_tables_are_compared_and_merged_after_a_reconnection() -> None:
     assert not tables_differ({1: 1.0}, {1: 1.0}, [])
     assert tables_differ({1: 1.0}, {2: 1.0}, [])
     assert tables_differ({}, {1: 1.0}, [])
     assert tables_differ({1: 0.5}, {1: 1.0}, [])
-    assert not tables_differ({1: 1.0}, {2: 1.0}, [1, 2])  # ours, on their way
+    assert not tables_differ({1: 1.0}, {2: 1.0}, [1, 2])  # The entries of this assigner are in flight.
     assert tables_differ({1: 1.0, 3: 1.0}, {2: 1.0}, [1, 2])
-    # Of our own on their way: 2 is being set, 1 taken out; the rest is the store's.
+    # Of the entries in flight, 2 is being set and 1 removed. All others are taken from the stored table.
     assert merge_tables({1: 1.0, 3: 1.0}, {2: 0.5, 4: 1.0}, [1, 2]) == {2: 0.5, 3: 1.0}
 
 
@@ -134,4 +136,4 @@
     assert not state.has_unflushed
     assert state.on_message(relay_message("given", partition=4, yes=False)).revoked_slices == [4]
     assert state.on_message(relay_message("left", sidecar=1)).departed_proxies == [1]
-    assert not state.on_message(relay_message("left", sidecar=1))  # told twice
+    assert not state.on_message(relay_message("left", sidecar=1))  # A repeated departure has no effect.
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -1,4 +1,4 @@
-"""The assigner on a virtual clock: start, reload, failures and shutdown."""
+"""Tests of start, reload, failures and shutdown of the assigner on a virtual clock."""
 
 from __future__ import annotations
 
@@ -19,45 +19,46 @@
 pytestmark = pytest.mark.processes
 
 
-def test_pings_are_answered_once_it_serves(tmp_path: Path) -> None:
-    made = Platform(tmp_path)
-    early = Client(made)
-    early.send(b'{"msg":"pi', b'ng"}\n{"msg":"ping"}\n')
-    assert early.received == b""
-    made.advance(0.5)
-    assert early.received == b'{"msg":"pong"}\n' * 2
-    assert made.director_tables() == made.relay.tables
-    assert made.assigner.runtime.proxy_zones.keys() == {0, 1, 2}
-    assert len(made.assigner.runtime.endpoints) == SERVERS
+def test_pings_are_answered_once_the_assigner_serves(tmp_path: Path) -> None:
+    platform = Platform(tmp_path)
+    client = Client(platform)
+    client.send(b'{"msg":"pi', b'ng"}\n{"msg":"ping"}\n')
+    assert client.received == b""
+    platform.advance(0.5)
+    assert client.received == b'{"msg":"pong"}\n' * 2
+    assert platform.director_tables() == platform.relay.tables
+    assert platform.assigner.runtime.proxy_zones.keys() == {0, 1, 2}
+    assert len(platform.assigner.runtime.endpoints) == SERVERS
 
 
 def test_pings_are_answered_after_a_timeout_without_relay_and_discovery(tmp_path: Path) -> None:
-    made = Platform(tmp_path, known=False)
-    made.relay.party.kill()
-    made.discovery.party.kill()
-    made.advance(3.5)
-    peer = Client(made)
-    peer.send({"msg": "ping"})
-    made.advance(0.1)
-    assert peer.received
-    assert peer.open
-
-
-def moved(platform: Platform, discovery: int, relay: int) -> tuple[FakeDiscovery, FakeRelay]:
-    made = FakeDiscovery(platform.net, discovery), FakeRelay(platform.net, relay)
-    made[0].version, made[1].tables = platform.discovery.version, platform.relay.tables
+    platform = Platform(tmp_path, known=False)
+    platform.relay.party.kill()
+    platform.discovery.party.kill()
+    platform.advance(3.5)
+    client = Client(platform)
+    client.send({"msg": "ping"})
+    platform.advance(0.1)
+    assert client.received
+    assert client.open
+
+
+def start_moved_services(platform: Platform, discovery: int, relay: int) -> tuple[FakeDiscovery, FakeRelay]:
+    """Start discovery and relay with the same state on other ports, and write the ports to the file."""
+    services = FakeDiscovery(platform.net, discovery), FakeRelay(platform.net, relay)
+    services[0].version, services[1].tables = platform.discovery.version, platform.relay.tables
     platform.config |= {"discovery": f"127.0.0.1:{discovery}", "store": {"address": f"127.0.0.1:{relay}"}}
     platform.write()
-    return made
+    return services
 
 
-def test_reload_moves_all_connections_and_forgets_nothing(platform: Platform) -> None:
-    old = platform.relay.watches() + platform.discovery.watches()
-    discovery, relay = moved(platform, 8501, 6401)
+def test_reload_moves_all_connections_and_keeps_known_state(platform: Platform) -> None:
+    old_connections = platform.relay.watches() + platform.discovery.watches()
+    discovery, relay = start_moved_services(platform, 8501, 6401)
     before = platform.director_tables(), platform.assigner.runtime.proxy_zones
     platform.assigner.reload()
     platform.advance(1.0)
-    assert not any(c.open for c in old)
+    assert not any(c.open for c in old_connections)
     assert relay.watches()
     assert discovery.watches()
     assert (platform.director_tables(), platform.assigner.runtime.proxy_zones) == before
@@ -76,14 +77,14 @@
     platform.discovery.change(entry(1, "leaving"))
     platform.advance(0.03)
     assert platform.assigner.relay.outbox.in_flight
-    _, relay = moved(platform, 8501, 6401)
+    _, relay = start_moved_services(platform, 8501, 6401)
     platform.assigner.reload()
     platform.advance(1.0)
     assert "s-1" not in relay.routable_hosts()
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"listen": 5}'])
-def test_invalid_configuration_leaves_the_current_one_in_force(platform: Platform, text: str) -> None:
+def test_reload_of_invalid_configuration_keeps_the_current_one(platform: Platform, text: str) -> None:
     platform.path.write_text(text)
     platform.assigner.reload()
     platform.path.unlink()
@@ -93,11 +94,11 @@
     assert platform.relay.watches()
 
 
-def test_failed_round_is_logged_and_is_not_the_last(platform: Platform) -> None:
+def test_failed_round_is_logged_and_later_rounds_still_run(platform: Platform) -> None:
     director: Any = platform.assigner.runtime.director
-    real, director.estimator.update = director.estimator.update, lambda: 1 / 0
+    original_update, director.estimator.update = director.estimator.update, lambda: 1 / 0
     platform.advance(1.0)
-    director.estimator.update = real
+    director.estimator.update = original_update
     assert "ZeroDivisionError" in platform.logged("round_failed")[0]["error"]
     platform.advance(1.0)
     client: Any = platform.assigner.relay.client
@@ -107,31 +108,31 @@
     client.send_next = send_next
     platform.assigner.relay.client.send_next()
     platform.advance(2.0)
-    assert len(platform.assigner.runtime._timers) == 1  # its rounds go on at their pace, not at twice that
+    assert len(platform.assigner.runtime._timers) == 1  # A second timer would double the rate of rounds.
     platform.discovery.change(entry(1, "leaving"))
     platform.advance(1.0)
     assert "s-1" not in platform.relay.routable_hosts()
 
 
 def test_state_stays_bounded_while_servers_come_and_go(platform: Platform) -> None:
-    peer = platform.collector()
+    collector = platform.collector()
     for k in range(10, 1000, 3):
         platform.discovery.change(*(entry(i) for i in range(k, k + 3)))
         platform.discovery.change(*(entry(i, "left") for i in range(k, k + 3)))
         platform.advance(2.0)
         if k % 60 == 10:
-            platform.report(peer)
+            platform.report(collector)
     platform.advance(60.0)
-    node = platform.assigner
-    # The module remembers a server for ten minutes after it has gone.
-    assert len(node.hosts) <= len(node.runtime.director.servers) + SERVERS  # type: ignore[attr-defined]
-    assert len(node.hosts) < 960
-    assert len(node.health_checks.clients) <= SERVERS
-    assert len(node.runtime.server_addresses) < 200
-    assert len(node.relay._sent_weights) < 50
+    assigner = platform.assigner
+    # The director keeps a server for ten minutes after its removal.
+    assert len(assigner.hosts) <= len(assigner.runtime.director.servers) + SERVERS  # type: ignore[attr-defined]
+    assert len(assigner.hosts) < 960
+    assert len(assigner.health_checks.clients) <= SERVERS
+    assert len(assigner.runtime.server_addresses) < 200
+    assert len(assigner.relay._sent_weights) < 50
 
 
-def test_sigterm_lets_a_call_in_flight_end(platform: Platform) -> None:
+def test_sigterm_waits_for_a_call_in_flight(platform: Platform) -> None:
     platform.relay.call_results = ["lost"]
     platform.discovery.change(entry(1, "leaving"))
     platform.advance(0.02)
@@ -143,7 +144,7 @@
     assert not platform.party.running
 
 
-def test_sigterm_with_nothing_in_flight_ends_at_once(platform: Platform) -> None:
+def test_sigterm_without_a_call_in_flight_stops_immediately(platform: Platform) -> None:
     platform.assigner.stop()
     platform.advance(0.01)
     assert not platform.party.running
