--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -34,8 +34,7 @@
 def hook(name, args):
     if name == "socket.__new__":
         operations.add(f"{args[1]}/{args[2] & 0xf}")
-    elif name.startswith(("os.fork", "os.exec", "os.posix_spawn", "os.system", "subprocess",
-    "socket.getaddrinfo")):
+    elif name.startswith(("os.fork", "os.exec", "os.posix_spawn", "os.system", "subprocess", "socket.getaddrinfo")):
         operations.add(name)
 sys.addaudithook(hook)
 for call in ("sendfile", "splice"):
