--- a/puffintide/decisions/__init__.py
+++ b/puffintide/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decision modules: events in, actions out; no I/O and no clock."""
+"""Decision modules: pure code that turns events into actions, without I/O or a clock."""
--- a/puffintide/decisions/actions.py
+++ b/puffintide/decisions/actions.py
@@ -1,15 +1,15 @@
-"""Actions that a director returns: types only, no logic."""
+"""Types of the actions that a director returns."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ALL_SLICES = 0xFFFF  # as SetAdmission.slice_id: all slices that this assigner owns
+ALL_SLICES = 0xFFFF  # SetAdmission.slice_id that stands for all slices that this assigner owns
 
 
 @dataclass(frozen=True, slots=True)
 class SetWeight:
-    """Set the weight of a server in a slice's table; 0 removes the entry."""
+    """Sets the weight of a server in a slice's table; weight 0 removes the entry."""
 
     slice_id: int
     server_id: int
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWithdrawn:
-    """Withdraw a server from all tables of this assigner's slices, or readmit it."""
+    """Withdraws a server from all tables of this assigner's slices, or readmits it."""
 
     server_id: int
     withdrawn: bool
@@ -26,38 +26,38 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """Set the fraction of some request classes that proxies admit, and how they retry."""
+    """Sets the fraction of requests of some classes that proxies admit, and the retry mode."""
 
     slice_id: int
-    class_mask: int  # bit k stands for class k; 0: all classes
-    fraction: float  # 1: all requests are admitted
-    retry_mode: int  # 0 to 3, as on the wire
+    class_mask: int  # Bit k stands for class k; 0 means all classes.
+    fraction: float  # Fraction from 0 to 1; at 1 all requests are admitted.
+    retry_mode: int  # Retry mode from 0 to 3, numbered as on the wire.
 
 
 @dataclass(frozen=True, slots=True)
 class SendCheckpoint:
-    """Ask every proxy to acknowledge when it has applied all that was sent before."""
+    """Asks every proxy for an acknowledgement once it has applied everything sent before the checkpoint."""
 
     checkpoint_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Check the health of a server."""
+    """Sends a health check to a server."""
 
     server_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Start or stop following the endpoint list."""
+    """Starts or stops watching the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request a TimerFired event after a delay."""
+    """Requests a TimerFired event after a delay."""
 
     delay_s: float
     timer_id: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Write a line to the log."""
+    """Writes a line to the log."""
 
     text: str
 
--- a/puffintide/decisions/admission.py
+++ b/puffintide/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Load shedding: admits a fraction of each request class when demand exceeds the capacity of the fleet."""
+"""Load shedding: admits a fraction of each request class when demand exceeds the fleet's capacity."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from puffintide.decisions.state import FleetState
 
 ALL_CLASSES_MASK = 0
-MAX_RETRY_MODE = 1  # after proof that the first attempt was not executed: safe for every class
-MIN_ADMITTED_RATE = 1e-9  # requests per second, in place of 0 as a divisor
+MAX_RETRY_MODE = 1  # Retries only after proof that the first attempt was not executed: safe for every class.
+MIN_ADMITTED_RATE = 1e-9  # Smallest divisor, in requests per second; avoids a division by zero.
 
 
 def update_admission_fractions(fleet: FleetState, estimator: CapacityEstimator) -> None:
-    """Decide which fraction of each class proxies should admit.
+    """Update the fraction of each request class that proxies should admit.
 
-    Nothing is shed until a capacity was learned, and for some report cycles after a start: it is a guess before.
+    Load is shed only once a capacity is learned and reports have settled after a start. Any earlier estimate
+    of the capacity would be a guess.
     """
     if fleet.settings.admission_mode != AdmissionMode.FRACTION or not fleet.slices:
         return
@@ -28,8 +29,8 @@
         for class_index, rate in offered_rates.items()
     }
     current = {class_index: fleet.admission_fractions.get(class_index, 1.0) for class_index in offered_rates}
-    capacity = _capacity_for_work(fleet, estimator, offered_rates, work, current)
-    fractions = _fractions_for(fleet, work, capacity, is_shedding=min(current.values()) < 1)
+    capacity = _work_capacity(fleet, estimator, offered_rates, work, current)
+    fractions = _compute_fractions(fleet, work, capacity, is_shedding=min(current.values()) < 1)
     change = max(abs(fraction - current[class_index]) for class_index, fraction in fractions.items())
     is_end_of_shedding = change > 0 and min(fractions.values()) == 1
     if change >= parameters.MIN_ADMISSION_CHANGE or is_end_of_shedding:
@@ -38,7 +39,7 @@
 
 
 def _offered_rates(fleet: FleetState) -> dict[int, float]:
-    """Requests per second of each class for this assigner's slices, those that are rejected included."""
+    """Return the requests per second of each class for this assigner's slices, rejected requests included."""
     rates = dict.fromkeys(range(len(fleet.settings.request_classes)), 0.0)
     for _, slice_state in sorted(fleet.slices.items()):
         for class_index, rate in slice_state.request_rates.items():
@@ -46,22 +47,27 @@
     return rates
 
 
-def _capacity_for_work(
+def _work_capacity(
     fleet: FleetState,
     estimator: CapacityEstimator,
     offered_rates: dict[int, float],
     work: dict[int, float],
     current: dict[int, float],
 ) -> float:
-    """This assigner's part of the fleet's capacity, in the unit of work: requests times their latency objective."""
+    """Return this assigner's part of the fleet's capacity, in units of work.
+
+    Work is the rate of requests times the latency objective of their class.
+    """
     ready = fleet.ready_servers()
     fleet_capacity = sum(estimator.usable_capacity(server.server_id) for server in ready)
     capacity = fleet_capacity * len(fleet.slices) / fleet.settings.slice_count
     admitted_work = sum(work[class_index] * fraction for class_index, fraction in current.items())
     admitted_rate = sum(offered_rates[class_index] * fraction for class_index, fraction in current.items())
-    capacity *= admitted_work  # capacity was learned in requests of the classes as they are admitted
+    # Capacity is learned in requests of the mix of classes that is currently admitted.
+    capacity *= admitted_work
     capacity /= max(admitted_rate, MIN_ADMITTED_RATE)
-    if min(current.values()) < 1:  # clients resend what is rejected, and so demand appears too high
+    # Clients resend rejected requests, so demand appears higher than it is while load is shed.
+    if min(current.values()) < 1:
         loads = [server.load for server in ready if server.load is not None]
         mean_load = sum(loads) / max(1, len(loads))
         unused = max(0.0, parameters.ADMISSION_TARGET_UTILIZATION - mean_load)
@@ -69,10 +75,13 @@
     return capacity
 
 
-def _fractions_for(
+def _compute_fractions(
     fleet: FleetState, work: dict[int, float], capacity: float, is_shedding: bool
 ) -> dict[int, float]:
-    """The fraction of each class that fits, classes of least priority for their work reduced first."""
+    """Return the fraction of each class that fits into the capacity.
+
+    Classes with the lowest priority per unit of work are reduced first.
+    """
     fractions = dict.fromkeys(work, 1.0)
     limit = parameters.ADMISSION_START_UTILIZATION
     if is_shedding:
@@ -95,7 +104,7 @@
 
 
 def admission_actions(fleet: FleetState) -> list[SetAdmission]:
-    """Return the actions that state the admission fractions and the retry mode to proxies."""
+    """Return the actions that send the admission fractions and the retry mode to the proxies."""
     retry_mode = min(MAX_RETRY_MODE, fleet.settings.default_retry_mode)
     fractions = sorted(
         (1 << class_index, fraction) for class_index, fraction in fleet.admission_fractions.items()
--- a/puffintide/decisions/averages.py
+++ b/puffintide/decisions/averages.py
@@ -1,4 +1,4 @@
-"""Exponential averages over irregular samples, and rates made of counts."""
+"""Exponentially weighted averages over irregularly spaced samples, and rates computed from counts."""
 
 from __future__ import annotations
 
@@ -9,49 +9,52 @@
 
 
 def exponential_average(
-    previous: float | None, sample: float, interval_s: float, memory_s: float | None = None
+    previous: float | None, sample: float, interval_s: float, time_constant_s: float | None = None
 ) -> float:
-    """Return the average after a sample that covers an interval.
+    """Return the exponentially weighted average after one more sample.
 
     Args:
-        previous: The average so far; None before the first sample, which then is the average.
+        previous: The average so far. It is None before the first sample, and the sample is then the result.
         sample: The new value.
-        interval_s: Time that the sample covers.
-        memory_s: Time constant; by default AVERAGE_MEMORY_S.
+        interval_s: The time that the sample covers, in seconds.
+        time_constant_s: The time constant of the average, in seconds. The default is AVERAGE_TIME_CONSTANT_S.
     """
     if previous is None:
         return sample
-    memory_s = parameters.AVERAGE_MEMORY_S if memory_s is None else memory_s
+    time_constant_s = parameters.AVERAGE_TIME_CONSTANT_S if time_constant_s is None else time_constant_s
     interval_s = max(interval_s, parameters.AVERAGE_MIN_INTERVAL_S)
-    return previous + (sample - previous) * (1 - math.exp(-interval_s / memory_s))
+    return previous + (sample - previous) * (1 - math.exp(-interval_s / time_constant_s))
 
 
-def slow_average(previous: float | None, sample: float, is_certain: bool = False) -> float:
-    """Return the average, one round later, of a value that seldom changes.
+def slow_average(previous: float | None, sample: float, is_reliable: bool = False) -> float:
+    """Return the average of a slowly changing value, one round later.
+
+    A reliable sample, or one that differs by CAPACITY_JUMP_RATIO, is averaged with a short time constant.
 
     Args:
-        previous: The average so far, or None.
-        sample: The reading of this round.
-        is_certain: Whether the reading is known to be good. Such a reading, and one that differs by
-            CAPACITY_JUMP_RATIO, is averaged quickly.
+        previous: The average so far, or None before the first sample.
+        sample: The value of this round.
+        is_reliable: Whether the sample is known to be accurate.
     """
-    is_fast = is_certain
+    adapts_quickly = is_reliable
     if previous is not None:
         ratio = parameters.CAPACITY_JUMP_RATIO
-        is_fast = is_certain or not previous / ratio < sample < previous * ratio
-    memory_s = parameters.AVERAGE_MEMORY_S / 2 if is_fast else parameters.SLOW_AVERAGE_MEMORY_S
-    return exponential_average(previous, sample, parameters.ROUND_PERIOD_S, memory_s)
+        adapts_quickly = is_reliable or not previous / ratio < sample < previous * ratio
+    time_constant_s = (
+        parameters.AVERAGE_TIME_CONSTANT_S / 2 if adapts_quickly else parameters.SLOW_AVERAGE_TIME_CONSTANT_S
+    )
+    return exponential_average(previous, sample, parameters.ROUND_PERIOD_S, time_constant_s)
 
 
 @dataclass(slots=True)
 class AverageRate:
-    """An average of events per second, from counts over intervals."""
+    """Average number of events per second, computed from counts over intervals."""
 
     per_second: float = 0.0
     updated_at_s: float = -math.inf
 
     def add(self, now_s: float, count: float, interval_s: float) -> None:
-        """Add a count of events over an interval that ends now."""
+        """Add the number of events in an interval that ends now."""
         previous = self.per_second if self.updated_at_s > 0 else None
         self.per_second = exponential_average(previous, count / interval_s, interval_s)
         self.updated_at_s = now_s
--- a/puffintide/decisions/channel.py
+++ b/puffintide/decisions/channel.py
@@ -1,7 +1,8 @@
-"""The channel to the proxies: how many entries are on their way, and how many may be sent now.
+"""Flow control of the channel to the proxies: counts outstanding entries and limits what is sent.
 
-Each entry is sent to every proxy, and each message has a header for every proxy, counted in entries. A message ends
-with a checkpoint, and counts as waiting until every proxy has acknowledged that, or until it must be lost.
+Each entry is sent to every proxy, and each message has a header for every proxy, counted in entries. A
+message ends with a checkpoint. It is outstanding until every proxy has acknowledged the checkpoint or the
+message is considered lost.
 """
 
 from __future__ import annotations
@@ -15,64 +16,67 @@
 
 CHECKPOINT_ID_COUNT = 65536
 MS_PER_S = 1000
-WINDOW_MARGIN_S = 1.0  # added to the message window, as a message may be delayed
+WINDOW_MARGIN_S = 1.0  # Added to the message window, in seconds, because messages may be delayed.
 
 
 @dataclass(slots=True)
 class _SentMessage:
     sent_at_s: float
-    entries_per_proxy: float  # its header included
-    unacknowledged: set[int]  # proxies
+    entries_per_proxy: float  # Includes the header.
+    pending_proxies: set[int]  # Proxies that have not acknowledged the checkpoint.
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelBudget:
-    """Entries that may be sent in one message, summed over proxies."""
+    """Numbers of entries that one message may hold, summed over proxies, by kind of change."""
 
-    withdrawals: float  # that withdrawals may use
-    urgent: float  # that urgent changes may use
-    ordinary: float  # that ordinary changes may use
+    withdrawals: float
+    urgent: float
+    ordinary: float
 
 
 class Channel:
-    """Counts what was sent to the proxies and not yet applied by them."""
+    """Tracks messages that were sent to the proxies and are not yet applied by all of them."""
 
     def __init__(self, fleet: FleetState) -> None:
         self._fleet = fleet
-        self._unacknowledged: dict[int, _SentMessage] = {}  # by checkpoint
-        self._send_times_s: list[float] = []  # of the messages in the window
-        self.waiting_entries = 0.0  # in the channel or on their way, summed over proxies
+        self._unacknowledged_messages: dict[int, _SentMessage] = {}  # Keyed by checkpoint id.
+        self._send_times_s: list[float] = []  # Of the messages in the window.
+        self.outstanding_entries = 0.0  # Sent and not yet acknowledged, summed over proxies.
 
     @property
     def proxy_count(self) -> int:
-        """The number of connected proxies, at least 1."""
+        """Return the number of connected proxies, at least 1."""
         return max(1, len(self._fleet.proxies))
 
     def on_acknowledged(self, event: CheckpointAcknowledged) -> None:
-        """Take in that a proxy has applied what was sent before a checkpoint."""
-        message = self._unacknowledged.get(event.checkpoint_id)
+        """Record that a proxy has applied everything sent before a checkpoint."""
+        message = self._unacknowledged_messages.get(event.checkpoint_id)
         if message is not None:
-            message.unacknowledged.discard(event.proxy_id)
+            message.pending_proxies.discard(event.proxy_id)
 
     def expire_messages(self) -> None:
-        """Count anew what is waiting, without lost messages and disconnected proxies."""
+        """Drop acknowledged and lost messages, and recount outstanding entries of connected proxies."""
         now_s, settings = self._fleet.now_s, self._fleet.settings
         lowest_speed = parameters.LOST_MESSAGE_SPEED_FRACTION * settings.channel_entries_per_s
         lost_after_s = settings.channel_capacity_entries / lowest_speed
-        self._unacknowledged = {
+        self._unacknowledged_messages = {
             checkpoint_id: message
-            for checkpoint_id, message in self._unacknowledged.items()
-            if message.unacknowledged and now_s - message.sent_at_s < lost_after_s
+            for checkpoint_id, message in self._unacknowledged_messages.items()
+            if message.pending_proxies and now_s - message.sent_at_s < lost_after_s
         }
-        self.waiting_entries = sum(
-            message.entries_per_proxy * len(message.unacknowledged & self._fleet.proxies)
-            for message in self._unacknowledged.values()
+        self.outstanding_entries = sum(
+            message.entries_per_proxy * len(message.pending_proxies & self._fleet.proxies)
+            for message in self._unacknowledged_messages.values()
         )
         window_start_s = now_s - settings.message_window_s - WINDOW_MARGIN_S
         self._send_times_s = [sent_at_s for sent_at_s in self._send_times_s if sent_at_s > window_start_s]
 
     def is_message_limit_reached(self) -> bool:
-        """Whether the messages of the window leave no other one, now that something is urgent or not."""
+        """Return whether the message limit of the window forbids another message.
+
+        Urgent changes may use more messages than ordinary ones.
+        """
         max_messages = self._fleet.settings.max_messages_per_window
         if not max_messages:
             return False
@@ -84,30 +88,30 @@
         return len(self._send_times_s) >= max_messages - reserved
 
     def budget(self) -> ChannelBudget:
-        """Return how many entries may be sent now."""
+        """Return how many entries may be sent now, for each kind of change."""
         settings = self._fleet.settings
         capacity = settings.channel_capacity_entries
         header = settings.channel_header_entries
-        usable = parameters.MAX_CHANNEL_FRACTION * capacity
-        withdrawals = usable - self.waiting_entries - header * self.proxy_count
+        usable_entries = parameters.MAX_CHANNEL_FRACTION * capacity
+        withdrawals = usable_entries - self.outstanding_entries - header * self.proxy_count
         reserved = min(
             (header + parameters.RESERVED_ENTRIES_PER_PROXY) * self.proxy_count,
             capacity / parameters.RESERVED_CHANNEL_DIVISOR,
         )
         urgent = withdrawals - reserved
-        above_ordinary = (parameters.MAX_CHANNEL_FRACTION - parameters.ORDINARY_CHANNEL_FRACTION) * capacity
-        return ChannelBudget(withdrawals, urgent, min(urgent, withdrawals - above_ordinary))
+        urgent_headroom = (parameters.MAX_CHANNEL_FRACTION - parameters.ORDINARY_CHANNEL_FRACTION) * capacity
+        return ChannelBudget(withdrawals, urgent, min(urgent, withdrawals - urgent_headroom))
 
     def record_message(self, entry_count: int) -> SendCheckpoint:
         """Record a message that is sent now, and return the checkpoint that ends it.
 
         Args:
-            entry_count: Its entries at each proxy, without the checkpoint.
+            entry_count: The number of entries that each proxy receives, without the checkpoint.
         """
         now_s = self._fleet.now_s
         checkpoint = SendCheckpoint(int(now_s * MS_PER_S) % CHECKPOINT_ID_COUNT)
         entries = entry_count + 1 + self._fleet.settings.channel_header_entries
-        self._unacknowledged[checkpoint.checkpoint_id] = _SentMessage(
+        self._unacknowledged_messages[checkpoint.checkpoint_id] = _SentMessage(
             now_s, entries, set(self._fleet.proxies)
         )
         self._send_times_s.append(now_s)
--- a/puffintide/decisions/director.py
+++ b/puffintide/decisions/director.py
@@ -1,6 +1,7 @@
-"""The director of one assigner: events in, actions out.
+"""The director of one assigner: a state machine that turns events into actions.
 
-It is a pure state machine, without I/O, clock or randomness. docs/design.md tells why it decides as it does.
+It performs no I/O and uses neither a clock nor randomness. docs/design.md explains the reasons for its
+decisions.
 """
 
 from __future__ import annotations
@@ -34,20 +35,21 @@
 
 
 class DirectorFindings(NamedTuple):
-    """What a director has learned that is of use to other assigners."""
+    """Results of a director that are useful to other assigners."""
 
-    capacity_per_s: float | None  # of a server of listed weight 1; None: not learned
-    recovery_levels: dict[int, int]  # of ready servers that are not fully recovered
+    # Capacity of a server of listed weight 1, in requests per second; None if it is not learned.
+    capacity_per_s: float | None
+    recovery_levels: dict[int, int]  # By server id, for ready servers that are not fully recovered.
 
 
 class Director:
     """Decides the tables of the slices that one assigner owns.
 
     Attributes:
-        fleet: What is known of servers, slices and proxies.
-        estimator: Estimates of load and capacity.
-        ranking: The order of alternates of each slice.
-        publisher: Sends changes.
+        fleet: The known state of servers, slices and proxies.
+        estimator: The estimator of load and capacity.
+        ranking: The order of the alternates of each slice.
+        publisher: Turns plans into actions, within the limits of the channel.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -60,20 +62,20 @@
 
     @property
     def servers(self) -> Mapping[int, ServerState]:
-        """The servers that are known, removed ones included for a while."""
+        """Return the known servers by id, recently removed ones included."""
         return self.fleet.servers
 
     @property
     def slices(self) -> Mapping[int, SliceState]:
-        """The slices that this assigner owns."""
+        """Return the slices that this assigner owns, by id."""
         return self.fleet.slices
 
     def handle(self, now_s: float, events: Sequence[Event]) -> list[Action]:
-        """Take in events, run a round if one is due, and return the resulting actions in order.
+        """Apply events, run a round if one is due, and return the resulting actions in order.
 
         Args:
-            now_s: Seconds on the assigner's clock, never less than before.
-            events: What has happened since the last call. A TimerFired starts a round, as something urgent does.
+            now_s: The time on the assigner's clock, in seconds. It never decreases.
+            events: The events since the last call. A TimerFired event or an urgent change starts a round.
         """
         fleet = self.fleet
         is_first_call = fleet.now_s < 0
@@ -91,7 +93,7 @@
         return actions
 
     def findings(self) -> DirectorFindings:
-        """Return what has been learned here that is of use to other assigners."""
+        """Return the learned capacity and the recovery levels that other assigners can use."""
         levels = {server.server_id: server.recovery_level for server in self.fleet.ready_servers()}
         recovering = {
             server_id: level for server_id, level in levels.items() if level < parameters.MAX_RECOVERY_LEVEL
--- a/puffintide/decisions/events.py
+++ b/puffintide/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events that a director receives: types only, no logic. Times are seconds on the assigner's clock."""
+"""Types of the events that a director receives. Times are seconds on the assigner's clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointStatus(IntEnum):
-    """State of a server as its endpoint list has it."""
+    """Status of a server in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -15,12 +15,12 @@
 
 
 class ListUpdateType(StrEnum):
-    """What an update of the endpoint list holds; the values are those of the program's own protocol."""
+    """Contents of an update of the endpoint list; the values are those of the wire protocol."""
 
-    DELTA = "delta"  # only the endpoints that changed
-    SNAPSHOT = "full"  # all endpoints
-    CACHED = "cached"  # all endpoints, as last known to whoever serves the list
-    FAILED = "failed"  # nothing: the list could not be read
+    DELTA = "delta"  # Holds only the endpoints that changed.
+    SNAPSHOT = "full"  # Holds all endpoints.
+    CACHED = "cached"  # Holds all endpoints, as last known to the process that serves the list.
+    FAILED = "failed"  # Holds nothing, as the list could not be read.
 
 
 class HealthCheckStatus(IntEnum):
@@ -35,12 +35,12 @@
 
     @classmethod
     def _missing_(cls, _value: object) -> HealthCheckStatus:
-        """A number that is not known says no more than an error."""
+        """Map an unknown number to ERROR, which says nothing about the server."""
         return cls.ERROR
 
 
 class ZoneOperation(StrEnum):
-    """What an operator may order for a zone."""
+    """Operation that an operator may request for a zone."""
 
     DRAIN = "drain"
     HOLD = "hold"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A server as listed."""
+    """Server in the endpoint list."""
 
     server_id: int
     zone: int
@@ -57,12 +57,12 @@
     cell: int
     status: EndpointStatus
     weight: float
-    started_at_s: float  # of its last start; 0: long ago
+    started_at_s: float  # Time of the last start; 0 means long ago.
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """An update of the endpoint list, a snapshot or a delta."""
+    """Update of the endpoint list: a snapshot or a delta."""
 
     update_type: ListUpdateType
     version: int
@@ -70,26 +70,26 @@
 
     @property
     def is_snapshot(self) -> bool:
-        """Whether a server that is not among the endpoints is not listed."""
+        """Return whether the update holds the whole list, so that absent servers are no longer listed."""
         return self.update_type is not ListUpdateType.DELTA
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoadReport:
-    """What the connected proxies of one zone observed at a server, and the load values of the server itself."""
+    """Observations of a server by the connected proxies of a zone, and its own load values."""
 
     proxy_zone: int
     server_id: int
     attempts: int
     failed_attempts: int
-    mean_latency_s: float  # of the successful ones
+    mean_latency_s: float  # Of the successful attempts.
     interval_s: float
-    load_values: tuple[float, ...]  # in the order of Settings.load_value_names
+    load_values: tuple[float, ...]  # In the order of Settings.load_value_names.
 
 
 @dataclass(frozen=True, slots=True)
 class SliceLoadReport:
-    """Requests of one class for a slice over an interval."""
+    """Requests of one class for a slice during an interval."""
 
     slice_id: int
     class_index: int
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipChanged:
-    """This assigner was granted a slice, or its ownership was revoked."""
+    """A slice was granted to this assigner, or its ownership was revoked."""
 
     slice_id: int
     granted: bool
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredWeight:
-    """One entry of a slice's table as the store has it; follows the grant."""
+    """One weight entry of a slice's stored table; sent after the slice is granted."""
 
     slice_id: int
     server_id: int
@@ -121,29 +121,29 @@
 
     proxy_id: int
     zone: int
-    request_rate: float  # per second
-    first_connection: bool  # since the proxy started
+    request_rate: float  # Requests per second.
+    first_connection: bool  # Whether this is the first connection since the proxy started.
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
-    """A proxy is no longer connected."""
+    """A proxy disconnected from this assigner."""
 
     proxy_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CheckpointAcknowledged:
-    """A proxy has applied all that was sent to it before a checkpoint."""
+    """A proxy has applied everything that was sent to it before a checkpoint."""
 
     proxy_id: int
     checkpoint_id: int
-    elapsed_s: float  # since the checkpoint was sent
+    elapsed_s: float  # Time since the checkpoint was sent.
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The outcome of a health check."""
+    """Outcome of a health check of one server."""
 
     server_id: int
     status: HealthCheckStatus
@@ -153,23 +153,26 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by SetTimer has expired."""
+    """A timer that was set by a SetTimer action has expired."""
 
     timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class AssignerCountChanged:
-    """How many assigners own slices, this one among them; initially as in the settings."""
+    """The number of assigners that own slices, including this one, changed.
+
+    The initial number is that of the settings.
+    """
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityLimitChanged:
-    """The fraction of a server's capacity that may be planned with, from the zone plan; initially 1.
+    """The zone plan changed the fraction of a server's capacity that may be used; it is initially 1.
 
-    A server whose fraction is 0 is used only if no other is left.
+    A server with fraction 0 is used only if no other server is left.
     """
 
     server_id: int
@@ -178,21 +181,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerObservation:
-    """What another assigner has observed of a server, or of the fleet (server_id -1), from its replica."""
+    """Observation by another assigner of a server, or of the fleet (server_id -1), from its replica."""
 
     server_id: int
-    recovery_level: int = -1  # index of the level on its recovery ramp, 0 is ejected; -1: not reported
-    capacity_per_s: float = 0.0  # of a server of listed weight 1, only for the fleet; 0: not reported
-    is_leaving: bool | None = None  # whether it drains or was removed; None: not reported
+    recovery_level: int = -1  # Index into RECOVERY_LEVELS, where 0 is ejected; -1 means not reported.
+    # Requests per second of a server of listed weight 1, for the fleet only; 0 means not reported.
+    capacity_per_s: float = 0.0
+    is_leaving: bool | None = None  # Whether the server is draining or removed; None means not reported.
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneCommandReceived:
-    """An operator's command for a zone, handled by the zone plan."""
+    """An operator sent a command for a zone; the zone plan handles it."""
 
     zone: int
     operation: ZoneOperation
-    pace: float  # of the steps, as a multiple of the usual
+    pace: float  # Speed of the steps, as a multiple of the default.
 
 
 Event = (
--- a/puffintide/decisions/health.py
+++ b/puffintide/decisions/health.py
@@ -1,9 +1,9 @@
 """Outlier detection: ejects servers that do not respond, and reinstates them along a recovery ramp.
 
-A server is suspected when its requests or health checks fail and it has not responded for a while. Not responding
-alone ejects no server, as there may be no requests. Time without a response is measured up to the latest report, so
-that reports that are late for all servers eject none either. If most of the fleet is suspected the cause is common,
-and none is ejected.
+A server is suspected when its requests or health checks fail and it has not responded for a while. A missing
+response alone does not eject a server, as there may be no requests. The time without a response ends at the
+latest report, so late reports for all servers do not eject any. If most of the fleet is suspected, the cause
+is taken to be a common one and no server is ejected.
 """
 
 from __future__ import annotations
@@ -25,11 +25,14 @@
         HealthCheckStatus.RESET,
     }
 )
-MIN_LISTED_WEIGHT = 1e-9
+MIN_LISTED_WEIGHT = 1e-9  # Smallest divisor; avoids a division by zero.
 
 
 def apply_health_check(fleet: FleetState, event: HealthCheckResult) -> None:
-    """Take in the outcome of a health check; an error or a rejection says nothing about the server."""
+    """Apply the outcome of a health check.
+
+    An error or a rejection is ignored, as it says nothing about the health of the server.
+    """
     server = fleet.servers.get(event.server_id)
     if server is None or event.status not in CONCLUSIVE_STATUSES:
         return
@@ -40,21 +43,24 @@
         apply_load_values(fleet, server, event.load_values)
     else:
         server.consecutive_checks = min(server.consecutive_checks, 0) - 1
-    longest_s = parameters.DELAYED_HEALTH_CHECK_RATIO * server.shortest_health_check_s
-    server.is_delayed = not succeeded or event.elapsed_s > longest_s
+    max_elapsed_s = parameters.DELAYED_HEALTH_CHECK_RATIO * server.shortest_health_check_s
+    server.is_delayed = not succeeded or event.elapsed_s > max_elapsed_s
     if succeeded or event.status == HealthCheckStatus.TIMEOUT:
         _record_health_check(fleet, server)
 
 
 def _record_health_check(fleet: FleetState, server: ServerState) -> None:
-    """Record it for the estimate of how many requests a full server has in flight."""
+    """Record a health check for the estimate of how many requests a saturated server has in flight."""
     if server.in_flight is not None and server.endpoint.zone not in fleet.unreliable_zones:
         listed_weight = max(server.endpoint.weight, MIN_LISTED_WEIGHT)
         fleet.recorded_checks.append((server.last_in_flight / listed_weight, server.is_delayed))
 
 
 def update_recovery_levels(fleet: FleetState) -> None:
-    """Eject servers that are suspected, and move the others up their recovery ramps."""
+    """Eject suspected servers, and move the others up their recovery ramps.
+
+    No server changes its level while more than MAX_EJECTION_FRACTION of the fleet is suspected.
+    """
     ready = fleet.ready_servers()
     fleet.unreliable_zones = _find_unreliable_zones(ready)
     suspected_ids = {server.server_id for server in ready if _is_suspected(fleet, server)}
@@ -69,7 +75,11 @@
 
 
 def _find_unreliable_zones(ready: list[ServerState]) -> set[int]:
-    """Zones whose health checks say more about the network path than about servers, unlike those of another."""
+    """Return the zones whose health checks reflect a slow network path rather than slow servers.
+
+    Nearly all health checks of such a zone are delayed, and those of at least one other zone are not. If all
+    zones are delayed, none is returned.
+    """
     delayed_by_zone: dict[int, list[bool]] = {}
     for server in ready:
         delayed_by_zone.setdefault(server.endpoint.zone, []).append(server.is_delayed)
@@ -103,11 +113,11 @@
     if not is_failing and not failed_checks:
         return False
     responded_at_s = max(server.last_success_s, server.recovery_level_since_s, server.known_since_s)
-    allowed_s = max(
+    unresponsive_after_s = max(
         parameters.UNRESPONSIVE_REPORT_PERIODS * fleet.settings.report_period_s,
         parameters.UNRESPONSIVE_AFTER_S,
     )
-    return fleet.last_report_s - responded_at_s > allowed_s
+    return fleet.last_report_s - responded_at_s > unresponsive_after_s
 
 
 def _has_completed_recovery_step(fleet: FleetState, server: ServerState) -> bool:
@@ -118,7 +128,7 @@
 
 
 def _recovery_steps(fleet: FleetState, server: ServerState) -> float:
-    """The time that a server stays at its recovery level, in multiples of RECOVERY_STEP_S."""
+    """Return how long a server stays at its recovery level, as a multiple of RECOVERY_STEP_S."""
     if server.recovery_level > 0:
         return 1 if server.last_success_s > server.recovery_level_since_s else 2
     if fleet.settings.health_checks_enabled and server.endpoint.zone not in fleet.unreliable_zones:
@@ -127,9 +137,10 @@
 
 
 def shows_no_queueing(fleet: FleetState, server: ServerState) -> bool:
-    """Whether health checks are answered without delay, so that an estimated overload is not acted upon.
+    """Return whether health checks show that requests do not queue at a server.
 
-    Estimates of load swing, and each move that they cause costs a slice its cached keys.
+    An estimated overload of such a server is ignored. Load estimates fluctuate, and every move that they
+    cause costs a slice its cached keys.
     """
     return (
         fleet.settings.health_checks_enabled
@@ -140,7 +151,11 @@
 
 
 def schedule_health_checks(fleet: FleetState) -> list[SendHealthCheck]:
-    """Return the health checks to send now; a server's second one is spread over the period."""
+    """Return the health checks to send now.
+
+    The second check of each server is sent after a fixed part of the period, which spreads the load of
+    checks.
+    """
     if not fleet.settings.health_checks_enabled:
         return []
     health_checks = []
@@ -149,11 +164,11 @@
             continue
         health_checks.append(SendHealthCheck(server.server_id))
         is_first = server.next_health_check_s == 0
-        period_fraction = _spread(server.server_id) if is_first else 1.0
+        period_fraction = _hash_fraction(server.server_id) if is_first else 1.0
         server.next_health_check_s = fleet.now_s + parameters.HEALTH_CHECK_PERIOD_S * period_fraction
     return health_checks
 
 
-def _spread(server_id: int) -> float:
-    """A fixed fraction for a server, so that not all health checks are sent together."""
+def _hash_fraction(server_id: int) -> float:
+    """Return a fraction derived from a hash of the server id; it spreads checks over the period."""
     return zlib.crc32(f"{server_id}".encode()) % 1000 / 1000
--- a/puffintide/decisions/observations.py
+++ b/puffintide/decisions/observations.py
@@ -1,4 +1,4 @@
-"""Takes events into the state of the fleet: the endpoint list, ownership and tables, proxies, load reports."""
+"""Application of events to the fleet state: endpoint lists, ownership, tables, proxies, load reports."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 )
 from puffintide.decisions.state import FleetState, ServerState, SliceState
 
-MAX_REPORTED_LOAD = 1.5  # a busy fraction above is invalid
-MAX_REPORTED_IN_FLIGHT = 1e5  # requests; a count from here on is invalid
+MAX_REPORTED_LOAD = 1.5  # Largest valid busy fraction.
+MAX_REPORTED_IN_FLIGHT = 1e5  # Number of requests in flight from which a reported count is invalid.
 
 
 def apply_event(fleet: FleetState, event: Event) -> None:
-    """Take in an event about ownership, tables, proxies, load or limits; others are ignored."""
+    """Apply an event about ownership, tables, proxies, load or limits; ignore all others."""
     match event:
         case ServerLoadReport():
             apply_server_load(fleet, event)
@@ -51,7 +51,7 @@
 
 
 def apply_endpoint_list(fleet: FleetState, event: EndpointListUpdate) -> None:
-    """Take in a snapshot or a delta of the endpoint list, and forget servers removed long ago."""
+    """Apply a snapshot or a delta of the endpoint list, and forget servers that were removed long ago."""
     for endpoint in event.endpoints:
         _apply_endpoint(fleet, endpoint)
     if event.is_snapshot:
@@ -89,19 +89,22 @@
 
 
 def _forget_removed_servers(fleet: FleetState) -> None:
-    """Forget servers removed long ago that are in no table, as a machine that is replaced has a new id."""
-    expired = {
+    """Forget servers that were removed long ago and are in no table.
+
+    A replaced machine gets a new id, so its old id would otherwise be kept for ever.
+    """
+    expired_ids = {
         server_id
         for server_id, server in fleet.servers.items()
         if server.endpoint.status == EndpointStatus.REMOVED
         and fleet.now_s - (server.unavailable_since_s or fleet.now_s) > parameters.REMOVED_SERVER_RETENTION_S
     }
-    for server_id in expired.difference(*(slice_state.weights for slice_state in fleet.slices.values())):
+    for server_id in expired_ids.difference(*(slice_state.weights for slice_state in fleet.slices.values())):
         del fleet.servers[server_id]
 
 
 def apply_ownership(fleet: FleetState, event: OwnershipChanged) -> None:
-    """Take in that a slice was granted, with an empty table, or that its ownership was revoked."""
+    """Apply the grant of a slice, with an empty table, or the revocation of its ownership."""
     fleet.ownership_changed_s = fleet.now_s
     was_owned = fleet.slices.pop(event.slice_id, None) is not None
     if was_owned and not event.granted:
@@ -113,13 +116,16 @@
 
 
 def apply_stored_weight(fleet: FleetState, event: StoredWeight) -> None:
-    """Take in an entry of a granted slice's table; the first server with a primary weight is its default."""
+    """Apply a stored weight entry to a granted slice.
+
+    The first server with a primary weight becomes the default server of the slice.
+    """
     slice_state = fleet.slices.get(event.slice_id)
     if slice_state is None or event.weight <= 0:
         return
     weights = slice_state.weights
     weights[event.server_id] = event.weight
-    min_primary_weight = max(weights.values()) / 2  # a standby entry has far less
+    min_primary_weight = max(weights.values()) / 2  # Standby entries have far smaller weights.
     slice_state.assigned_servers = [
         server_id for server_id, weight in sorted(weights.items()) if weight >= min_primary_weight
     ]
@@ -127,7 +133,10 @@
 
 
 def apply_assigner_count(fleet: FleetState, event: AssignerCountChanged) -> None:
-    """Take in how many assigners share the fleet; a single one sees all load there is."""
+    """Apply the number of assigners that share the fleet.
+
+    A single assigner causes all of the load, so estimates of other assigners' load are dropped.
+    """
     fleet.settings = replace(fleet.settings, assigner_count=max(1, event.count))
     if event.count <= 1:
         for server in fleet.servers.values():
@@ -135,14 +144,17 @@
 
 
 def apply_capacity_limit(fleet: FleetState, event: CapacityLimitChanged) -> None:
-    """Take in the fraction of a server's capacity that may be planned with."""
+    """Apply the fraction of a server's capacity that plans may use."""
     fleet.capacity_limits.pop(event.server_id, None)
     if event.fraction < 1:
         fleet.capacity_limits[event.server_id] = event.fraction
 
 
 def apply_peer_observation(fleet: FleetState, event: PeerObservation) -> None:
-    """Take in what another assigner observed of a server, which counts until it was observed here."""
+    """Apply another assigner's observation of a server.
+
+    A recovery level is applied only as long as the server has not responded to this assigner's requests.
+    """
     server = fleet.servers.get(event.server_id)
     if server is None:
         return
@@ -157,7 +169,7 @@
 
 
 def apply_slice_load(fleet: FleetState, event: SliceLoadReport) -> None:
-    """Take in the requests of one class for a slice."""
+    """Apply a report of the requests of one class for a slice."""
     slice_state = fleet.slices.get(event.slice_id)
     if slice_state is not None and event.interval_s > 0:
         fleet.last_report_s = fleet.now_s
@@ -166,14 +178,15 @@
 
 
 def apply_server_load(fleet: FleetState, event: ServerLoadReport) -> None:
-    """Take in what proxies observed at a server, and the load values that it reported."""
+    """Apply what proxies observed at a server, and the load values that it reported."""
     server = fleet.servers.get(event.server_id)
     if server is None or event.interval_s <= 0 or event.failed_attempts > event.attempts:
         return
     fleet.last_report_s = fleet.now_s
     successes = event.attempts - event.failed_attempts
     server.successes[event.proxy_zone].add(fleet.now_s, successes, event.interval_s)
-    in_flight_s = successes * event.mean_latency_s  # over the interval: Little's law
+    # Little's law: this sum of latencies divided by the interval is the mean number in flight.
+    in_flight_s = successes * event.mean_latency_s
     server.own_in_flight[event.proxy_zone].add(fleet.now_s, in_flight_s, event.interval_s)
     if event.attempts:
         server.failure_fraction = exponential_average(
@@ -187,7 +200,7 @@
 
 
 def apply_load_values(fleet: FleetState, server: ServerState, load_values: tuple[float, ...]) -> None:
-    """Take in the load values of a server, in the order of the settings; invalid ones are ignored."""
+    """Apply the load values of a server, in the order of the settings; ignore invalid ones."""
     interval_s = fleet.settings.report_period_s
     for name, value in zip(fleet.settings.load_value_names, load_values, strict=False):
         if name == "busy" and 0 <= value <= MAX_REPORTED_LOAD:
--- a/puffintide/decisions/placement.py
+++ b/puffintide/decisions/placement.py
@@ -1,8 +1,8 @@
-"""Placement of slices: each round plans anew from the default servers, and detours just enough slices from them.
+"""Placement of slices: each round starts from the default servers and moves few slices to alternates.
 
-This is the allocator of Edge Fabric (SIGCOMM 2017, section 5.1): load is projected as if every slice were on its
-default server; servers above a threshold then shed slices, in order, to alternates that have capacity.
-docs/design.md tells what was added, and why.
+This is the allocator of Edge Fabric (SIGCOMM 2017, section 5.1). Load is projected as if every slice were on
+its default server. Servers above a threshold then shed slices, in order, to alternates that have capacity.
+docs/design.md describes the additions to it and their reasons.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 from puffintide.decisions.ranking import AlternateRanking
 from puffintide.decisions.state import FleetState
 
-MIN_LOAD = 1e-9  # requests per second, in place of 0 as a divisor
+MIN_LOAD = 1e-9  # Smallest divisor, in requests per second; avoids a division by zero.
 
 
 def plan_slices(fleet: FleetState, estimator: CapacityEstimator, ranking: AlternateRanking) -> Plan:
-    """Return the servers that each slice should be on now."""
+    """Return the plan for this round: the servers that each slice should be on."""
     return PlacementPass(fleet, Projection(fleet, estimator, ranking)).run()
 
 
 class PlacementPass:
-    """One pass over all slices, in phases that each move some of them."""
+    """A pass over all slices that plans their servers in several phases."""
 
     def __init__(self, fleet: FleetState, projection: Projection) -> None:
         self._fleet = fleet
         self._projection = projection
 
     def run(self) -> Plan:
-        """Return the servers of each slice after all phases."""
+        """Run all phases and return the resulting plan."""
         self._retain_current_alternates()
-        self._projection.fix_base_load()
+        self._projection.record_base_load()
         self._move_off_unavailable_servers()
         self._shed_overloaded_servers()
-        self._duplicate_fragile_slices()
+        self._duplicate_slices_on_collapse_prone_servers()
         self._spread_hot_slices()
         return self._projection.plan
 
     def _retain_current_alternates(self) -> None:
-        """Leave slices on their alternates until their default servers have capacity to spare."""
+        """Keep slices on their current alternates until their default servers have spare capacity."""
         projection = self._projection
         for slice_id, slice_state in sorted(self._fleet.slices.items()):
             default_id = slice_state.default_server
@@ -64,26 +64,26 @@
         return projection.load[server_id] <= limit
 
     def _stays_within_capacity(self, slice_id: int, server_id: int) -> bool:
-        """Whether a server can keep a part of a slice whose keys it has cached."""
+        """Return whether a server has capacity for a part of a slice whose keys it has cached."""
         projection = self._projection
         load = projection.load[server_id] + projection.part_rate[slice_id]
         return load <= parameters.MAX_UTILIZATION * projection.capacity[server_id]
 
     def _would_overload(self, slice_id: int, server_id: int) -> bool:
-        """Whether moving a part of a slice to a server would exceed the server's capacity."""
+        """Return whether moving a part of a slice to a server would exceed the server's capacity."""
         projection = self._projection
-        load = projection.load[server_id] + projection.cost(slice_id, server_id)
+        load = projection.load[server_id] + projection.added_load(slice_id, server_id)
         return load > parameters.MAX_UTILIZATION * projection.capacity[server_id]
 
     def _find_server(self, slice_id: int) -> int | None:
-        """Return an alternate that has capacity, else the least utilized server, if there is any."""
+        """Return an alternate that has capacity, or else the server with the lowest utilization, if any."""
         projection = self._projection
         alternate_id = projection.find_alternate(slice_id, parameters.ALTERNATE_MAX_UTILIZATION)
-        # Server 0 counts as none here, and is taken only as the least utilized.
+        # An alternate with id 0 is falsy here, so server 0 is returned only as the least utilized server.
         return alternate_id or projection.lowest_utilization_server(slice_id)
 
     def _move_off_unavailable_servers(self) -> None:
-        """Move slices off draining and removed servers, and off ejected ones if that overloads no other."""
+        """Move slices off draining and removed servers, and off ejected ones if no other is overloaded."""
         projection = self._projection
         for slice_id in sorted(self._fleet.slices):
             old_id = next(iter(projection.plan[slice_id]), None)
@@ -91,14 +91,14 @@
                 continue
             new_id = self._find_server(slice_id)
             assigned_ids = self._fleet.slices[slice_id].assigned_servers
-            is_still_there = old_id in projection.capacity and old_id in assigned_ids
-            if new_id is not None and not (is_still_there and self._would_overload(slice_id, new_id)):
+            is_still_assigned = old_id in projection.capacity and old_id in assigned_ids
+            if new_id is not None and not (is_still_assigned and self._would_overload(slice_id, new_id)):
                 projection.move(slice_id, old_id, new_id)
             elif old_id is not None and old_id not in projection.capacity:
                 projection.plan[slice_id] = []
 
     def _shed_overloaded_servers(self) -> None:
-        """Move slices, in the order of their ids, off servers above the threshold."""
+        """Move slices off servers above the overload threshold, in the order of slice ids."""
         projection = self._projection
         slices_by_server: defaultdict[int, list[int]] = defaultdict(list)
         for slice_id in sorted(self._fleet.slices):
@@ -112,21 +112,25 @@
     def _shed(self, server_id: int, slice_ids: list[int]) -> None:
         projection = self._projection
         capacity = projection.capacity[server_id]
-        max_load = self._load_to_shed_to(server_id)
+        target_load = self._shedding_target_load(server_id)
         for slice_id in slice_ids:
-            if projection.load[server_id] <= max_load:
+            if projection.load[server_id] <= target_load:
                 break
             if projection.part_rate[slice_id] <= parameters.MIN_MOVED_SLICE_UTILIZATION * capacity:
                 continue
             target_id = self._find_shedding_target(slice_id, server_id)
             if target_id is not None:
                 projection.move(slice_id, server_id, target_id)
-            elif projection.only_warming and projection.load[server_id] > projection.safe_load(server_id):
-                # Nothing but servers that are warming up: a slice is left unserved rather than a server to fail.
+            elif projection.all_warming and projection.load[server_id] > projection.safe_load(server_id):
+                # All servers are warming up. Leaving a slice unserved is better than letting a server
+                # collapse.
                 projection.drop(slice_id, server_id)
 
-    def _load_to_shed_to(self, server_id: int) -> float:
-        """The load down to which this assigner sheds: the threshold, and the excess that others shed."""
+    def _shedding_target_load(self, server_id: int) -> float:
+        """Return the load down to which this assigner sheds slices from a server.
+
+        It is the overload threshold plus the part of the excess that other assigners shed.
+        """
         projection = self._projection
         threshold = parameters.OVERLOAD_UTILIZATION * projection.capacity[server_id]
         if server_id not in projection.warm:
@@ -147,40 +151,43 @@
         if target_id is None and server_id not in projection.warm:
             lowest_utilization_id = projection.lowest_utilization_server(slice_id)
             target_id = lowest_utilization_id if lowest_utilization_id in projection.warm else None
-        if target_id is None and self._is_overwhelmed(server_id):
+        if target_id is None and self._is_severely_overloaded(server_id):
             target_id = projection.find_alternate(slice_id, parameters.MAX_UTILIZATION)
         return target_id
 
-    def _is_overwhelmed(self, server_id: int) -> bool:
-        """Whether so much is planned on a server and fails there that any other within its capacity is better."""
+    def _is_severely_overloaded(self, server_id: int) -> bool:
+        """Return whether a server is planned far above its capacity and many of its attempts fail.
+
+        Slices then move to any server that stays within its full capacity.
+        """
         projection = self._projection
         failure_fraction = self._fleet.servers[server_id].failure_fraction or 0.0
-        limit = parameters.OVERWHELMED_UTILIZATION * projection.capacity[server_id]
-        is_failing = failure_fraction > parameters.OVERWHELMED_FAILURE_FRACTION
+        limit = parameters.SEVERE_OVERLOAD_UTILIZATION * projection.capacity[server_id]
+        is_failing = failure_fraction > parameters.SEVERE_OVERLOAD_FAILURE_FRACTION
         return is_failing and projection.load[server_id] > limit
 
-    def _duplicate_fragile_slices(self) -> None:
-        """Give a second server to slices that stand alone on one that a key that becomes hot would make fail."""
+    def _duplicate_slices_on_collapse_prone_servers(self) -> None:
+        """Add a second server to slices that are only on a warming server that one hot key can collapse."""
         if self._fleet.settings.single_writer:
             return
         projection = self._projection
         collapse_ratio = self._fleet.settings.collapse_load_ratio
-        fragile_ids = {
+        collapse_prone_ids = {
             server_id
             for server_id in projection.warming
             if collapse_ratio * self._fleet.warm_up_fraction(server_id) < parameters.HOT_KEY_SURGE
         }
         for slice_id in sorted(self._fleet.slices):
             planned_ids = projection.plan[slice_id]
-            if projection.part_count[slice_id] == 1 and planned_ids and planned_ids[0] in fragile_ids:
-                projection.divide_in_two(slice_id)
+            if projection.part_count[slice_id] == 1 and planned_ids and planned_ids[0] in collapse_prone_ids:
+                projection.split_in_two(slice_id)
 
     def _spread_hot_slices(self) -> None:
-        """Place the further parts of slices that are divided."""
+        """Place the additional parts of slices that are split over several servers."""
         for slice_id in sorted(self._fleet.slices):
             self._assign_additional_servers(slice_id)
             if len(self._projection.plan[slice_id]) < self._projection.part_count[slice_id]:
-                self._leave_warming_servers(slice_id)
+                self._move_off_warming_servers(slice_id)
 
     def _assign_additional_servers(self, slice_id: int) -> None:
         projection = self._projection
@@ -201,8 +208,12 @@
                 return server_id
         return None
 
-    def _leave_warming_servers(self, slice_id: int) -> None:
-        """Move a slice off servers that are warming up, as the parts without a server of their own fall on all."""
+    def _move_off_warming_servers(self, slice_id: int) -> None:
+        """Move a slice off servers that are warming up.
+
+        The load of parts for which no server was found falls on the planned servers, and would overload
+        warming ones.
+        """
         projection = self._projection
         for server_id in [s for s in projection.plan[slice_id] if s in projection.warming]:
             target_id = projection.lowest_utilization_server(slice_id)
--- a/puffintide/decisions/publication.py
+++ b/puffintide/decisions/publication.py
@@ -1,7 +1,7 @@
-"""Publication: sends the table entries that changed, in batches that the channel to the proxies has capacity for.
+"""Publication: sends changed table entries in batches that fit into the channel to the proxies.
 
-Urgent changes are sent at once, ordinary ones once in a period. All actions of a batch end with a checkpoint, whose
-acknowledgements tell how fast the channel is.
+Urgent changes are sent at once, ordinary ones once per period. Each batch ends with a checkpoint, whose
+acknowledgements show how fast the proxies apply what was sent.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
         self._channel = channel
         self._tables = TableWriter(fleet, ranking)
         self.withdrawals = WithdrawalController(fleet, channel, self._tables)
-        self.next_ordinary_s = 0.0  # when ordinary changes may be sent
-        self._last_ordinary_s = 0.0  # when they last were
+        self.next_ordinary_s = 0.0  # Earliest time of the next ordinary changes.
+        self._last_ordinary_s = 0.0  # Time of the last ordinary changes.
 
     def publish(self, plan: Plan) -> list[Action]:
-        """Return the actions that bring tables closer to a plan, as many as may be sent now."""
+        """Return the actions that bring tables closer to a plan, limited to what may be sent now."""
         fleet = self._fleet
         self._channel.expire_messages()
         sends_ordinary = fleet.now_s >= self.next_ordinary_s
@@ -40,37 +40,41 @@
         budget = self._channel.budget()
         actions: list[Action] = list(self.withdrawals.withdraw_servers(plan, urgent_ids, budget))
         for slice_id in urgent_ids:
-            self._add_table(actions, slice_id, plan[slice_id], budget.urgent, is_urgent=True)
+            self._add_table_changes(actions, slice_id, plan[slice_id], budget.urgent, is_urgent=True)
         for slice_id in ordinary_ids:
-            self._add_table(actions, slice_id, plan[slice_id], budget.ordinary, is_urgent=False)
+            self._add_table_changes(actions, slice_id, plan[slice_id], budget.ordinary, is_urgent=False)
         if fleet.admission_update_pending and (sends_ordinary or actions):
-            self._add_admission(actions, budget)
+            self._add_admission_updates(actions, budget)
         if actions:
             actions.append(self._channel.record_message(len(actions)))
             self._schedule_ordinary(sends_ordinary)
         return actions
 
     def _urgent_slices(self, plan: Plan) -> list[int]:
-        """Slices whose tables must not wait: those of lost servers first, each time the hottest first."""
+        """Return the slices whose tables must change at once, the most urgent first."""
         fleet = self._fleet
         slice_ids = [
             slice_id
             for slice_id, state in sorted(fleet.slices.items())
             if self._is_urgent(state, plan[slice_id])
         ]
-        sound_ids = {
+        warm_ready_ids = {
             server_id for server_id in fleet.servers if fleet.is_ready(server_id) and fleet.is_warm(server_id)
         }
-        return sorted(slice_ids, key=lambda slice_id: self._urgency(slice_id, sound_ids))
+        return sorted(slice_ids, key=lambda slice_id: self._urgency_sort_key(slice_id, warm_ready_ids))
 
-    def _urgency(self, slice_id: int, sound_ids: set[int]) -> tuple[bool, float, int]:
-        """Sorts slices without a sound server first, then the hottest first."""
+    def _urgency_sort_key(self, slice_id: int, warm_ready_ids: set[int]) -> tuple[bool, float, int]:
+        """Return a key that sorts slices without a warm, ready server first, then by falling rate."""
         state = self._fleet.slices[slice_id]
-        has_sound_server = not sound_ids.isdisjoint(state.assigned_servers)
-        return has_sound_server, -self._fleet.request_rate(state), slice_id
+        has_warm_server = not warm_ready_ids.isdisjoint(state.assigned_servers)
+        return has_warm_server, -self._fleet.request_rate(state), slice_id
 
     def _is_urgent(self, state: SliceState, planned_ids: list[int]) -> bool:
-        """Whether a table has a lost server, none that can be used, or should leave a weak one."""
+        """Return whether a table must change at once.
+
+        A change is urgent if the table holds an unavailable server or no usable server. It is also urgent if
+        the slice is on a server with reduced capacity and the plan has other servers for it.
+        """
         fleet = self._fleet
         admitted_ids = [server_id for server_id in state.weights if server_id not in fleet.withdrawn_servers]
         ready = [fleet.is_ready(server_id) for server_id in admitted_ids]
@@ -78,10 +82,10 @@
             return True
         if set(state.assigned_servers) == set(planned_ids):
             return False
-        return any(self._is_weak(server_id, planned_ids) for server_id in state.assigned_servers)
+        return any(self._has_reduced_capacity(server_id, planned_ids) for server_id in state.assigned_servers)
 
-    def _is_weak(self, server_id: int, planned_ids: list[int]) -> bool:
-        """Whether a server is warming up, or ejected and not planned."""
+    def _has_reduced_capacity(self, server_id: int, planned_ids: list[int]) -> bool:
+        """Return whether a server is warming up, or is ejected and not in the plan."""
         server = self._fleet.servers.get(server_id)
         if server is None:
             return False
@@ -89,41 +93,46 @@
         return is_ejected or not self._fleet.is_warm(server_id)
 
     def _ordinary_slices(self, plan: Plan, urgent_ids: list[int]) -> list[int]:
-        """The other slices, by id; none while reports are late or too few."""
+        """Return the other slices whose tables may change; none if reports are late or incomplete."""
         fleet = self._fleet
-        latest_s = parameters.AVERAGE_MEMORY_S + 2 * fleet.settings.report_period_s
-        if fleet.now_s - fleet.last_report_s > latest_s or fleet.is_settling():
+        max_report_age_s = parameters.AVERAGE_TIME_CONSTANT_S + 2 * fleet.settings.report_period_s
+        if fleet.now_s - fleet.last_report_s > max_report_age_s or fleet.is_settling():
             return []
         returning_ids = {
-            slice_id for slice_id, state in fleet.slices.items() if self._returns_early(state, plan[slice_id])
+            slice_id
+            for slice_id, state in fleet.slices.items()
+            if self._would_return_too_early(state, plan[slice_id])
         }
         return sorted(fleet.slices.keys() - urgent_ids - returning_ids)
 
-    def _returns_early(self, state: SliceState, planned_ids: list[int]) -> bool:
-        """Whether a slice that has just moved would move back."""
+    def _would_return_too_early(self, state: SliceState, planned_ids: list[int]) -> bool:
+        """Return whether the plan would move a slice back that has only just moved."""
         if self._fleet.now_s - state.moved_at_s >= parameters.RETURN_COOLDOWN_S:
             return False
         return set(planned_ids) == set(state.previous_servers)
 
-    def _add_table(
+    def _add_table_changes(
         self, actions: list[Action], slice_id: int, planned_ids: list[int], limit: float, is_urgent: bool
     ) -> None:
-        """Add the changes to a slice's table if the channel has capacity for them."""
+        """Add the changes to a slice's table if they fit into the limit."""
         changes = self._tables.changes(slice_id, planned_ids, removes_withdrawn=not is_urgent)
         if changes and (len(actions) + len(changes)) * self._channel.proxy_count <= limit:
             actions.extend(changes)
             self._tables.record(slice_id, planned_ids, changes)
 
-    def _add_admission(self, actions: list[Action], budget: ChannelBudget) -> None:
+    def _add_admission_updates(self, actions: list[Action], budget: ChannelBudget) -> None:
         updates = admission_actions(self._fleet)
         if updates and (len(actions) + len(updates)) * self._channel.proxy_count <= budget.urgent:
             actions.extend(updates)
             self._fleet.admission_update_pending = False
 
-    def _schedule_ordinary(self, was_ordinary: bool) -> None:
-        """Delay ordinary changes by a period, but not for ever where urgent ones never stop."""
+    def _schedule_ordinary(self, sent_ordinary: bool) -> None:
+        """Delay the next ordinary changes by a period.
+
+        The total delay is bounded, so that a steady stream of urgent changes does not block ordinary ones.
+        """
         now_s = self._fleet.now_s
-        if was_ordinary:
+        if sent_ordinary:
             self._last_ordinary_s = now_s
         period_s = max(1.0, self._fleet.settings.assigner_count / 2) * parameters.PUBLISH_PERIOD_S
         latest_s = self._last_ordinary_s + max(period_s, parameters.ORDINARY_DELAY_MAX_S)
--- a/puffintide/decisions/ranking.py
+++ b/puffintide/decisions/ranking.py
@@ -1,4 +1,4 @@
-"""The order in which servers are considered as alternates of a slice, and which ones an assigner has alone."""
+"""Order of the alternates of a slice, and exclusive use of servers by one assigner."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 from puffintide.decisions.state import FleetState
 
-MAX_ZONES = 256
+MAX_ZONES = 256  # Upper bound of zone numbers.
 
 
 class AlternateRanking:
-    """A fixed order of servers for each slice: warm ones first, nearer zones first, else by a hash of both.
+    """Fixed order of servers for each slice: warm ones first, then nearer zones, then a hash of both ids.
 
-    Orders are cached for as long as the same servers are ready and warm.
+    Orders are cached as long as the same servers are ready and warm.
     """
 
     def __init__(self, fleet: FleetState) -> None:
         self._fleet = fleet
-        self._candidates: list[tuple[bool, int]] = []  # whether warming up, server id
-        self._orders: dict[tuple[int, int | None], list[int]] = {}  # by slice and its default server
+        self._candidates: list[tuple[bool, int]] = []  # Whether it is warming up, and server id.
+        self._orders: dict[tuple[int, int | None], list[int]] = {}  # Keyed by slice and default server.
 
     def set_candidates(self, server_ids: Iterable[int]) -> None:
-        """State which servers are ready; to be called each round."""
+        """Set the ready servers, and drop cached orders if they changed; called once per round."""
         candidates = [(not self._fleet.is_warm(server_id), server_id) for server_id in server_ids]
         if candidates != self._candidates:
             self._candidates = candidates
             self._orders = {}
 
     def alternates(self, slice_id: int) -> list[int]:
-        """Return the ready servers in the order for a slice that this assigner owns."""
+        """Return the ready servers in the order of preference for a slice that this assigner owns."""
         key = slice_id, self._fleet.slices[slice_id].default_server
         if key not in self._orders:
             self._orders[key] = self._rank(slice_id)
         return self._orders[key]
 
     def _rank(self, slice_id: int) -> list[int]:
-        distances = self._distances(slice_id)
+        distances = self._zone_distances(slice_id)
         ranked = sorted(
             (
                 is_warming,
@@ -48,8 +48,11 @@
         )
         return [server_id for *_, server_id in ranked]
 
-    def _distances(self, slice_id: int) -> tuple[int, ...]:
-        """The distance of each zone from that of the slice's default server; all alike if none is stated."""
+    def _zone_distances(self, slice_id: int) -> tuple[int, ...]:
+        """Return the distance of each zone from the zone of the slice's default server.
+
+        All distances are 0 if there are none in the settings, or if the default server is unknown.
+        """
         default = self._fleet.servers.get(self._fleet.slices[slice_id].default_server or 0)
         zone_distances = self._fleet.settings.zone_distances
         if not zone_distances or default is None:
@@ -58,9 +61,10 @@
 
 
 def is_exclusive(fleet: FleetState, server_id: int) -> bool:
-    """Whether this assigner has a server's spare capacity for itself, where that is not divided evenly.
+    """Return whether this assigner alone may use a server's spare capacity, if that is not divided evenly.
 
-    Each assigner has as many servers as its fraction of the slices, so that those of dead assigners are included.
+    Servers are placed on a ring by a hash, and each assigner has an arc as long as its fraction of the
+    slices. An assigner that takes over the slices of a failed one thus takes over as many servers.
     """
     settings = fleet.settings
     position = zlib.crc32(f"{server_id}".encode()) / 2**32
--- a/puffintide/decisions/tables.py
+++ b/puffintide/decisions/tables.py
@@ -1,4 +1,4 @@
-"""The tables of slices: which weights a plan asks for, and which entries of a table have to change."""
+"""Tables of slices: the weights that a plan requires, and the entries that have to change."""
 
 from __future__ import annotations
 
@@ -9,50 +9,53 @@
 
 
 class TableWriter:
-    """Compares the tables that a plan asks for with those in the store, and records what is written."""
+    """Compares the tables that a plan requires with those in the store, and records written changes."""
 
     def __init__(self, fleet: FleetState, ranking: AlternateRanking) -> None:
         self._fleet = fleet
         self._ranking = ranking
 
     def changes(self, slice_id: int, planned_ids: list[int], removes_withdrawn: bool) -> list[SetWeight]:
-        """Return the entries of a slice's table to set, new ones first, so that it is never empty.
+        """Return the changes to a slice's table, added entries first, so that the table is never empty.
 
         Args:
-            slice_id: A slice that this assigner owns.
-            planned_ids: The servers that it should be on.
-            removes_withdrawn: Whether entries of withdrawn servers are removed, which is never urgent.
+            slice_id: The slice, which this assigner owns.
+            planned_ids: The servers that the slice should be on.
+            removes_withdrawn: Whether to remove entries of withdrawn servers, which is never urgent.
         """
         current = self._fleet.slices[slice_id].weights
-        wanted = self._wanted_weights(slice_id, planned_ids)
+        target = self._target_weights(slice_id, planned_ids)
         if self._fleet.settings.single_writer:
-            return [SetWeight(slice_id, server_id, 1.0) for server_id in wanted if server_id not in current]
+            return [SetWeight(slice_id, server_id, 1.0) for server_id in target if server_id not in current]
         added = [
             SetWeight(slice_id, server_id, weight)
-            for server_id, weight in sorted(wanted.items())
+            for server_id, weight in sorted(target.items())
             if abs(current.get(server_id, 0.0) - weight) > parameters.WEIGHT_TOLERANCE
         ]
         removed = [
             SetWeight(slice_id, server_id, 0.0)
             for server_id in sorted(current)
-            if server_id not in wanted
+            if server_id not in target
             and (removes_withdrawn or server_id not in self._fleet.withdrawn_servers)
         ]
         return added + removed
 
-    def _wanted_weights(self, slice_id: int, planned_ids: list[int]) -> dict[int, float]:
-        """The table for a slice: equal weights, and a standby entry for retries where there is one server."""
+    def _target_weights(self, slice_id: int, planned_ids: list[int]) -> dict[int, float]:
+        """Return the weights that a slice's table should have.
+
+        Planned servers have equal weights. A single one is joined by a standby entry for retries.
+        """
         weights = dict.fromkeys(planned_ids, 1.0)
         settings = self._fleet.settings
-        proxies_leave_servers = settings.default_retry_mode + settings.proxy_ejection_failures > 0
-        if len(planned_ids) == 1 and not settings.single_writer and proxies_leave_servers:
+        proxies_change_servers = settings.default_retry_mode + settings.proxy_ejection_failures > 0
+        if len(planned_ids) == 1 and not settings.single_writer and proxies_change_servers:
             standby_id = self._standby_server(slice_id, planned_ids[0])
             if standby_id is not None:
                 weights[standby_id] = parameters.STANDBY_WEIGHT
         return weights
 
     def _standby_server(self, slice_id: int, planned_id: int) -> int | None:
-        """The first alternate that is recovered and not withdrawn, if it is warm."""
+        """Return the first alternate that is fully recovered and not withdrawn, or None if it is not warm."""
         for server_id in self._ranking.alternates(slice_id):
             is_usable = self._fleet.servers[server_id].is_fully_recovered
             if is_usable and server_id != planned_id and server_id not in self._fleet.withdrawn_servers:
@@ -60,7 +63,7 @@
         return None
 
     def record(self, slice_id: int, planned_ids: list[int], changes: list[SetWeight]) -> None:
-        """Record that changes to a slice's table are written."""
+        """Record changes to a slice's table as written."""
         slice_state = self._fleet.slices[slice_id]
         if slice_state.default_server is None:
             slice_state.default_server = next(iter(planned_ids), None)
--- a/puffintide/decisions/withdrawals.py
+++ b/puffintide/decisions/withdrawals.py
@@ -1,4 +1,7 @@
-"""Withdrawals: one entry takes a lost server out of all tables, where rewriting these would take too long."""
+"""Withdrawals: one entry takes an unavailable server out of all tables if rewriting them would take too long.
+
+A server is unavailable while it drains or after it was removed.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class WithdrawalController:
-    """Decides which servers are withdrawn, and which are readmitted."""
+    """Decides which servers are withdrawn and which are readmitted."""
 
     def __init__(self, fleet: FleetState, channel: Channel, tables: TableWriter) -> None:
         self._fleet = fleet
@@ -23,25 +26,27 @@
     def withdraw_servers(
         self, plan: Plan, urgent_slice_ids: Collection[int], budget: ChannelBudget
     ) -> list[SetWithdrawn]:
-        """Withdraw lost servers, readmit others, and resend withdrawals to proxies that connected.
+        """Withdraw unavailable servers, readmit others, and resend withdrawals to newly connected proxies.
 
-        Sets fleet.urgent_change_pending if not all lost servers could be withdrawn now.
+        This sets fleet.urgent_change_pending if not all unavailable servers could be withdrawn now.
 
         Args:
             plan: The servers that each slice should be on.
-            urgent_slice_ids: Slices whose tables must be rewritten without the withdrawals.
-            budget: What the channel has capacity for.
+            urgent_slice_ids: The slices whose tables must be rewritten if no server is withdrawn.
+            budget: The numbers of entries that the channel has capacity for.
         """
         fleet = self._fleet
-        listed_ids = {server_id for state in fleet.slices.values() for server_id in state.weights}
-        unavailable_ids = self._servers_to_withdraw(listed_ids, plan, urgent_slice_ids, budget)
+        table_server_ids = {server_id for state in fleet.slices.values() for server_id in state.weights}
+        unavailable_ids = self._servers_to_withdraw(table_server_ids, plan, urgent_slice_ids, budget)
         readmitted_ids = self._servers_to_readmit(plan)
-        resent_ids = sorted(fleet.withdrawn_servers & listed_ids) if fleet.withdrawals_resend_pending else []
-        wanted_ids = unavailable_ids + readmitted_ids + resent_ids
+        resent_ids = (
+            sorted(fleet.withdrawn_servers & table_server_ids) if fleet.withdrawals_resend_pending else []
+        )
+        pending_ids = unavailable_ids + readmitted_ids + resent_ids
         limit = self._entry_limit(len(unavailable_ids), budget)
-        sent_ids = wanted_ids[:limit]
+        sent_ids = pending_ids[:limit]
         fleet.urgent_change_pending = len(sent_ids) < len(unavailable_ids)
-        fleet.withdrawals_resend_pending = len(sent_ids) < len(wanted_ids)
+        fleet.withdrawals_resend_pending = len(sent_ids) < len(pending_ids)
         fleet.withdrawn_servers = fleet.withdrawn_servers.union(unavailable_ids[:limit]).difference(
             set(readmitted_ids) & set(sent_ids)
         )
@@ -50,13 +55,13 @@
         ]
 
     def _servers_to_withdraw(
-        self, listed_ids: set[int], plan: Plan, urgent_slice_ids: Collection[int], budget: ChannelBudget
+        self, table_server_ids: set[int], plan: Plan, urgent_slice_ids: Collection[int], budget: ChannelBudget
     ) -> list[int]:
-        """Lost servers that are in tables, unless these can be rewritten in time."""
+        """Return unavailable servers that are in tables; none if the tables can be rewritten in time."""
         fleet = self._fleet
         unavailable_ids = [
             server_id
-            for server_id in sorted(listed_ids - fleet.withdrawn_servers)
+            for server_id in sorted(table_server_ids - fleet.withdrawn_servers)
             if server_id in fleet.servers and not fleet.is_ready(server_id)
         ]
         if not unavailable_ids:
@@ -65,12 +70,12 @@
             len(self._tables.changes(slice_id, plan[slice_id], removes_withdrawn=False))
             for slice_id in urgent_slice_ids
         )
-        in_time = self._remaining_grace_s(unavailable_ids) * fleet.settings.channel_entries_per_s
-        sendable = min(in_time - self._channel.waiting_entries, budget.urgent)
-        return [] if entries * self._channel.proxy_count <= sendable else unavailable_ids
+        entries_before_stop = self._remaining_grace_s(unavailable_ids) * fleet.settings.channel_entries_per_s
+        max_entries = min(entries_before_stop - self._channel.outstanding_entries, budget.urgent)
+        return [] if entries * self._channel.proxy_count <= max_entries else unavailable_ids
 
     def _remaining_grace_s(self, unavailable_ids: list[int]) -> float:
-        """The time in which an entry must leave the channel to arrive before the first lost server stops."""
+        """Return the time left to send entries that must arrive before the first unavailable server stops."""
         fleet = self._fleet
         unavailable_since_s = min(
             fleet.servers[server_id].unavailable_since_s or fleet.now_s for server_id in unavailable_ids
@@ -80,7 +85,7 @@
         return settings.drain_grace_s - elapsed_s - settings.channel_delay_max_s - parameters.ROUND_PERIOD_S
 
     def _servers_to_readmit(self, plan: Plan) -> list[int]:
-        """Withdrawn servers that are ready, or forgotten, and in no table against the plan."""
+        """Return withdrawn servers that are ready or forgotten, and in no table against the plan."""
         fleet = self._fleet
         unplanned_ids = {
             server_id
@@ -95,9 +100,10 @@
         ]
 
     def _entry_limit(self, unavailable_count: int, budget: ChannelBudget) -> int:
-        """How many entries may be sent; none while lost servers could only be sent one by one.
+        """Return how many entries may be sent now.
 
-        Each message costs a header at every proxy.
+        It is 0 while withdrawals would have to be sent one by one, as each message costs a header at every
+        proxy.
         """
         proxy_count = self._channel.proxy_count
         if budget.withdrawals < min(parameters.RESERVED_ENTRIES_PER_PROXY, unavailable_count) * proxy_count:
