--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Full size and beyond: the work of a round is bounded by counting calls, and odd lists do no harm."""
+"""Tests with large fleets and unusual endpoint lists; the cost of a round is counted in calls."""
 
 import sys
 from types import FrameType
@@ -15,16 +15,16 @@
 from tests.world import World, big_world, server
 
 
-def calls_in_a_round(world: World) -> int:
-    """Calls, built-in ones too, that one round makes when nothing is heard."""
+def count_calls_in_a_round(world: World) -> int:
+    """Return the number of calls, built-in ones included, of one round without reports."""
     count = 0
 
-    def tally(_frame: FrameType, event: str, _arg: Any) -> None:
+    def count_call(_frame: FrameType, event: str, _arg: Any) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
     world.now += 0.25
-    sys.setprofile(tally)
+    sys.setprofile(count_call)
     try:
         world.director.handle(world.now, [TimerFired(1)])
     finally:
@@ -32,12 +32,12 @@
     return count
 
 
-def test_work_of_a_round_grows_with_the_fleet_and_not_with_its_square() -> None:
+def test_work_of_a_round_does_not_grow_quadratically_with_the_fleet() -> None:
     counts = []
     for size in (40, 80, 160):
         world = big_world(size)
         world.run(6)
-        counts.append(max(calls_in_a_round(world) for _ in range(5)))
+        counts.append(max(count_calls_in_a_round(world) for _ in range(5)))
         assert counts[-1] <= 120 * (size + len(world.request_rates))
     assert counts[1] <= 2.6 * counts[0]
     assert counts[2] <= 2.6 * counts[1]
@@ -46,18 +46,20 @@
 def test_rankings_are_cached_while_the_same_servers_are_ready() -> None:
     world = big_world(40)
     world.run(6)
-    orders = {n: id(world.director.ranking.alternates(n)) for n in world.request_rates}
+    ranking_ids = {n: id(world.director.ranking.alternates(n)) for n in world.request_rates}
     world.run(6)
-    assert {n: id(world.director.ranking.alternates(n)) for n in world.request_rates} == orders
+    assert {n: id(world.director.ranking.alternates(n)) for n in world.request_rates} == ranking_ids
     world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     assert all(1 not in world.director.ranking.alternates(n) for n in world.request_rates)
 
 
-@pytest.mark.parametrize("left", [0, 1])
-def test_every_slice_is_served_again_after_the_list_shrank_to_one_or_none(left: int) -> None:
+@pytest.mark.parametrize("remaining", [0, 1])
+def test_every_slice_is_served_again_after_the_list_shrank_to_one_or_none(remaining: int) -> None:
     world = big_world(20)
     world.run(4)
-    world.send(EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(server(s) for s in range(1, left + 1))))
+    world.send(
+        EndpointListUpdate(ListUpdateType.SNAPSHOT, 2, tuple(server(s) for s in range(1, remaining + 1)))
+    )
     world.run(8)
     world.send(EndpointListUpdate(ListUpdateType.SNAPSHOT, 3, tuple(server(s) for s in range(1, 21))))
     world.run(20)
@@ -69,4 +71,4 @@
     world.run(5)
     world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
-    assert all(1 not in t for t in world.tables.values())
+    assert all(1 not in table for table in world.tables.values())
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: default servers, shedding of overloaded ones, return, hot slices."""
+"""Tests of placement: default servers, shedding of overloaded servers, return of slices, and hot slices."""
 
 from dataclasses import replace
 
@@ -14,16 +14,16 @@
 from puffintide.decisions.parameters import RETURN_COOLDOWN_S
 from tests.world import World
 
-HOME = range(0, 40, 4)  # the slices of server 1 in a world of 40 slices and four servers
+SERVER_1_SLICES = range(0, 40, 4)  # Slices whose default is server 1, with 40 slices and four servers.
 
 
 def overload_first_server(world: World) -> None:
-    """A light fleet whose first server then gets more than it can do."""
-    for number in world.request_rates:
-        world.request_rates[number] = 1.2
+    """Raise the load of server 1 above its capacity; the other servers stay lightly loaded."""
+    for slice_id in world.request_rates:
+        world.request_rates[slice_id] = 1.2
     world.run(5)
-    for number in HOME:
-        world.request_rates[number] = 3.4
+    for slice_id in SERVER_1_SLICES:
+        world.request_rates[slice_id] = 3.4
     world.run(20)
 
 
@@ -42,77 +42,78 @@
     assert all(world.load(s) <= world.capacity[s] for s in world.capacity)
 
 
-@pytest.mark.parametrize("sign", ["none", "slowed", "lost", "failing", "some lost on the way"])
-def test_server_sheds_only_when_health_checks_or_failures_show_queueing(sign: str) -> None:
-    """The reading of its load says 0.95 of its capacity, and swings."""
+@pytest.mark.parametrize("symptom", ["none", "slow", "timeout", "failing", "rare failures"])
+def test_server_sheds_only_when_health_checks_or_failures_show_queueing(symptom: str) -> None:
+    """An estimated load of 0.95 of the capacity alone is too noisy to move slices."""
     world = World(slice_count=40, health_checks_enabled=True)
-    for number in world.request_rates:
-        world.request_rates[number] = 2.85 if number in HOME else 1.2
-    usual = world.reports
-    losses = {"failing": (2, 10.0), "some lost on the way": (100, 500.0)}.get(sign)  # one of so many, in s
-    failed = [ServerLoadReport(1, 1, losses[0], 1, 0.2, losses[1], ())] if losses else []
-    world.reports = lambda: [*usual(), *failed]  # type: ignore[method-assign]
+    for slice_id in world.request_rates:
+        world.request_rates[slice_id] = 2.85 if slice_id in SERVER_1_SLICES else 1.2
+    default_reports = world.reports
+    # Attempts, one of which fails, and the interval of the report in seconds.
+    failures = {"failing": (2, 10.0), "rare failures": (100, 500.0)}.get(symptom)
+    failure_reports = [ServerLoadReport(1, 1, failures[0], 1, 0.2, failures[1], ())] if failures else []
+    world.reports = lambda: [*default_reports(), *failure_reports]  # type: ignore[method-assign]
     for step in range(40):
-        lost = sign == "lost" and step % 2
-        status = HealthCheckStatus.TIMEOUT if lost else HealthCheckStatus.OK
-        took = 0.02 if sign == "slowed" and step > 8 else 0.01
+        times_out = symptom == "timeout" and step % 2
+        status = HealthCheckStatus.TIMEOUT if times_out else HealthCheckStatus.OK
+        elapsed_s = 0.02 if symptom == "slow" and step > 8 else 0.01
         world.send(*(HealthCheckResult(s, HealthCheckStatus.OK, 0.01, ()) for s in (2, 3, 4)))
-        world.send(HealthCheckResult(1, status, took, ()))
+        world.send(HealthCheckResult(1, status, elapsed_s, ()))
         world.run(0.25)
-    assert all(world.main_servers(n) == {1} for n in HOME) == (sign == "none")
+    assert all(world.main_servers(n) == {1} for n in SERVER_1_SLICES) == (symptom == "none")
 
 
-def test_overwhelmed_server_sheds_to_alternates_up_to_their_full_capacity() -> None:
-    """All others are above ROOM: one that gets over twice what it can do must not be left so for that."""
+def test_severely_overloaded_server_sheds_to_alternates_up_to_their_full_capacity() -> None:
+    """A server at over twice its capacity sheds even if all others exceed ALTERNATE_MAX_UTILIZATION."""
     world = World(slice_count=80)
-    home = range(0, 80, 4)
-    for number in world.request_rates:
-        world.request_rates[number] = 1.14
+    server_1_slices = range(0, 80, 4)
+    for slice_id in world.request_rates:
+        world.request_rates[slice_id] = 1.14
     world.run(5)
-    for number in home:
-        world.request_rates[number] = 3.5
+    for slice_id in server_1_slices:
+        world.request_rates[slice_id] = 3.5
     world.run(20)
     assert world.load(1) < 61
     assert all(world.load(s) <= world.capacity[s] for s in world.capacity if s != 1)
 
 
-class Late(World):
-    """What a full server can't do is still waiting: nothing fails."""
+class QueueingWorld(World):
+    """Simulation in which requests above the capacity of a server wait and do not fail."""
 
     def reports(self) -> list[Event]:
         events = super().reports()
         return [
-            replace(e, attempts=e.attempts - e.failed_attempts, failed_attempts=0)
-            if isinstance(e, ServerLoadReport)
-            else e
-            for e in events
+            replace(event, attempts=event.attempts - event.failed_attempts, failed_attempts=0)
+            if isinstance(event, ServerLoadReport)
+            else event
+            for event in events
         ]
 
 
-@pytest.mark.parametrize(("make", "heat"), [(World, 2.7), (Late, 3.5)])
-def test_server_that_is_not_overwhelmed_keeps_its_slices_when_all_are_overloaded(
-    make: type[World], heat: float
+@pytest.mark.parametrize(("world_type", "hot_rate"), [(World, 2.7), (QueueingWorld, 3.5)])
+def test_server_without_severe_overload_keeps_its_slices_when_all_are_overloaded(
+    world_type: type[World], hot_rate: float
 ) -> None:
-    """Less than twice what it can do, or nothing that fails: moves would cost caches for little."""
-    world = make(slice_count=80)
-    for number in world.request_rates:
-        world.request_rates[number] = 1.14
+    """Below twice the capacity, or without failures, moves would lose cached keys for little benefit."""
+    world = world_type(slice_count=80)
+    for slice_id in world.request_rates:
+        world.request_rates[slice_id] = 1.14
     world.run(5)
-    for number in range(0, 80, 4):
-        world.request_rates[number] = heat
-    before = world.count_moves()
+    for slice_id in range(0, 80, 4):
+        world.request_rates[slice_id] = hot_rate
+    moves_before = world.count_moves()
     world.run(20)
-    assert world.count_moves() == before
+    assert world.count_moves() == moves_before
 
 
 def test_moved_slices_return_when_the_default_server_has_capacity_again() -> None:
     world = World(slice_count=40)
     overload_first_server(world)
-    assert any(world.main_servers(n) != {1} for n in HOME)
-    for number in HOME:
-        world.request_rates[number] = 1.0
+    assert any(world.main_servers(n) != {1} for n in SERVER_1_SLICES)
+    for slice_id in SERVER_1_SLICES:
+        world.request_rates[slice_id] = 1.0
     world.run(25)
-    assert all(world.main_servers(n) == {1} for n in HOME)
+    assert all(world.main_servers(n) == {1} for n in SERVER_1_SLICES)
 
 
 def test_hot_slice_is_spread_over_several_servers() -> None:
@@ -128,15 +129,15 @@
     world.run(5)
     world.request_rates[0] = 35.0
     world.run(15)
-    assert all(len(t) <= 1 or len(world.main_servers(n)) == 1 for n, t in world.tables.items())
+    assert all(len(table) <= 1 or len(world.main_servers(n)) == 1 for n, table in world.tables.items())
     assert len(world.director.slices[0].weights) == 1
 
 
 def test_noise_at_the_threshold_does_not_move_slices_back_and_forth() -> None:
     world = World()
     world.run(5)
-    for number in (0, 4, 8):
-        world.request_rates[number] = 8.7
+    for slice_id in (0, 4, 8):
+        world.request_rates[slice_id] = 8.7
     for step in range(20):
         world.request_rates[0] = 8.7 + (0.6 if step % 2 else -0.6)
         world.run(1)
@@ -153,28 +154,33 @@
     assert logs[0] == logs[1]
 
 
-def swings(world: World, within_s: float) -> list[tuple[int, float]]:
-    """Slices that went from some servers to others and back within so long, and when."""
-    found, before = [], dict[int, list[tuple[float, frozenset[int]]]]()
+def find_oscillations(world: World, within_s: float) -> list[tuple[int, float]]:
+    """Return the slices that moved to other servers and back within an interval, and the times of return."""
+    found, history = [], dict[int, list[tuple[float, frozenset[int]]]]()
     tables: dict[int, dict[int, float]] = {n: {} for n in world.tables}
     for at_s, actions in world.log:
         for a in (a for a in actions if isinstance(a, SetWeight)):
             tables[a.slice_id][a.server_id] = a.weight
-        for number in {a.slice_id for a in actions if isinstance(a, SetWeight)}:
-            main = frozenset(s for s, w in tables[number].items() if w >= 1)
-            row = before.setdefault(number, [])
-            if not row or row[-1][1] != main:
-                row.append((at_s, main))
-            if len(row) > 2 and row[-3][1] == main and at_s - row[-2][0] < within_s and row[-1][0] == at_s:
-                found.append((number, at_s))
+        for slice_id in {a.slice_id for a in actions if isinstance(a, SetWeight)}:
+            servers = frozenset(s for s, w in tables[slice_id].items() if w >= 1)
+            moves = history.setdefault(slice_id, [])
+            if not moves or moves[-1][1] != servers:
+                moves.append((at_s, servers))
+            if (
+                len(moves) > 2
+                and moves[-3][1] == servers
+                and at_s - moves[-2][0] < within_s
+                and moves[-1][0] == at_s
+            ):
+                found.append((slice_id, at_s))
     return found
 
 
 def test_varying_request_rates_do_not_move_slices_back_and_forth() -> None:
     world = World(slice_count=24)
     for step in range(40):
-        crowded = step % 2
-        world.request_rates = {n: (6.0 if n % 4 == 0 and crowded else 1.0) for n in world.request_rates}
+        is_peak = step % 2
+        world.request_rates = {n: (6.0 if n % 4 == 0 and is_peak else 1.0) for n in world.request_rates}
         world.run(2.0)
     assert world.count_moves() > 0
-    assert not swings(world, RETURN_COOLDOWN_S)
+    assert not find_oscillations(world, RETURN_COOLDOWN_S)
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -1,4 +1,4 @@
-"""Publication: which changes are sent, when, and within which limits of the channel."""
+"""Tests of publication: which changes are sent and when, and the limits of the channel."""
 
 from itertools import pairwise
 
@@ -29,12 +29,12 @@
     world = World()
     world.run(5)
     world.send(OwnershipChanged(5, False))
-    mark = len(world.log)
+    log_length = len(world.log)
     world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(2, EndpointStatus.REMOVED),)))
     world.run(3)
-    later = [a for _, acts in world.log[mark:] for a in acts if isinstance(a, SetWeight)]
-    assert later
-    assert all(a.slice_id != 5 for a in later)
+    changes = [a for _, actions in world.log[log_length:] for a in actions if isinstance(a, SetWeight)]
+    assert changes
+    assert all(a.slice_id != 5 for a in changes)
 
 
 def test_added_entries_come_before_removed_ones() -> None:
@@ -43,30 +43,30 @@
     world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, EndpointStatus.REMOVED),)))
     world.run(1)
     for _, actions in world.log:
-        seen_removal: set[int] = set()
+        slices_with_removals: set[int] = set()
         for action in actions:
             if isinstance(action, SetWeight) and action.weight == 0:
-                seen_removal.add(action.slice_id)
+                slices_with_removals.add(action.slice_id)
             elif isinstance(action, SetWeight):
-                assert action.slice_id not in seen_removal
+                assert action.slice_id not in slices_with_removals
 
 
-@pytest.mark.parametrize("pace", [1.0, 0.5, 0.25])
-def test_waiting_entries_stay_below_the_limit_however_slow_the_channel(pace: float) -> None:
+@pytest.mark.parametrize("channel_speed", [1.0, 0.5, 0.25])
+def test_waiting_entries_stay_below_the_limit_however_slow_the_channel(channel_speed: float) -> None:
     world = World(
         slice_count=60,
         admission_mode=AdmissionMode.FRACTION,
         channel_capacity_entries=400.0,
         channel_entries_per_s=260.0,
     )
-    world.channel_speed = pace
+    world.channel_speed = channel_speed
     for step in range(40):
-        sid = 1 + step // 2 % 4
+        server_id = 1 + step // 2 % 4
         world.send(
             EndpointListUpdate(
                 ListUpdateType.DELTA,
                 step,
-                (server(sid, EndpointStatus.READY if step % 2 else EndpointStatus.DRAINING),),
+                (server(server_id, EndpointStatus.READY if step % 2 else EndpointStatus.DRAINING),),
             )
         )
         world.request_rates = dict.fromkeys(world.request_rates, 0.5 if step % 6 < 3 else 6.0)
@@ -77,13 +77,17 @@
 def test_messages_per_proxy_stay_under_the_limit() -> None:
     world = World(max_messages_per_window=6, message_window_s=10.0)
     for step in range(40):
-        sid = 1 + step % 4
-        state = EndpointStatus.REMOVED if step % 2 else EndpointStatus.READY
-        world.send(EndpointListUpdate(ListUpdateType.DELTA, step, (server(sid, state),)))
+        server_id = 1 + step % 4
+        status = EndpointStatus.REMOVED if step % 2 else EndpointStatus.READY
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, step, (server(server_id, status),)))
         world.run(0.5)
-    sent = [at for at, acts in world.log if any(isinstance(a, SetWeight | SetAdmission) for a in acts)]
-    for first in sent:
-        assert sum(first <= at < first + 10.0 for at in sent) <= 6
+    send_times = [
+        sent_at
+        for sent_at, actions in world.log
+        if any(isinstance(a, SetWeight | SetAdmission) for a in actions)
+    ]
+    for first in send_times:
+        assert sum(first <= sent_at < first + 10.0 for sent_at in send_times) <= 6
 
 
 def test_ordinary_changes_are_batched() -> None:
@@ -92,34 +96,34 @@
     for step in range(20):
         world.request_rates[step % 3] = 1.0 + 30.0 * (step // 3 % 2)
         world.run(0.5)
-    sent = [at for at, acts in world.log if any(isinstance(a, SetWeight) for a in acts)]
-    assert len(sent) > 3
-    assert all(later - earlier >= 0.99 for earlier, later in pairwise(sent[1:]))
+    send_times = [sent_at for sent_at, actions in world.log if any(isinstance(a, SetWeight) for a in actions)]
+    assert len(send_times) > 3
+    assert all(later - earlier >= 0.99 for earlier, later in pairwise(send_times[1:]))
 
 
 def test_additional_servers_of_a_slice_on_a_warming_server_are_urgent() -> None:
     world = World(slice_count=40, slow_start_duration_s=60.0)
     world.request_rates = dict.fromkeys(world.request_rates, 0.8)
     world.run(10)
-    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started=world.now),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, started_at_s=world.now),)))
     world.run(4)
     director = world.director
-    kept = next(n for n in world.tables if 1 in world.main_servers(n))
+    warming_slice = next(n for n in world.tables if 1 in world.main_servers(n))
     plan = {n: sorted(world.main_servers(n)) for n in world.tables}
-    further = next(s for s in (2, 3, 4) if s not in plan[kept])
+    additional_server = next(s for s in (2, 3, 4) if s not in plan[warming_slice])
     director.fleet.urgent_change_pending = True
-    director.fleet.last_report_s = world.now - 20.0  # reports are late
+    director.fleet.last_report_s = world.now - 20.0  # Reports are late.
     director.publisher.next_ordinary_s = world.now + 1.0
-    actions = director.publisher.publish(plan | {kept: [*plan[kept], further]})
-    assert {a.slice_id for a in actions if isinstance(a, SetWeight)} == {kept}
+    actions = director.publisher.publish(plan | {warming_slice: [*plan[warming_slice], additional_server]})
+    assert {a.slice_id for a in actions if isinstance(a, SetWeight)} == {warming_slice}
 
 
 def test_every_table_gets_a_standby_entry_once() -> None:
     world = World()
     world.run(10)
-    lines = [a for _, acts in world.log for a in acts if isinstance(a, SetWeight)]
-    assert len(lines) == world.settings.slice_count
-    assert all(len(t) == 2 for t in world.tables.values())
+    changes = [a for _, actions in world.log for a in actions if isinstance(a, SetWeight)]
+    assert len(changes) == world.settings.slice_count
+    assert all(len(table) == 2 for table in world.tables.values())
 
 
 def test_delayed_reports_stop_ordinary_changes() -> None:
@@ -127,8 +131,8 @@
     world.run(10)
     world.reports_stopped = True
     world.run(5)
-    before = len(world.log)
+    log_length = len(world.log)
     world.request_rates[0] = 40.0
     world.run(10)
-    late = [a for _, acts in world.log[before:] for a in acts if isinstance(a, SetWeight)]
-    assert not late
+    changes = [a for _, actions in world.log[log_length:] for a in actions if isinstance(a, SetWeight)]
+    assert not changes
--- a/tests/test_unavailable_servers.py
+++ b/tests/test_unavailable_servers.py
@@ -1,4 +1,4 @@
-"""Servers that drain, are removed or are ejected: slices leave them, and no table is left empty."""
+"""Tests of draining, removed and ejected servers: slices leave them, and no table becomes empty."""
 
 import pytest
 
@@ -13,11 +13,11 @@
 from tests.world import World, server
 
 
-@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_draining_server_leaves_every_table_within_a_round(state: EndpointStatus) -> None:
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_draining_or_removed_server_leaves_every_table_within_half_a_second(status: EndpointStatus) -> None:
     world = World()
     world.run(10)
-    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, state),)))
+    world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(1, status),)))
     world.run(0.5)
     assert world.slices_on(1) == []
     assert all(world.tables.values())
@@ -47,8 +47,8 @@
 def test_no_table_is_left_empty_while_a_server_is_ready() -> None:
     world = World()
     world.run(5)
-    for sid in (1, 2, 3):
-        world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(sid, EndpointStatus.REMOVED),)))
+    for server_id in (1, 2, 3):
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, 2, (server(server_id, EndpointStatus.REMOVED),)))
         world.run(1)
         assert all(world.tables.values())
 
@@ -65,17 +65,21 @@
         )
     )
     world.run(1)
-    assert all(set(t) == {1} for t in world.tables.values())
+    assert all(set(table) == {1} for table in world.tables.values())
 
 
 def test_slice_that_has_just_moved_leaves_a_draining_server() -> None:
     world = World(slice_count=24)
     world.request_rates = {n: (6.0 if n % 4 == 0 else 1.0) for n in world.request_rates}
     world.run(6)
-    fresh = (n for n, v in world.director.slices.items() if v.moved_at_s > world.now - RETURN_COOLDOWN_S)
-    number = next(fresh)
-    moved = world.main_servers(number)
+    moved_slices = (
+        n for n, state in world.director.slices.items() if state.moved_at_s > world.now - RETURN_COOLDOWN_S
+    )
+    slice_id = next(moved_slices)
+    servers = world.main_servers(slice_id)
     world.send(
-        EndpointListUpdate(ListUpdateType.DELTA, 2, tuple(server(s, EndpointStatus.DRAINING) for s in moved))
+        EndpointListUpdate(
+            ListUpdateType.DELTA, 2, tuple(server(s, EndpointStatus.DRAINING) for s in servers)
+        )
     )
-    assert not world.main_servers(number) & moved
+    assert not world.main_servers(slice_id) & servers
--- a/tests/test_zoned_director.py
+++ b/tests/test_zoned_director.py
@@ -122,7 +122,7 @@
     world.list_zone(0, EndpointStatus.REMOVED)
     world.run(12)
     for s in (2, 4, 6, 8):
-        world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(s, started=world.now),)))
+        world.send(EndpointListUpdate(ListUpdateType.DELTA, 3, (server(s, started_at_s=world.now),)))
         assert world.director.plan.capacity_limits[s] == 1.0
         world.run(0.25)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""Helpers for tests: settings, and a clock that feeds a Director and keeps the tables it has ordered."""
+"""Test helpers: default settings, and a simulated fleet that feeds a Director and applies its actions."""
 
 from __future__ import annotations
 
@@ -28,15 +28,16 @@
 
 
 def settings(**changes: Any) -> Settings:
-    safe = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 1.0, 4.0, 3.0, False)
-    once = RequestClass(RepeatSafety.NON_IDEMPOTENT, "all", 0.0, 1.5, 5.0, 5.0, False)
+    """Return default settings with some fields replaced."""
+    idempotent = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 1.0, 4.0, 3.0, False)
+    non_idempotent = RequestClass(RepeatSafety.NON_IDEMPOTENT, "all", 0.0, 1.5, 5.0, 5.0, False)
     base = Settings(
         assigner_index=0,
         assigner_count=1,
         seed=7,
         zone=0,
         zone_count=2,
-        request_classes=(safe, once),
+        request_classes=(idempotent, non_idempotent),
         slice_count=12,
         proxy_count=3,
         single_writer=False,
@@ -68,13 +69,20 @@
 
 
 def server(
-    sid: int, state: EndpointStatus = EndpointStatus.READY, started: float = 0.0, weight: float = 1.0
+    server_id: int,
+    status: EndpointStatus = EndpointStatus.READY,
+    started_at_s: float = 0.0,
+    weight: float = 1.0,
 ) -> Endpoint:
-    return Endpoint(sid, sid % 2, 0, 0, state, weight, started)
+    """Return an endpoint; servers with an odd id are in zone 1, the others in zone 0."""
+    return Endpoint(server_id, server_id % 2, 0, 0, status, weight, started_at_s)
 
 
 class World:
-    """One assigner, its servers and the store; rates are given, loads follow from the tables."""
+    """Simulation of one assigner with its servers and the store.
+
+    Request rates are given. The loads of servers follow from the tables that the director sets.
+    """
 
     make: Callable[[Settings], Any] = Director
 
@@ -89,43 +97,43 @@
         self.failing_servers: set[int] = set()
         self.reports_stopped = False
         self.withdrawn: set[int] = set()
-        self.channel_speed = 1.0  # of the channel, as a fraction of the speed in the settings
-        self.busy_until = START
-        self.pending_checkpoints: list[tuple[float, int]] = []  # when proxies have applied it, and its id
+        self.channel_speed = 1.0  # Fraction of the speed in the settings.
+        self.channel_busy_until = START
+        self.pending_checkpoints: list[tuple[float, int]] = []  # Time of application, and id.
         self.max_waiting_entries = 0.0
         events: list[Event] = [
             EndpointListUpdate(ListUpdateType.CACHED, 1, tuple(server(s) for s in servers))
         ]
         events += [ProxyConnected(p, 0, 10.0, True) for p in range(self.settings.proxy_count)]
-        for number in range(self.settings.slice_count):
-            home = servers[number % len(servers)]
-            events += [OwnershipChanged(number, True), StoredWeight(number, home, 1.0)]
-            self.tables[number] = {home: 1.0}
+        for slice_id in range(self.settings.slice_count):
+            home = servers[slice_id % len(servers)]
+            events += [OwnershipChanged(slice_id, True), StoredWeight(slice_id, home, 1.0)]
+            self.tables[slice_id] = {home: 1.0}
         self.send(*events)
 
     def send(self, *events: Event) -> list[Action]:
-        """Hand events to the director, and carry out its actions."""
+        """Pass events to the director, and apply its actions."""
         actions: list[Action] = self.director.handle(self.now, events)
         self.log.append((self.now, actions))
         entries = sum(
             isinstance(a, SetWeight | SetAdmission | SetWithdrawn | SendCheckpoint) for a in actions
         )
         if entries:
-            self._load_channel(entries)
+            self._fill_channel(entries)
         for action in actions:
-            self._carry_out(action)
+            self._apply(action)
         return actions
 
-    def _load_channel(self, entries: int) -> None:
+    def _fill_channel(self, entries: int) -> None:
         speed = self.settings.channel_entries_per_s * self.channel_speed
-        sent = (entries + self.settings.channel_header_entries) * self.settings.proxy_count
-        self.busy_until = max(self.busy_until, self.now) + sent / speed
-        self.max_waiting_entries = max(self.max_waiting_entries, (self.busy_until - self.now) * speed)
+        sent_entries = (entries + self.settings.channel_header_entries) * self.settings.proxy_count
+        self.channel_busy_until = max(self.channel_busy_until, self.now) + sent_entries / speed
+        self.max_waiting_entries = max(self.max_waiting_entries, (self.channel_busy_until - self.now) * speed)
 
-    def _carry_out(self, action: Action) -> None:
+    def _apply(self, action: Action) -> None:
         match action:
             case SendCheckpoint():
-                applied_at = self.busy_until + self.settings.channel_delay_s
+                applied_at = self.channel_busy_until + self.settings.channel_delay_s
                 self.pending_checkpoints.append((applied_at, action.checkpoint_id))
             case SetWithdrawn():
                 (self.withdrawn.add if action.withdrawn else self.withdrawn.discard)(action.server_id)
@@ -141,66 +149,70 @@
             table.clear()
         table[action.server_id] = action.weight
 
-    def load(self, sid: int) -> float:
-        """Requests per second that the tables send to a server."""
+    def load(self, server_id: int) -> float:
+        """Return the requests per second that the tables send to a server."""
         total = 0.0
-        for number in self.tables:
-            table = self.admitted_weights(number)
-            if sid in table:
-                total += self.request_rates[number] * table[sid] / sum(table.values())
+        for slice_id in self.tables:
+            table = self.admitted_weights(slice_id)
+            if server_id in table:
+                total += self.request_rates[slice_id] * table[server_id] / sum(table.values())
         return total
 
     def run(self, seconds: float) -> None:
-        """Rounds of 0.25 s with reports each 0.5 s."""
+        """Run rounds of 0.25 s, with load reports every 0.5 s."""
         for step in range(round(seconds * 4)):
             self.now += 0.25
             events: list[Event] = [TimerFired(1)]
             if step % 2 == 0 and not self.reports_stopped:
                 events = self.reports() + events
-            for due, number in [(d, n) for d, n in self.pending_checkpoints if d <= self.now]:
-                self.pending_checkpoints.remove((due, number))
-                events += [CheckpointAcknowledged(p, number, 0.0) for p in range(self.settings.proxy_count)]
+            for applied_at, checkpoint_id in [(t, c) for t, c in self.pending_checkpoints if t <= self.now]:
+                self.pending_checkpoints.remove((applied_at, checkpoint_id))
+                events += [
+                    CheckpointAcknowledged(p, checkpoint_id, 0.0) for p in range(self.settings.proxy_count)
+                ]
             self.send(*events)
 
     def reports(self) -> list[Event]:
-        """Load reports of ten seconds each."""
+        """Return load reports that cover ten seconds each."""
         events: list[Event] = []
-        for number, rate in sorted(self.request_rates.items()):
-            events.append(SliceLoadReport(number, 0, round(rate * 10), 0, 10.0))
-        for sid, capacity in sorted(self.capacity.items()):
-            rate = self.load(sid)
+        for slice_id, rate in sorted(self.request_rates.items()):
+            events.append(SliceLoadReport(slice_id, 0, round(rate * 10), 0, 10.0))
+        for server_id, capacity in sorted(self.capacity.items()):
+            rate = self.load(server_id)
             attempts = round(rate * 10)
             if attempts == 0:
                 continue
-            successes = 0 if sid in self.failing_servers else round(min(rate, capacity) * 10)
-            values = () if sid in self.failing_servers else (min(1.0, rate / capacity),)
-            events.append(ServerLoadReport(0, sid, attempts, attempts - successes, 0.2, 10.0, values))
+            successes = 0 if server_id in self.failing_servers else round(min(rate, capacity) * 10)
+            values = () if server_id in self.failing_servers else (min(1.0, rate / capacity),)
+            events.append(ServerLoadReport(0, server_id, attempts, attempts - successes, 0.2, 10.0, values))
         return events
 
-    def admitted_weights(self, number: int) -> dict[int, float]:
-        """A slice's table without the servers that are withdrawn."""
-        return {s: w for s, w in self.tables[number].items() if s not in self.withdrawn}
+    def admitted_weights(self, slice_id: int) -> dict[int, float]:
+        """Return a slice's table without withdrawn servers."""
+        return {s: w for s, w in self.tables[slice_id].items() if s not in self.withdrawn}
 
-    def main_servers(self, number: int) -> set[int]:
-        """The servers that a slice is on, standby entries left out."""
-        table = self.admitted_weights(number)
-        top = max(table.values(), default=0.0)
-        return {s for s, w in table.items() if w > top / 2}
+    def main_servers(self, slice_id: int) -> set[int]:
+        """Return the servers that a slice is on, without standby entries."""
+        table = self.admitted_weights(slice_id)
+        max_weight = max(table.values(), default=0.0)
+        return {s for s, w in table.items() if w > max_weight / 2}
 
     def count_moves(self) -> int:
-        """How many entries of full weight were set."""
-        return sum(isinstance(a, SetWeight) and a.weight >= 1 for _, acts in self.log for a in acts)
+        """Return the number of entries of full weight that were set."""
+        return sum(isinstance(a, SetWeight) and a.weight >= 1 for _, actions in self.log for a in actions)
 
-    def slices_on(self, sid: int) -> list[int]:
-        """The slices whose tables have a server that is not withdrawn."""
-        return [n for n in self.tables if sid in self.admitted_weights(n)]
+    def slices_on(self, server_id: int) -> list[int]:
+        """Return the slices whose tables hold a server, unless it is withdrawn."""
+        return [n for n in self.tables if server_id in self.admitted_weights(n)]
 
 
-def big_world(servers: int, per_server: int = 6) -> World:
-    """A large fleet of servers that report all load values."""
-    names = ("busy", "rif", "lat_ms")
+def big_world(server_count: int, slices_per_server: int = 6) -> World:
+    """Return a simulation with many servers that report all load values."""
+    load_value_names = ("busy", "rif", "lat_ms")
     world = World(
-        servers=tuple(range(1, servers + 1)), slice_count=servers * per_server, load_value_names=names
+        servers=tuple(range(1, server_count + 1)),
+        slice_count=server_count * slices_per_server,
+        load_value_names=load_value_names,
     )
     world.settings = world.director.fleet.settings
     world.request_rates = {n: 2.0 + 3.0 * (n % 7 == 0) for n in world.request_rates}
