--- a/puffintide/proxy/dispatcher.py
+++ b/puffintide/proxy/dispatcher.py
@@ -1,4 +1,7 @@
-"""Dispatches requests: selects a server for each attempt, retries or completes it. No I/O; time is passed in."""
+"""Request dispatch: server selection, retries and completion.
+
+This module does no I/O; callers pass the current time.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +28,12 @@
 from puffintide.proxy.weight_tables import WeightTables
 from puffintide.proxy.write_lease import WriteLeases
 
-TIME_DIGITS = 6  # decimal places of seconds in an attempt
+TIME_DIGITS = 6  # Decimal places of the seconds in an attempt.
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingState:
-    """What the engines of one proxy share."""
+    """The routing tables, counters and leases that all engines of one proxy share."""
 
     tables: WeightTables
     admission: AdmissionControl
@@ -39,12 +42,12 @@
 
 
 class Dispatcher:
-    """Open requests, their attempts, and the servers these are at.
+    """The open requests with their attempts, and the servers that hold them.
 
     Args:
-        settings: Limits and policies.
-        random: Uniform random numbers in [0, 1).
-        routing: Tables, levels and counters of another engine of the same proxy; None: this engine's own.
+        settings: The limits and policies of the proxy.
+        random: A source of uniform random numbers in [0, 1).
+        routing: The routing state of another engine of the same proxy, to be shared. None creates a new one.
     """
 
     def __init__(self, settings: EngineSettings, random: Random, routing: RoutingState | None) -> None:
@@ -53,9 +56,9 @@
         self.tables = self.routing.tables
         self.outliers = OutlierDetector(settings.ejection_failures, settings.ejection_s)
         self.servers: dict[int, ServerConnection] = {}
-        self.requests: dict[int, RequestState] = {}  # by id of the current attempt
-        self.queued: dict[int, None] = {}  # attempts for which there is no server
-        self.attempt_ids: dict[RequestHandle, int] = {}  # of the current attempts
+        self.requests: dict[int, RequestState] = {}  # By id of the current attempt.
+        self.queued: dict[int, None] = {}  # Attempts that wait for an available server.
+        self.attempt_ids: dict[RequestHandle, int] = {}  # Ids of the current attempts.
         self.timers = TimerQueue(self._is_current_timer)
         self._last_attempt_id = 0
 
@@ -73,12 +76,20 @@
         return RoutingState(tables, AdmissionControl(settings.admission_mode), UsageCounters(), WriteLeases())
 
     def in_flight_at(self, server_id: int) -> int:
-        """The number of attempts in flight at a server."""
+        """Return the number of attempts in flight at a server."""
         server = self.servers.get(server_id)
         return len(server.in_flight) if server else 0
 
     def dispatch_queued(self, now_s: float, admission_changed: bool = False) -> list[Effect]:
-        """Look for servers for the queued requests; reject those that are no longer admitted at all."""
+        """Dispatch the queued requests, and reject those whose class is no longer admitted.
+
+        Args:
+            now_s: The current time in seconds.
+            admission_changed: Whether the admission levels changed since the requests were queued.
+
+        Returns:
+            The effects to carry out, in order.
+        """
         effects: list[Effect] = []
         for attempt_id in list(self.queued):
             request = self.requests[attempt_id]
@@ -93,12 +104,12 @@
         return self.routing.admission.rejects_all(self.tables.admission_limit(slice_id, class_index))
 
     def is_idempotent(self, request: RequestState) -> bool:
-        """Whether the request's class may be executed any number of times."""
+        """Return whether requests of this class may be executed any number of times."""
         policy = self.settings.request_classes[request.class_index]
         return policy.repeat_safety == RepeatSafety.IDEMPOTENT
 
     def register(self, request: RequestState) -> int:
-        """Give a request's next attempt its id."""
+        """Assign an id to a request's next attempt and return it."""
         self._last_attempt_id += 1
         self.requests[self._last_attempt_id] = request
         self.attempt_ids[request.handle] = self._last_attempt_id
@@ -134,7 +145,7 @@
         return self.tables.pick(request.slice_id, avoid, same_zone_only, request.required_zone)
 
     def _may_forward(self, now_s: float, request: RequestState) -> bool:
-        """Whether the request is no write, or its slice takes writes now."""
+        """Return whether the request is idempotent or its slice accepts writes now."""
         if not self.settings.single_writer or self.is_idempotent(request):
             return True
         return self.routing.write_leases.is_valid(self.tables.owner_of(request.slice_id), now_s)
@@ -149,7 +160,7 @@
         return []
 
     def send(self, now_s: float, attempt_id: int) -> SendAttempt:
-        """The effect that sends an attempt to its server, which is connected."""
+        """Record an attempt as sent to its connected server, and return the effect that sends it."""
         request = self.requests[attempt_id]
         request.sent_at_s = now_s
         self.servers[request.server_id].in_flight[attempt_id] = None
@@ -173,8 +184,12 @@
             round(request.deadline_s - now_s, TIME_DIGITS),
         )
 
-    def end_in_flight(self, server_id: int, attempt_id: int) -> bool:
-        """Whether the attempt was in flight at this server, and its request is still open."""
+    def remove_in_flight(self, server_id: int, attempt_id: int) -> bool:
+        """Remove an attempt from a server's attempts in flight.
+
+        Returns:
+            True if the attempt was in flight there and its request is still open.
+        """
         server = self.servers.get(server_id)
         if server is None or server.in_flight.pop(attempt_id, 0) is not None:
             return False
@@ -188,7 +203,18 @@
         not_executed: bool,
         load_values: list[float] | None = None,
     ) -> list[Effect]:
-        """An attempt has ended without success: retry it, or send the final response."""
+        """Retry a failed attempt, or complete its request.
+
+        Args:
+            now_s: The current time in seconds.
+            attempt_id: The attempt that failed.
+            status: The status to complete the request with if it is not retried.
+            not_executed: Whether the server is proven not to have executed the request.
+            load_values: The load values in the server's response, if there was one.
+
+        Returns:
+            The effects to carry out, in order.
+        """
         request = self.requests[attempt_id]
         self.routing.usage.count_failure(now_s, request.assigner_id, request.server_id, load_values)
         if not not_executed:
@@ -205,7 +231,7 @@
         return self.dispatch(now_s, self.register(request))
 
     def complete(self, now_s: float, attempt_id: int, status: int) -> list[Effect]:
-        """End a request with its final response."""
+        """Complete a request with its final response."""
         request = self.requests.pop(attempt_id)
         status = request.final_status(status)
         self.attempt_ids.pop(request.handle, None)
@@ -229,7 +255,10 @@
         return request is not None and request.timer_id == timer.timer_id
 
     def on_attempt_timeout(self, now_s: float, attempt_id: int) -> list[Effect]:
-        """No response in time: the attempt is abandoned, a later response to it is ignored."""
+        """Cancel an attempt that was not answered in time, and retry or complete its request.
+
+        A later response to the attempt is ignored.
+        """
         request = self.requests[attempt_id]
         was_sent = request.sent_at_s is not None
         effects: list[Effect] = []
--- a/puffintide/proxy/effects.py
+++ b/puffintide/proxy/effects.py
@@ -1,16 +1,16 @@
-"""Effects: what the engine asks its caller to do, in order. Types only."""
+"""Effects that the engine returns for its caller to carry out in order."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-RequestHandle = Hashable  # the caller's name of a request
+RequestHandle = Hashable  # The caller's identifier of a request.
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectServer:
-    """Connect to a server, and report on_server_connected or on_server_disconnected."""
+    """Connect to a server, then call on_server_connected or on_server_disconnected."""
 
     server_id: int
     address: str  # HOST:PORT
@@ -26,13 +26,13 @@
     request_id: int
     slice_id: int
     class_index: int
-    attempt_number: int  # 0: the first
-    remaining_s: float  # until the request's deadline
+    attempt_number: int  # 0 is the first attempt.
+    remaining_s: float  # Time left until the request's deadline, in seconds.
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """The response to an attempt is no longer awaited."""
+    """Cancel an attempt whose response is no longer needed."""
 
     server_id: int
     attempt_id: int
@@ -44,13 +44,13 @@
 
     handle: RequestHandle
     status: int
-    retry_after_s: float  # with a rejection: when to come back; else 0
-    may_have_executed: bool  # False: proven that no server executed the request
+    retry_after_s: float  # Delay after which a rejected client may retry, in seconds; else 0.
+    may_have_executed: bool  # False proves that no server executed the request.
 
 
 @dataclass(frozen=True, slots=True)
 class DisconnectServer:
-    """Close the connection to a server, or stop connecting."""
+    """Close the connection to a server, or abort connecting to it."""
 
     server_id: int
 
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -1,7 +1,7 @@
-"""The state machine of requests, without I/O: events in as method calls, effects out. Time is passed in.
+"""The state machine of requests: method calls report events and return the effects to carry out in order.
 
-Each event returns the effects to carry out, in order. on_timer() is to be called at next_timer_at(). A request ends
-at the server to which it was sent: a change of the tables concerns later requests and attempts.
+The engine does no I/O; callers pass the current time and call on_timer() at next_timer_at(). A table change
+applies to later requests and attempts; an attempt that was already sent stays at its server.
 """
 
 from __future__ import annotations
@@ -17,16 +17,17 @@
 from puffintide.proxy.settings import EngineSettings
 from puffintide.proxy.timers import TimerPurpose
 
-MAX_RESPONSE_MARGIN_FRACTION = 1 / 4  # of a request's remaining time
+# Upper bound of the response margin, as a fraction of the request's remaining time.
+MAX_RESPONSE_MARGIN_FRACTION = 1 / 4
 
 
 class Engine:
-    """Requests of one kind of connection.
+    """The request engine of one client protocol.
 
     Args:
-        settings: Limits and policies.
-        random: Uniform random numbers in [0, 1).
-        routing: Tables, levels and counters of another engine of the same proxy; None: this engine's own.
+        settings: The limits and policies of the proxy.
+        random: A source of uniform random numbers in [0, 1).
+        routing: The routing state of another engine of the same proxy, to be shared. None creates a new one.
     """
 
     def __init__(self, settings: EngineSettings, random: Random, routing: RoutingState | None = None) -> None:
@@ -36,7 +37,7 @@
         self.tables = self.routing.tables
         self.servers = self.dispatcher.servers
         self.requests = self.dispatcher.requests
-        self.late_responses = 0  # to attempts that had ended
+        self.late_responses = 0  # Number of responses to attempts that had already ended.
 
     # Tables --------------------------------------------------------------------------------------
 
@@ -47,17 +48,17 @@
         return self.dispatcher.dispatch_queued(now_s, update.admission_levels != [])
 
     def on_slice_ownerships(self, now_s: float, ownerships: Iterable[SliceOwnership]) -> list[Effect]:
-        """The store has sent tables."""
+        """Apply slice ownerships from the store, and dispatch the queued requests."""
         for ownership in ownerships:
             self.tables.apply_ownership(ownership)
         return self.dispatcher.dispatch_queued(now_s)
 
     def on_tables_changed(self, now_s: float, admission_changed: bool = False) -> list[Effect]:
-        """Another engine has changed the shared tables."""
+        """Dispatch the queued requests after another engine changed the shared tables."""
         return self.dispatcher.dispatch_queued(now_s, admission_changed)
 
     def on_assigner_disconnected(self, now_s: float, assigner_id: int) -> None:
-        """The connection to an assigner was lost: its slices take writes for one lease more."""
+        """Limit the write leases of a disconnected assigner's slices to one lease duration from now."""
         self.routing.write_leases.limit(assigner_id, now_s + self.settings.write_lease_s)
 
     # Requests ------------------------------------------------------------------------------------
@@ -71,7 +72,19 @@
         class_index: int,
         remaining_s: float,
     ) -> list[Effect]:
-        """A client has sent a request, and waits `remaining_s` for its response."""
+        """Admit a client's request and dispatch its first attempt, or reject it.
+
+        Args:
+            now_s: The current time in seconds.
+            handle: The caller's identifier of the request.
+            request_id: The client's id of the request.
+            slice_id: The slice that the request's key belongs to.
+            class_index: The index of the request's class.
+            remaining_s: The time that the client waits for the response, in seconds.
+
+        Returns:
+            The effects to carry out, in order.
+        """
         assigner_id = self.tables.owner_of(slice_id)
         self.routing.usage.count_request(now_s, assigner_id, slice_id, class_index)
         margin_s = min(self.settings.response_margin_s, remaining_s * MAX_RESPONSE_MARGIN_FRACTION)
@@ -87,7 +100,7 @@
         return self.dispatcher.dispatch(now_s, self.dispatcher.register(request))
 
     def on_client_disconnected(self, now_s: float, handle: RequestHandle) -> list[Effect]:
-        """The client is gone: its attempt is cancelled and not retried."""
+        """Cancel the attempt of a disconnected client and end its request without a retry."""
         attempt_id = self.dispatcher.attempt_ids.get(handle)
         if attempt_id is None:
             return []
@@ -100,13 +113,13 @@
         return effects
 
     def disable_retries(self, handle: RequestHandle) -> None:
-        """The request can't be sent again: its body is not buffered, or its response has begun."""
+        """Rule out retries of a request: its body is not buffered, or its response has begun."""
         attempt_id = self.dispatcher.attempt_ids.get(handle)
         if attempt_id is not None:
             self.requests[attempt_id].attempt_number = max(MAX_RETRIES.values())
 
     def has_writes_in_flight(self, slice_ids: Iterable[int]) -> bool:
-        """Whether a write to any of these slices is at a server."""
+        """Return whether a write to any of these slices is in flight."""
         wanted = set(slice_ids)
         in_flight = (r for r in self.requests.values() if r.sent_at_s is not None)
         return any(r.slice_id in wanted and not self.dispatcher.is_idempotent(r) for r in in_flight)
@@ -118,7 +131,7 @@
     # Servers -------------------------------------------------------------------------------------
 
     def on_server_connected(self, now_s: float, server_id: int) -> list[Effect]:
-        """A connection was established: the attempts that waited for it are sent."""
+        """Send the attempts that waited for this connection."""
         server = self.servers.get(server_id)
         if server is None:
             return [DisconnectServer(server_id)]
@@ -130,7 +143,10 @@
         ]
 
     def on_server_disconnected(self, now_s: float, server_id: int) -> list[Effect]:
-        """A connection was lost or not established. Attempts in flight may have been executed, others were not."""
+        """Fail all attempts at a server whose connection was lost or could not be established.
+
+        Attempts in flight may have been executed; attempts that waited for the connection were not.
+        """
         server = self.servers.pop(server_id, None)
         if server is None:
             return []
@@ -150,8 +166,11 @@
     def on_response(
         self, now_s: float, server_id: int, attempt_id: int, status: int, load_values: list[float]
     ) -> list[Effect]:
-        """A server has answered an attempt."""
-        if not self.dispatcher.end_in_flight(server_id, attempt_id):
+        """Complete or retry the request whose attempt a server answered.
+
+        A response to an attempt that has already ended is only counted.
+        """
+        if not self.dispatcher.remove_in_flight(server_id, attempt_id):
             self.late_responses += 1
             return []
         if status != AttemptStatus.OK:
@@ -168,25 +187,25 @@
         return self.dispatcher.complete(now_s, attempt_id, AttemptStatus.OK)
 
     def on_attempt_not_sent(self, now_s: float, server_id: int, attempt_id: int) -> list[Effect]:
-        """No connection was available for an attempt: nothing of it was written."""
-        if not self.dispatcher.end_in_flight(server_id, attempt_id):
+        """Fail an attempt that got no connection, so that no byte of it was written."""
+        if not self.dispatcher.remove_in_flight(server_id, attempt_id):
             return []
         return self.dispatcher.fail_attempt(now_s, attempt_id, AttemptStatus.UNREACHABLE, not_executed=True)
 
     def on_attempt_connection_lost(self, now_s: float, server_id: int, attempt_id: int) -> list[Effect]:
-        """An attempt's own connection was lost after something of it was written."""
-        if not self.dispatcher.end_in_flight(server_id, attempt_id):
+        """Fail an attempt whose own connection was lost after part of it was written."""
+        if not self.dispatcher.remove_in_flight(server_id, attempt_id):
             return []
         return self.dispatcher.fail_attempt(now_s, attempt_id, AttemptStatus.RESET, not_executed=False)
 
     # Time ----------------------------------------------------------------------------------------
 
     def next_timer_at(self) -> float | None:
-        """When on_timer() is to be called next; None if nothing is waited for."""
+        """Return the time of the next call of on_timer(), or None if no timer is set."""
         return self.dispatcher.timers.next_at_s()
 
     def on_timer(self, now_s: float) -> list[Effect]:
-        """Handle all timeouts up to now."""
+        """Handle all timers that are due."""
         effects: list[Effect] = []
         while (timer := self.dispatcher.timers.pop_due(now_s)) is not None:
             match timer.purpose:
@@ -200,5 +219,5 @@
         return effects
 
     def take_usage_report(self, now_s: float, assigner_id: int, min_interval_s: float) -> UsageReport | None:
-        """What is to be reported to an assigner since its last report; None if there is nothing."""
+        """Return the usage since an assigner's last report and reset it, or None if there is none."""
         return self.routing.usage.take_report(now_s, assigner_id, min_interval_s)
--- a/puffintide/proxy/engine_driver.py
+++ b/puffintide/proxy/engine_driver.py
@@ -1,4 +1,4 @@
-"""Drives an engine: carries out its effects in order, and calls it when its next timer is due."""
+"""Driver that connects an engine to a reactor: carries out effects and schedules timers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EngineDriver(ABC):
-    """One engine on a reactor; subclasses carry out single effects."""
+    """Base class that runs one engine on a reactor; subclasses implement run_effect()."""
 
     def __init__(self, reactor: Reactor, engine: Engine) -> None:
         self.reactor = reactor
@@ -19,11 +19,11 @@
         self._timer: DelayedCall | None = None
 
     def now_s(self) -> float:
-        """The reactor's time in seconds."""
+        """Return the reactor's time in seconds."""
         return float(self.reactor.seconds())
 
     def run_effects(self, effects: Sequence[Effect]) -> None:
-        """Carry out effects in order, then see to the engine's next timer."""
+        """Carry out effects in order, then schedule the engine's next timer."""
         for effect in effects:
             self.run_effect(effect)
         self._schedule_timer()
@@ -36,7 +36,8 @@
         next_at_s = self.engine.next_timer_at()
         if self._timer is not None and self._timer.active():
             if next_at_s is None or self._timer.getTime() <= next_at_s:
-                return  # an early timer looks again when it fires: cheaper than a new timer per request
+                # A timer that fires early reschedules itself, which is cheaper than a new timer per request.
+                return
             self._timer.cancel()
         self._timer = None
         if next_at_s is not None:
--- a/puffintide/proxy/load_balancing.py
+++ b/puffintide/proxy/load_balancing.py
@@ -1,6 +1,7 @@
-"""Load balancing: which slice a key belongs to, and which server of a weight table takes the next request.
+"""Load balancing: mapping of keys to slices, and weighted selection of servers.
 
-No I/O, no clock and no health: a balancer spreads requests by weight over the servers that it was given.
+This module does no I/O, reads no clock and tracks no server health. A balancer distributes requests by weight
+over the servers that it was given.
 """
 
 from __future__ import annotations
@@ -13,61 +14,71 @@
 
 import xxhash
 
-Random = Callable[[], float]  # uniform in [0, 1)
-KEY_BYTES = 8
+Random = Callable[[], float]  # Returns uniform random numbers in [0, 1).
+KEY_BYTES = 8  # Size of an integer key.
 NO_SERVERS: frozenset[int] = frozenset()
 
 
 def slice_for_key(key: int | bytes, slice_count: int) -> int:
-    """The slice of a key: xxh64 with seed 0 of its bytes, modulo the slices.
+    """Return the slice of a key: the xxh64 hash of its bytes with seed 0, modulo the number of slices.
 
-    An integer counts as its 8 bytes, little-endian. The mapping is the same in every language that has xxHash, and
-    does not change between versions.
+    An integer is hashed as 8 little-endian bytes. Every language with an xxHash library computes the same
+    mapping, and it does not change between versions.
     """
     data = key.to_bytes(KEY_BYTES, "little") if isinstance(key, int) else key
     return int(xxhash.xxh64_intdigest(data)) % slice_count
 
 
 class LoadBalancer(Protocol):
-    """Picks the server of the next request by weight."""
+    """Picks a server for each request by weight."""
 
     def set_weights(self, weights: Mapping[int, float]) -> None:
-        """Replace all weights; each is above 0."""
+        """Replace all weights; every weight must be above 0."""
 
     def pick(self, avoid: frozenset[int] = NO_SERVERS) -> int | None:
-        """The next server, one of `avoid` only if there is no other; None if there is no server."""
+        """Return the next server, or None if there is none.
+
+        Args:
+            avoid: Servers that are picked only if there is no other.
+        """
 
 
 class WeightedRoundRobin:
-    """Stride scheduling: each server's next turn follows its last by the inverse of its weight.
+    """Weighted round robin by stride scheduling.
 
-    Deterministic, O(log n) a pick, and within one request of the exact proportions for two servers. Each server
-    starts at a random point of its own turn, so that proxies with equal tables don't all start with the same one.
+    The server with the lowest pass value is picked, and its pass value advances by its stride, the inverse of
+    its weight. Picks are deterministic and take O(log n). With two servers the picks stay within one request of
+    the exact proportions. Each server starts at a random offset within its stride, so that proxies with equal
+    tables do not all start with the same server.
     """
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._weights: dict[int, float] = {}
-        self._heap: list[tuple[float, int]] = []  # (virtual time of the next turn, server)
+        self._heap: list[tuple[float, int]] = []  # Pairs of (pass value, server id).
         self._virtual_time = 0.0
 
     def set_weights(self, weights: Mapping[int, float]) -> None:
-        """Replace all weights; a server that remains keeps its position within its turn."""
-        turns = {server_id: turn for turn, server_id in self._heap}
+        """Replace all weights; a server that remains keeps its relative position within its stride."""
+        pass_values = {server_id: pass_value for pass_value, server_id in self._heap}
         heap = []
         for server_id, weight in sorted(weights.items()):
             old_weight = self._weights.get(server_id)
             if old_weight is None:
                 heap.append((self._virtual_time + self._random() / weight, server_id))
             else:
-                remaining_part = max(0.0, turns[server_id] - self._virtual_time) * old_weight
-                heap.append((self._virtual_time + remaining_part / weight, server_id))
+                remaining_fraction = max(0.0, pass_values[server_id] - self._virtual_time) * old_weight
+                heap.append((self._virtual_time + remaining_fraction / weight, server_id))
         heapq.heapify(heap)
         self._heap = heap
         self._weights = dict(weights)
 
     def pick(self, avoid: frozenset[int] = NO_SERVERS) -> int | None:
-        """The server with the earliest turn, one of `avoid` only if there is no other."""
+        """Return the server with the lowest pass value, or None if there is no server.
+
+        Args:
+            avoid: Servers that are picked only if there is no other.
+        """
         skipped: list[tuple[float, int]] = []
         while self._heap and self._heap[0][1] in avoid:
             skipped.append(heapq.heappop(self._heap))
@@ -77,18 +88,24 @@
             skipped = []
         if not self._heap:
             return None
-        turn, server_id = self._heap[0]
+        pass_value, server_id = self._heap[0]
         if not skipped:
-            self._virtual_time = max(self._virtual_time, turn)
-        heapq.heapreplace(self._heap, (turn + 1 / self._weights[server_id], server_id))
-        for skipped_turn, skipped_id in skipped:
-            # A skipped server must not save up turns, or it would get a burst on its return.
-            heapq.heappush(self._heap, (max(skipped_turn, turn), skipped_id))
+            self._virtual_time = max(self._virtual_time, pass_value)
+        heapq.heapreplace(self._heap, (pass_value + 1 / self._weights[server_id], server_id))
+        for skipped_pass_value, skipped_id in skipped:
+            # A skipped server must not fall behind in virtual time, or it would get a burst when it returns.
+            heapq.heappush(self._heap, (max(skipped_pass_value, pass_value), skipped_id))
         return server_id
 
 
 class WeightedRandom:
-    """Random by weight; with `in_flight` the better of two random choices (fewer requests in flight)."""
+    """Weighted random selection, optionally the better of two random choices.
+
+    Args:
+        random: A source of uniform random numbers in [0, 1).
+        in_flight: Returns the number of requests in flight at a server. If given, two servers are drawn, and
+            the one with fewer requests in flight is picked.
+    """
 
     def __init__(self, random: Random, in_flight: Callable[[int], int] | None = None) -> None:
         self._random = random
@@ -102,7 +119,11 @@
         self._cumulative_weights = list(accumulate(weights[server_id] for server_id in self._servers))
 
     def pick(self, avoid: frozenset[int] = NO_SERVERS) -> int | None:
-        """A random server, one of `avoid` only if there is no other."""
+        """Return a random server, or None if there is no server.
+
+        Args:
+            avoid: Servers that are picked only if there is no other.
+        """
         if not self._servers:
             return None
         if avoid and not avoid.isdisjoint(self._servers):
@@ -132,12 +153,12 @@
 
 
 def create_load_balancer(policy: str, random: Random, in_flight: Callable[[int], int]) -> LoadBalancer:
-    """A balancer for a policy of the settings.
+    """Create the balancer of a load balancing policy.
 
     Args:
-        policy: "rotate" (round robin), "random", or "p2c" (the better of two random choices).
-        random: Uniform random numbers in [0, 1).
-        in_flight: Requests in flight at a server, for "p2c".
+        policy: "rotate" (weighted round robin), "random" or "p2c" (the better of two random choices).
+        random: A source of uniform random numbers in [0, 1).
+        in_flight: Returns the number of requests in flight at a server; used by "p2c".
     """
     if policy == "rotate":
         return WeightedRoundRobin(random)
--- a/puffintide/proxy/request_state.py
+++ b/puffintide/proxy/request_state.py
@@ -1,4 +1,4 @@
-"""State of the requests and servers that the engine works on."""
+"""State of open requests and of server connections in the engine."""
 
 from __future__ import annotations
 
@@ -22,19 +22,22 @@
     slice_id: int
     class_index: int
     deadline_s: float
-    assigner_id: int  # owner of the slice; to whom usage is reported
+    assigner_id: int  # The owner of the slice, to which usage is reported.
     attempt_number: int = 0
     server_id: int = NO_SERVER
-    sent_at_s: float | None = None  # of the current attempt
-    maybe_executed_at_s: float | None = None  # when the first attempt that may have been executed was sent
+    sent_at_s: float | None = None  # When the current attempt was sent.
+    maybe_executed_at_s: float | None = None  # When the first attempt that may have been executed was sent.
     maybe_executed_zone: int = UNKNOWN_ZONE
-    maybe_executed_status: int = AttemptStatus.TIMEOUT  # the final status if no later attempt is answered
+    maybe_executed_status: int = AttemptStatus.TIMEOUT  # The final status if no later attempt is answered.
     required_zone: int = ANY_ZONE
     attempted_servers: frozenset[int] = NO_SERVERS
-    timer_id: int = 0  # its current timer; older ones are cancelled
+    timer_id: int = 0  # Id of the current timer; older timers are cancelled.
 
     def record_possible_execution(self, now_s: float, server_zone: int, status: int) -> None:
-        """The current attempt failed without proof that it was not executed."""
+        """Record that the current attempt failed without proof that it was not executed.
+
+        Only the first such attempt of a request is recorded.
+        """
         if self.maybe_executed_at_s is not None:
             return
         self.maybe_executed_at_s = self.sent_at_s if self.sent_at_s is not None else now_s
@@ -42,13 +45,13 @@
         self.maybe_executed_status = status
 
     def history(self, proven_not_executed: bool) -> AttemptHistory:
-        """The attempts so far, for the retry policy."""
+        """Return the history of attempts for the retry policy."""
         return AttemptHistory(
             self.attempt_number, proven_not_executed, self.maybe_executed_at_s, self.maybe_executed_zone
         )
 
     def begin_retry(self, required_zone: int) -> None:
-        """The next attempt begins; no server is selected yet."""
+        """Begin the next attempt; its server is selected later."""
         self.attempt_number += 1
         self.attempted_servers |= {self.server_id}
         self.required_zone = required_zone
@@ -56,7 +59,11 @@
         self.sent_at_s = None
 
     def final_status(self, status: int) -> int:
-        """The status for the client: a rejection would say that nothing was executed, so it must be true."""
+        """Return the status to send to the client.
+
+        A rejection states that nothing was executed. If an earlier attempt may have been executed, its status
+        is returned instead.
+        """
         if self.maybe_executed_at_s is not None and status in NOT_EXECUTED_STATUSES:
             return self.maybe_executed_status
         return status
@@ -64,13 +71,13 @@
 
 @dataclass(slots=True)
 class ServerConnection:
-    """The connection to one server, and its attempts."""
+    """The connection to one server, and the attempts that use it."""
 
     connected: bool = False
-    waiting: dict[int, None] = field(default_factory=dict)  # attempts that wait for the connection
-    in_flight: dict[int, None] = field(default_factory=dict)  # attempts that were sent
+    waiting: dict[int, None] = field(default_factory=dict)  # Ids of attempts that wait for the connection.
+    in_flight: dict[int, None] = field(default_factory=dict)  # Ids of sent, unanswered attempts.
 
     def remove(self, attempt_id: int) -> bool:
-        """Remove an attempt. Returns whether it was in flight."""
+        """Remove an attempt, and return whether it was in flight."""
         self.waiting.pop(attempt_id, None)
         return self.in_flight.pop(attempt_id, 0) is None
--- a/puffintide/proxy/retry_policy.py
+++ b/puffintide/proxy/retry_policy.py
@@ -1,8 +1,9 @@
-"""Retry policy: whether a failed attempt is retried, and where. No I/O; time is passed in.
+"""Retry policy: whether a failed attempt is retried, and at which servers.
 
-An attempt is proven not to have been executed by one of: the connection was refused; the connection ended before
-the server's greeting, that is before a byte of the request was written; the server answered that it is saturated.
-Any other failed attempt may have been executed.
+This module does no I/O; callers pass the current time. An attempt is proven not to have been executed in
+three cases: the connection was refused; the connection ended before the server's greeting, and so before any
+byte of the request was written; or the server answered that it is saturated. Any other failed attempt may have
+been executed.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 from puffintide.decisions.settings import RepeatSafety
 
-MIN_ATTEMPT_S = 0.01  # an attempt with less time than this can't be answered
+MIN_ATTEMPT_S = 0.01  # Minimum remaining time of a retry, in seconds; a shorter attempt can't be answered.
 ANY_ZONE = -1
 UNKNOWN_ZONE = -1
 
 
 class RetryMode(IntEnum):
-    """How many retries an assigner allows, and after which failures."""
+    """The number of retries that an assigner allows, and the failures after which it allows them."""
 
     NONE = 0
     ONE_IF_NOT_EXECUTED = 1
@@ -35,7 +36,7 @@
 
 
 class DeduplicationScope(StrEnum):
-    """Which servers share their record of idempotency keys; the values are those of the settings."""
+    """The set of servers that share a record of idempotency keys; the values are those of the settings."""
 
     ALL = "all"
     ZONE = "zone"
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassPolicy:
-    """What a class of requests allows to be repeated."""
+    """The properties of a request class that decide whether its requests may be retried."""
 
     repeat_safety: RepeatSafety
     deduplication_scope: DeduplicationScope
@@ -54,17 +55,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHistory:
-    """The attempts of a request so far."""
+    """The outcome of a request's attempts so far."""
 
-    last_attempt_number: int  # 0: the first
-    proven_not_executed: bool  # the last attempt
-    maybe_executed_at_s: float | None  # when the first attempt that may have been executed was sent
-    maybe_executed_zone: int  # and the zone of its server
+    last_attempt_number: int  # 0 is the first attempt.
+    proven_not_executed: bool  # Whether the last attempt is proven not to have been executed.
+    maybe_executed_at_s: float | None  # When the first attempt that may have been executed was sent.
+    maybe_executed_zone: int  # The zone of the server of that attempt.
 
 
 @dataclass(frozen=True, slots=True)
 class RetryTarget:
-    """A retry follows, at a server of this zone or of ANY_ZONE."""
+    """The zone whose servers may take a retry, or ANY_ZONE."""
 
     required_zone: int
 
@@ -77,9 +78,18 @@
     now_s: float,
     deadline_s: float,
 ) -> float:
-    """Until when an attempt waits for its response.
-
-    Where a retry may follow, that is `retry_wait_objectives` latency objectives from now; else the deadline.
+    """Return the time until which an attempt waits for its response.
+
+    If a retry may follow, this is `retry_wait_objectives` latency objectives from now, but no later than the
+    deadline. Otherwise it is the deadline.
+
+    Args:
+        policy: The policy of the request's class.
+        retry_mode: The retry mode of the request's slice and class.
+        attempt_number: The number of the attempt; 0 is the first.
+        retry_wait_objectives: The wait before a retry, in latency objectives.
+        now_s: The current time in seconds.
+        deadline_s: The deadline of the request in seconds.
     """
     retries_any_failure = retry_mode >= RetryMode.ONE and attempt_number < MAX_RETRIES[retry_mode]
     if retries_any_failure and policy.repeat_safety != RepeatSafety.NON_IDEMPOTENT:
@@ -90,7 +100,15 @@
 def next_attempt(
     policy: RequestClassPolicy, retry_mode: int, history: AttemptHistory, now_s: float, deadline_s: float
 ) -> RetryTarget | None:
-    """Where the next attempt may go, or None: the request gets its final response now."""
+    """Return the target of a retry, or None if the request gets its final response now.
+
+    Args:
+        policy: The policy of the request's class.
+        retry_mode: The retry mode of the request's slice and class.
+        history: The outcome of the attempts so far.
+        now_s: The current time in seconds.
+        deadline_s: The deadline of the request in seconds.
+    """
     if history.last_attempt_number >= MAX_RETRIES[retry_mode]:
         return None
     if now_s + MIN_ATTEMPT_S >= deadline_s:
@@ -107,11 +125,11 @@
 def _deduplicated_target(
     policy: RequestClassPolicy, history: AttemptHistory, elapsed_s: float
 ) -> RetryTarget | None:
-    """Where servers recognise the idempotency key of an earlier attempt; None where none is known to."""
+    """Return where servers are known to recognize the idempotency key of an earlier attempt, else None."""
     if elapsed_s >= policy.deduplication_window_s:
         return None
     if policy.deduplication_scope == DeduplicationScope.ALL:
         return RetryTarget(ANY_ZONE)
     if policy.deduplication_scope == DeduplicationScope.ZONE and history.maybe_executed_zone > UNKNOWN_ZONE:
         return RetryTarget(history.maybe_executed_zone)
-    return None  # a proxy does not know the servers' cells
+    return None  # A proxy does not know the servers' cells.
--- a/puffintide/proxy/settings.py
+++ b/puffintide/proxy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one proxy's engine."""
+"""Settings of a proxy's engine."""
 
 from __future__ import annotations
 
@@ -12,30 +12,40 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """Limits and policies of one proxy."""
+    """The limits and policies of one proxy."""
 
     slice_count: int
     request_classes: tuple[RequestClassPolicy, ...]
-    same_zone_only: tuple[bool, ...]  # by class: only servers of the proxy's zone may serve
+    same_zone_only: tuple[bool, ...]  # By class: whether only servers in the proxy's zone may serve.
     default_retry_mode: int
-    retry_wait_objectives: float  # wait before a retry, in latency objectives
-    ejection_failures: int  # consecutive failures after which a server is ejected; 0: never
+    retry_wait_objectives: float  # Wait for a response before a retry, in latency objectives.
+    ejection_failures: int  # Consecutive failures that eject a server; 0 disables ejection.
     ejection_s: float
     admission_mode: AdmissionMode
-    load_balancing_policy: str  # "rotate", "random" or "p2c"
-    queue_timeout_s: float  # how long a request waits for a server of its slice
-    retry_after_s: float  # sent with a rejection
+    load_balancing_policy: str  # "rotate", "random" or "p2c".
+    queue_timeout_s: float  # Maximum wait of a request for a server of its slice, in seconds.
+    retry_after_s: float  # Delay sent with a rejection, in seconds.
     zone: int
     single_writer: bool = False
     write_lease_s: float = 1.5
     max_queued_requests: int = 2000
     max_open_requests: int = 20000
     connect_timeout_s: float = 0.25
-    response_margin_s: float = 0.015  # the final response is sent so long before the client's deadline
+    response_margin_s: float = (
+        0.015  # Time kept before the client's deadline for the final response, in seconds.
+    )
 
 
 def engine_settings(config: Config, process: ProxyProcess) -> EngineSettings:
-    """The engine's settings, from a configuration file's sections."""
+    """Build the engine's settings from a configuration.
+
+    Args:
+        config: The configuration of the deployment.
+        process: The configuration section of this proxy process.
+
+    Returns:
+        The settings of the proxy's engine.
+    """
     deployment = config.deployment
     return EngineSettings(
         slice_count=deployment.slices,
--- a/puffintide/proxy/state.py
+++ b/puffintide/proxy/state.py
@@ -1,4 +1,4 @@
-"""The state file: a proxy's tables as last received, with which it starts while nobody else can be reached."""
+"""The state file: a copy of a proxy's tables, used at startup if no store or assigner is reachable."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StateError(ProxyError):
-    """The state file can't be used. The proxy then starts with empty tables and reads the store."""
+    """The state file can't be used; the proxy then starts with empty tables and reads the store."""
 
 
 class SavedState(
@@ -33,14 +33,15 @@
     """The contents of the state file."""
 
     format_version: int
-    saved_at_s: float  # seconds since the epoch
+    saved_at_s: float  # Seconds since the Unix epoch.
     ownerships: list[SliceOwnership]
-    withdrawn_servers: dict[int, list[int]]  # by assigner
-    admission_levels: list[tuple[int, list[tuple[int, AdmissionLevel]]]]  # by assigner: (slice, level)
+    withdrawn_servers: dict[int, list[int]]  # By assigner.
+    # Pairs of (assigner, levels), with the levels as pairs of (slice, level).
+    admission_levels: list[tuple[int, list[tuple[int, AdmissionLevel]]]]
 
 
 def capture_state(tables: WeightTables, now_epoch_s: float) -> SavedState:
-    """The tables as the state file has them."""
+    """Return the contents of the state file for the current tables."""
     withdrawn = {a: sorted(servers) for a, servers in sorted(tables.withdrawn.items()) if servers}
     return SavedState(FORMAT_VERSION, now_epoch_s, _ownerships(tables), withdrawn, _admission_levels(tables))
 
@@ -71,7 +72,7 @@
 
 
 def restore_state(tables: WeightTables, saved: SavedState) -> None:
-    """Put saved tables, withdrawals and levels in force."""
+    """Apply saved tables, withdrawals and admission levels."""
     for ownership in saved.ownerships:
         tables.apply_ownership(ownership)
     for assigner_id, servers in saved.withdrawn_servers.items():
@@ -85,7 +86,7 @@
     """Replace the state file atomically.
 
     Raises:
-        OSError: The file can't be written; the old one remains.
+        OSError: The file can't be written; the old file remains.
     """
     replace_file(path, msgspec.json.encode(saved))
 
@@ -94,14 +95,17 @@
     """Read the state file.
 
     Raises:
-        StateError: There is no file, or it is damaged or of another format; the text names it.
+        StateError: The file does not exist, is damaged or has another format version.
     """
     try:
         saved = msgspec.json.decode(Path(path).read_bytes(), type=SavedState)
     except FileNotFoundError as error:
-        raise StateError(f"{path}: not there yet") from error
+        raise StateError(f"cannot load proxy state from {path}: file does not exist") from error
     except (OSError, msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise StateError(f"{path}: {error}") from error
+        raise StateError(f"cannot load proxy state from {path}: {error}") from error
     if saved.format_version != FORMAT_VERSION:
-        raise StateError(f"{path}: format {saved.format_version} is not {FORMAT_VERSION}")
+        raise StateError(
+            f"cannot load proxy state from {path}: "
+            f"unsupported format version {saved.format_version}, expected {FORMAT_VERSION}"
+        )
     return saved
--- a/puffintide/proxy/timers.py
+++ b/puffintide/proxy/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the engine, as a heap: what is to be looked at next, and when. No clock."""
+"""Timer queue of the engine, implemented as a heap. This module reads no clock."""
 
 from __future__ import annotations
 
@@ -9,24 +9,30 @@
 
 
 class TimerPurpose(Enum):
-    """What a timer is for."""
+    """The timeout that a timer stands for."""
 
-    CONNECT_TIMEOUT = auto()  # of a server
-    ATTEMPT_TIMEOUT = auto()
-    QUEUE_TIMEOUT = auto()  # of a request without a server
+    CONNECT_TIMEOUT = auto()  # A server did not accept a connection in time.
+    ATTEMPT_TIMEOUT = auto()  # An attempt was not answered in time.
+    QUEUE_TIMEOUT = auto()  # A request found no available server in time.
 
 
 class Timer(NamedTuple):
-    """One timer; ordered by time, then by age."""
+    """A timer; timers are ordered by due time, then by creation."""
 
     at_s: float
     timer_id: int
     purpose: TimerPurpose
-    target_id: int  # a server for CONNECT_TIMEOUT, else an attempt
+    target_id: int  # Id of a server for CONNECT_TIMEOUT, otherwise of an attempt.
 
 
 class TimerQueue:
-    """Timers by time. Cancelled ones stay until they come to the top; `is_current` tells them apart."""
+    """A priority queue of timers by due time.
+
+    Cancelled timers stay in the heap and are dropped when they reach the top.
+
+    Args:
+        is_current: Returns whether a timer is still valid, that is not cancelled.
+    """
 
     def __init__(self, is_current: Callable[[Timer], bool]) -> None:
         self._is_current = is_current
@@ -34,13 +40,19 @@
         self._last_id = 0
 
     def add(self, at_s: float, purpose: TimerPurpose, target_id: int) -> int:
-        """Set a timer, and return its id."""
+        """Add a timer and return its id.
+
+        Args:
+            at_s: The time at which the timer is due, in seconds.
+            purpose: The timeout that the timer stands for.
+            target_id: The id of a server for CONNECT_TIMEOUT, otherwise of an attempt.
+        """
         self._last_id += 1
         heapq.heappush(self._timers, Timer(at_s, self._last_id, purpose, target_id))
         return self._last_id
 
     def next_at_s(self) -> float | None:
-        """When the next timer fires; None if there is none."""
+        """Return the time at which the next timer is due, or None if there is no timer."""
         while self._timers:
             timer = self._timers[0]
             if self._is_current(timer):
@@ -49,7 +61,7 @@
         return None
 
     def pop_due(self, now_s: float) -> Timer | None:
-        """Remove and return the next timer if it is due."""
+        """Remove and return the next timer if it is due, else return None."""
         at_s = self.next_at_s()
         if at_s is None or at_s > now_s:
             return None
--- a/puffintide/proxy/usage_counters.py
+++ b/puffintide/proxy/usage_counters.py
@@ -1,6 +1,6 @@
 """Usage counters for each assigner, by server, slice and request class.
 
-Each request and each attempt is counted once, whatever happens to the stream that carries the reports.
+Each request and each attempt is counted exactly once, even if the stream that carries the reports fails.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from puffintide.protocol.messages import ServerUsage, SliceUsage, UsageReport
 
-TIME_DIGITS = 6  # decimal places of seconds in a report
+TIME_DIGITS = 6  # Decimal places of the seconds in a report.
 
 
 @dataclass(slots=True)
@@ -17,7 +17,7 @@
     attempts: int = 0
     failed_attempts: int = 0
     success_latency_total_s: float = 0.0
-    load_values: list[float] = field(default_factory=list)  # of the newest load report
+    load_values: list[float] = field(default_factory=list)  # Values of the latest load report.
 
 
 @dataclass(slots=True)
@@ -30,11 +30,14 @@
 class _AssignerCounts:
     since_s: float
     servers: dict[int, _ServerCounts] = field(default_factory=dict)
-    slices: dict[tuple[int, int], _SliceCounts] = field(default_factory=dict)  # by slice and class
+    slices: dict[tuple[int, int], _SliceCounts] = field(default_factory=dict)  # By (slice, class).
 
 
 class UsageCounters:
-    """Counts since the last report to each assigner; what could not be reported yet adds up."""
+    """Counts of requests and attempts since the last report to each assigner.
+
+    Counts accumulate until a report is taken.
+    """
 
     def __init__(self) -> None:
         self._by_assigner: dict[int, _AssignerCounts] = {}
@@ -54,24 +57,24 @@
         return counts
 
     def count_request(self, now_s: float, assigner_id: int, slice_id: int, class_index: int) -> None:
-        """A request was received."""
+        """Count a received request."""
         self._slice_counts(now_s, assigner_id, slice_id, class_index).requests += 1
 
     def count_unanswered(self, now_s: float, assigner_id: int, slice_id: int, class_index: int) -> None:
-        """A request ended without a successful response."""
+        """Count a request that ended without a successful response."""
         self._slice_counts(now_s, assigner_id, slice_id, class_index).unanswered += 1
 
     def count_success(
         self, now_s: float, assigner_id: int, server_id: int, latency_s: float, load_values: list[float]
     ) -> None:
-        """An attempt was answered successfully."""
+        """Count an attempt that was answered successfully."""
         counts = self._count_attempt(now_s, assigner_id, server_id, load_values)
         counts.success_latency_total_s += latency_s
 
     def count_failure(
         self, now_s: float, assigner_id: int, server_id: int, load_values: list[float] | None = None
     ) -> None:
-        """An attempt ended without a successful response."""
+        """Count an attempt that ended without a successful response."""
         counts = self._count_attempt(now_s, assigner_id, server_id, load_values)
         counts.failed_attempts += 1
 
@@ -88,12 +91,12 @@
         return counts
 
     def take_report(self, now_s: float, assigner_id: int, min_interval_s: float) -> UsageReport | None:
-        """The counts since the last report, which start anew; None if there are none.
+        """Return the counts since the last report and reset them, or None if there are none.
 
         Args:
-            now_s: The current time.
-            assigner_id: To whom the report goes.
-            min_interval_s: The shortest interval that the report states.
+            now_s: The current time in seconds.
+            assigner_id: The assigner that receives the report.
+            min_interval_s: The lower bound of the interval stated in the report, in seconds.
         """
         counts = self._by_assigner.pop(assigner_id, None)
         if counts is None:
--- a/puffintide/proxy/weight_tables.py
+++ b/puffintide/proxy/weight_tables.py
@@ -14,30 +14,30 @@
 from puffintide.proxy.load_balancing import NO_SERVERS, LoadBalancer, Random, create_load_balancer
 from puffintide.proxy.retry_policy import ANY_ZONE
 
-MIN_REMEMBERED_SERVERS = 64
+MIN_TRACKED_SERVERS = 64  # Lower bound of the limit on server addresses and zones kept.
 NO_OWNER = -1
 UNKNOWN_TENURE = -1
 
 
 @dataclass(slots=True)
 class SliceTable:
-    """One slice: its owner, and the weights of its servers."""
+    """The owner of one slice and the weights of its servers."""
 
     owner_id: int = NO_OWNER
     fencing_token: int = 0
-    batch: int = 0  # of the last update in this tenure
-    tenure_token: int = UNKNOWN_TENURE  # the tenure's first fencing token
-    early_weights: dict[int, float] | None = None  # updates under a token whose ownership is not known yet
+    batch: int = 0  # Batch number of the last update in this tenure.
+    tenure_token: int = UNKNOWN_TENURE  # The first fencing token of the tenure.
+    early_weights: dict[int, float] | None = None  # Weights received under a token before its ownership.
     weights: dict[int, float] = field(default_factory=dict)
-    balancers: dict[bool, LoadBalancer] = field(default_factory=dict)  # by whether only the own zone serves
-    current_balancers: set[bool] = field(default_factory=set)  # those that have the weights as they are now
+    balancers: dict[bool, LoadBalancer] = field(default_factory=dict)  # By same_zone_only.
+    current_balancers: set[bool] = field(default_factory=set)  # Keys of the up-to-date balancers.
 
     def invalidate_balancers(self) -> None:
-        """The weights or the withdrawn servers have changed."""
+        """Mark all balancers as outdated after a change of the weights or of the withdrawn servers."""
         self.current_balancers.clear()
 
     def continues_tenure(self, ownership: SliceOwnership) -> bool:
-        """Whether the ownership is of the same unbroken tenure of its owner."""
+        """Return whether the ownership belongs to the same uninterrupted tenure of the owner."""
         return 0 < ownership.tenure_token == self.tenure_token
 
     def is_older_than_update(self, ownership: SliceOwnership) -> bool:
@@ -46,7 +46,7 @@
         return same_tenure and ownership.batch < self.batch
 
     def set_owner(self, ownership: SliceOwnership) -> None:
-        """Adopt owner and tokens of an ownership."""
+        """Adopt the owner and the tokens of an ownership."""
         self.owner_id = ownership.owner_id
         self.fencing_token = ownership.fencing_token
         self.tenure_token = ownership.tenure_token
@@ -61,7 +61,7 @@
         self.early_weights = {}
 
     def set_weight(self, entry: WeightEntry, single_writer: bool) -> None:
-        """Apply one weight entry; with a single writer, an entry replaces the whole table."""
+        """Apply one weight entry; with a single writer, an entry above 0 replaces the whole table."""
         if self.early_weights is not None:
             self.early_weights[entry.server_id] = entry.weight
         if single_writer and entry.weight > 0:
@@ -78,12 +78,12 @@
     """All tables of a proxy, and the addresses and zones of the servers in them.
 
     Args:
-        slice_count: Number of slices.
-        default_retry_mode: Retry mode where no assigner has set one.
+        slice_count: The number of slices.
+        default_retry_mode: The retry mode of slices and classes for which no assigner has set one.
         load_balancing_policy: "rotate", "random" or "p2c".
-        random: Uniform random numbers in [0, 1).
-        zone: Of this proxy.
-        in_flight: Own requests in flight at a server.
+        random: A source of uniform random numbers in [0, 1).
+        zone: The zone of this proxy.
+        in_flight: Returns the number of this proxy's requests in flight at a server.
         single_writer: Whether each slice has exactly one server.
     """
 
@@ -104,19 +104,19 @@
         self.zone = zone
         self.in_flight = in_flight
         self.slices = {slice_id: SliceTable() for slice_id in range(slice_count)}
-        self.addresses: dict[int, str] = {}  # HOST:PORT by server
-        self.zones: dict[int, int] = {}  # by server
-        self.withdrawn: dict[int, set[int]] = {}  # servers by assigner
+        self.addresses: dict[int, str] = {}  # HOST:PORT by server id.
+        self.zones: dict[int, int] = {}  # Zone by server id.
+        self.withdrawn: dict[int, set[int]] = {}  # Ids of withdrawn servers by assigner.
         self.levels = AdmissionLevels()
-        self.version = 0  # rises with each change
-        self.highest_token = 0  # of all fencing tokens received
-        self.stale_entries_dropped = 0  # weight entries with an old fencing token
-        self._max_remembered_servers = MIN_REMEMBERED_SERVERS
+        self.version = 0  # Incremented by each change.
+        self.highest_token = 0  # The highest fencing token received.
+        self.stale_entries_dropped = 0  # Number of weight entries dropped for an old fencing token.
+        self._max_tracked_servers = MIN_TRACKED_SERVERS
 
     # Received tables -----------------------------------------------------------------------------
 
     def apply_ownership(self, ownership: SliceOwnership) -> None:
-        """Adopt a slice's owner and table as the store has them, unless what is here is newer."""
+        """Adopt a slice's owner and table from the store, unless newer ones have been received."""
         table = self.slices.get(ownership.slice_id)
         if table is None or ownership.fencing_token < table.fencing_token:
             return
@@ -131,43 +131,49 @@
         table.batch = ownership.batch
         table.weights = {entry.server_id: entry.weight for entry in ownership.entries if entry.weight > 0}
         table.invalidate_balancers()
-        self._remember_servers(ownership.entries)
+        self._record_servers(ownership.entries)
         self.version += 1
-        self._forget_unused_servers()
+        self._evict_unused_servers()
 
     def _merge_early_weights(self, table: SliceTable, ownership: SliceOwnership) -> None:
-        """Updates of a new tenure refer to the entries of its ownership, not to those of the former owner."""
+        """Apply the early weights of a new tenure on top of the ownership's entries.
+
+        Updates of a new tenure refer to the entries of its ownership, not to those of the former owner.
+        """
         if table.early_weights is None or table.continues_tenure(ownership):
             return
         weights = {entry.server_id: entry.weight for entry in ownership.entries} | table.early_weights
         table.weights = {server_id: weight for server_id, weight in weights.items() if weight > 0}
         table.invalidate_balancers()
         self.version += 1
-        self._remember_servers(ownership.entries)
+        self._record_servers(ownership.entries)
 
-    def _remember_servers(self, entries: list[TableEntry]) -> None:
+    def _record_servers(self, entries: list[TableEntry]) -> None:
         for entry in entries:
-            self._remember_server(entry.server_id, entry.address, entry.zone)
+            self._record_server(entry.server_id, entry.address, entry.zone)
 
-    def _remember_server(self, server_id: int, address: str, zone: int) -> None:
+    def _record_server(self, server_id: int, address: str, zone: int) -> None:
         if address:
             self.addresses[server_id] = address
         if zone >= 0:
             self.zones[server_id] = zone
 
-    def _forget_unused_servers(self) -> None:
-        """Bound the memory for servers that are in no table any more: each new one has an id of its own."""
-        if max(len(self.addresses), len(self.zones)) <= self._max_remembered_servers:
+    def _evict_unused_servers(self) -> None:
+        """Drop the addresses and zones of servers that are in no table once there are too many.
+
+        Every new server has a new id, so the memory would otherwise grow without bound.
+        """
+        if max(len(self.addresses), len(self.zones)) <= self._max_tracked_servers:
             return
         used = {server_id for table in self.slices.values() for server_id in table.weights}
         self.addresses = {server_id: a for server_id, a in self.addresses.items() if server_id in used}
         self.zones = {server_id: zone for server_id, zone in self.zones.items() if server_id in used}
-        self._max_remembered_servers = 2 * len(used) + MIN_REMEMBERED_SERVERS
+        self._max_tracked_servers = 2 * len(used) + MIN_TRACKED_SERVERS
 
     def on_assigner_connected(self, assigner_id: int) -> None:
-        """A new stream to an assigner: it sends anew which withdrawals and levels are in force.
+        """Drop the withdrawals and admission levels of an assigner whose stream was opened.
 
-        It may have lifted or lost some of them while the stream was down.
+        The assigner sends its current ones again; it may have lifted or lost some while the stream was down.
         """
         self.withdrawn.pop(assigner_id, None)
         self.levels.clear_assigner(assigner_id)
@@ -193,7 +199,7 @@
         for level in update.admission_levels:
             self.levels.set(assigner_id, level)
         self.version += 1
-        self._forget_unused_servers()
+        self._evict_unused_servers()
 
     def _clear_slice(self, assigner_id: int, slice_id: int, batch: int) -> None:
         table = self.slices.get(slice_id)
@@ -213,17 +219,17 @@
         if entry.fencing_token > table.fencing_token:
             table.adopt_newer_token(assigner_id, entry.fencing_token)
         table.batch = batch
-        self._remember_server(entry.server_id, entry.address, entry.zone)
+        self._record_server(entry.server_id, entry.address, entry.zone)
         table.set_weight(entry, self.single_writer)
 
     # Routing -------------------------------------------------------------------------------------
 
     def owner_of(self, slice_id: int) -> int:
-        """The assigner that owns a slice."""
+        """Return the assigner that owns a slice."""
         return self.slices[slice_id].owner_id
 
     def available_weights(self, slice_id: int) -> dict[int, float]:
-        """A slice's weights without withdrawn servers, whose part goes to the others."""
+        """Return a slice's weights without withdrawn servers, whose share goes to the remaining servers."""
         table = self.slices[slice_id]
         withdrawn = self.withdrawn.get(table.owner_id, NO_SERVERS)
         return {
@@ -237,26 +243,27 @@
         same_zone_only: bool = False,
         required_zone: int = ANY_ZONE,
     ) -> int | None:
-        """A server for the slice's next request; None if there is none.
+        """Return a server for the slice's next request, or None if there is none.
 
         Args:
             slice_id: The request's slice.
             avoid: Servers that are picked only if there is no other.
-            same_zone_only: Whether only servers of this proxy's zone may serve.
-            required_zone: Of a retry that must stay in the zone of an earlier attempt.
+            same_zone_only: Whether only servers in this proxy's zone may serve the request.
+            required_zone: The zone that a retry must stay in, or ANY_ZONE.
         """
         balancer = self._balancer(self.slices[slice_id], same_zone_only, slice_id)
         if required_zone < 0:
             return balancer.pick(avoid)
         weights = self.slices[slice_id].weights
-        other_zones = frozenset(s for s in weights if self.zones.get(s) != required_zone)
-        server_id = balancer.pick(avoid | other_zones)
-        if server_id in other_zones:  # all servers of the zone are to be avoided: one of them nevertheless
-            server_id = balancer.pick(other_zones)
-        return None if server_id in other_zones else server_id
+        other_zone_servers = frozenset(s for s in weights if self.zones.get(s) != required_zone)
+        server_id = balancer.pick(avoid | other_zone_servers)
+        if server_id in other_zone_servers:
+            # All servers in the zone are in `avoid`: pick one of them anyway.
+            server_id = balancer.pick(other_zone_servers)
+        return None if server_id in other_zone_servers else server_id
 
     def _balancer(self, table: SliceTable, same_zone_only: bool, slice_id: int) -> LoadBalancer:
-        """Created at the first use; its weights are set anew after each change."""
+        """Return a table's balancer with up-to-date weights, and create it at first use."""
         balancer = table.balancers.get(same_zone_only)
         if balancer is None:
             balancer = create_load_balancer(self.load_balancing_policy, self.random, self.in_flight)
@@ -270,15 +277,15 @@
         return balancer
 
     def admission_limit(self, slice_id: int, class_index: int) -> float | None:
-        """The fraction of a class's requests that is admitted to a slice; None where none is set."""
+        """Return the admitted fraction of a class's requests to a slice, or None if no fraction is set."""
         return self.levels.fraction(self.slices[slice_id].owner_id, slice_id, class_index)
 
     def admission_fraction(self, slice_id: int, class_index: int) -> float:
-        """The fraction of a class's requests that is admitted to a slice; 1 where none is set."""
+        """Return the admitted fraction of a class's requests to a slice, or 1 if no fraction is set."""
         limit = self.admission_limit(slice_id, class_index)
         return 1.0 if limit is None else limit
 
     def retry_mode(self, slice_id: int, class_index: int) -> int:
-        """The slice's retry mode, else that for all slices, else the deployment's."""
+        """Return the retry mode set for the slice, else for all slices, else the deployment's default."""
         mode = self.levels.retry_mode(self.slices[slice_id].owner_id, slice_id, class_index)
         return self.default_retry_mode if mode is None else mode
--- a/puffintide/proxy/write_lease.py
+++ b/puffintide/proxy/write_lease.py
@@ -1,4 +1,7 @@
-"""Write leases: with a single writer per slice, a proxy forwards writes only while its assigner is in contact."""
+"""Write leases: with a single writer per slice, a proxy forwards writes only while its assigner is connected.
+
+A lease continues for a limited time after the connection is lost.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,17 @@
     """Until when the slices of each assigner take writes. There is no lease before the assigner's first update."""
 
     def __init__(self) -> None:
-        self._expires_at_s: dict[int, float] = {}  # by assigner
+        self._expires_at_s: dict[int, float] = {}  # By assigner.
 
     def grant(self, assigner_id: int) -> None:
         """The assigner has sent an update: its slices take writes until the connection to it is lost."""
         self._expires_at_s[assigner_id] = math.inf
 
     def limit(self, assigner_id: int, expires_at_s: float) -> None:
-        """The connection was lost: the lease ends at this time, if not earlier."""
+        """End an assigner's lease at this time, unless it ends earlier."""
         granted_until_s = self._expires_at_s.get(assigner_id, 0.0)
         self._expires_at_s[assigner_id] = min(granted_until_s, expires_at_s)
 
     def is_valid(self, assigner_id: int, now_s: float) -> bool:
-        """Whether the assigner's slices take writes now."""
+        """Return whether the assigner's slices accept writes now."""
         return now_s < self._expires_at_s.get(assigner_id, 0.0)
--- a/tests/test_proxy_weight_tables.py
+++ b/tests/test_proxy_weight_tables.py
@@ -45,7 +45,7 @@
         Path(path).write_bytes(bad)
         with pytest.raises(StateError, match=r"tables\.json"):
             load_state(path)
-    with pytest.raises(StateError, match="not there"):
+    with pytest.raises(StateError, match=r"tables\.jsonx: file does not exist"):
         load_state(path + "x")
     assert msgspec.json.encode(capture_state(e.tables, 5.0)) == data
 
