--- a/puffintide/proxy/load_balancing.py
+++ b/puffintide/proxy/load_balancing.py
@@ -47,9 +47,9 @@
     """Weighted round robin by stride scheduling.
 
     The server with the lowest pass value is picked, and its pass value advances by its stride, the inverse of
-    its weight. Picks are deterministic and take O(log n). With two servers the picks stay within one request of
-    the exact proportions. Each server starts at a random offset within its stride, so that proxies with equal
-    tables do not all start with the same server.
+    its weight. Picks are deterministic and take O(log n). With two servers the picks stay within one request
+    of the exact proportions. Each server starts at a random offset within its stride, so that proxies with
+    equal tables do not all start with the same server.
     """
 
     def __init__(self, random: Random) -> None:
--- a/puffintide/proxy/request_timings.py
+++ b/puffintide/proxy/request_timings.py
@@ -17,8 +17,8 @@
     """Records the latency of one request in SAMPLING_INTERVAL in HDR histograms.
 
     Args:
-        log_every: About one request in `log_every` is selected for the log; 0 selects none. 1 times and selects
-            every request; any other value selects at most one request in SAMPLING_INTERVAL.
+        log_every: About one request in `log_every` is selected for the log; 0 selects none. 1 times and
+            selects every request; any other value selects at most one request in SAMPLING_INTERVAL.
     """
 
     def __init__(self, log_every: int) -> None:
--- a/puffintide/proxy/settings.py
+++ b/puffintide/proxy/settings.py
@@ -31,9 +31,7 @@
     max_queued_requests: int = 2000
     max_open_requests: int = 20000
     connect_timeout_s: float = 0.25
-    response_margin_s: float = (
-        0.015  # Time kept before the client's deadline for the final response, in seconds.
-    )
+    response_margin_s: float = 0.015  # Time reserved before the client's deadline to respond, in seconds.
 
 
 def engine_settings(config: Config, process: ProxyProcess) -> EngineSettings:
--- a/tests/proxy_engines.py
+++ b/tests/proxy_engines.py
@@ -1,4 +1,4 @@
-"""Engines of the proxy for tests: settings, tables, and what is needed to send a request."""
+"""Helpers for tests of the proxy's engine: settings, an engine with tables, and requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from puffintide.proxy.settings import EngineSettings
 
-CLASSES = (
+REQUEST_CLASSES = (
     RequestClassPolicy(RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 1.0),
     RequestClassPolicy(RepeatSafety.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 2.0, 1.0),
     RequestClassPolicy(RepeatSafety.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 1.0),
@@ -30,7 +30,7 @@
 
 SETTINGS = EngineSettings(
     slice_count=4,
-    request_classes=CLASSES,
+    request_classes=REQUEST_CLASSES,
     same_zone_only=(False, False, False),
     default_retry_mode=0,
     retry_wait_objectives=0.5,
@@ -44,28 +44,30 @@
 )
 
 
-def engine(servers: int = 3, **changes: Any) -> Engine:
-    result = Engine(replace(SETTINGS, **changes), random.Random(1).random)
+def create_engine(servers: int = 3, **changes: Any) -> Engine:
+    engine = Engine(replace(SETTINGS, **changes), random.Random(1).random)
     entries = [m.TableEntry(s, 1.0, f"127.0.0.1:{s}", s % 2) for s in range(servers)]
-    result.on_slice_ownerships(0.0, [m.SliceOwnership(n, n + 1, 0, entries) for n in range(4)])
-    return result
+    engine.on_slice_ownerships(0.0, [m.SliceOwnership(n, n + 1, 0, entries) for n in range(4)])
+    return engine
 
 
-def effects_of(effects: list[Effect], kind: type) -> list[Any]:
-    return [e for e in effects if isinstance(e, kind)]
+def effects_of_type(effects: list[Effect], effect_type: type) -> list[Any]:
+    return [effect for effect in effects if isinstance(effect, effect_type)]
 
 
-def retry_mode_update(retry_mode: int, level: float = 1.0, classes: int = 0) -> m.ProxyUpdate:
-    return m.ProxyUpdate(1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, classes, level, retry_mode)])
+def retry_mode_update(retry_mode: int, fraction: float = 1.0, class_mask: int = 0) -> m.ProxyUpdate:
+    return m.ProxyUpdate(
+        1, 0.0, 1.0, admission_levels=[m.AdmissionLevel(0xFFFF, class_mask, fraction, retry_mode)]
+    )
 
 
-def start(
-    e: Engine, now: float, handle: int = 1, kind: int = IDEMPOTENT, remaining_s: float = 4.0
+def start_request(
+    engine: Engine, now_s: float, handle: int = 1, class_index: int = IDEMPOTENT, remaining_s: float = 4.0
 ) -> SendAttempt:
-    """A request whose first attempt is at a server."""
-    effects = e.on_request(now, handle, handle, 0, kind, remaining_s)
-    for connect in effects_of(effects, ConnectServer):
-        effects = effects + e.on_server_connected(now, connect.server_id)
-    (send,) = effects_of(effects, SendAttempt)
+    """Send a request, connect its server and return the first attempt."""
+    effects = engine.on_request(now_s, handle, handle, 0, class_index, remaining_s)
+    for connect in effects_of_type(effects, ConnectServer):
+        effects = effects + engine.on_server_connected(now_s, connect.server_id)
+    (send,) = effects_of_type(effects, SendAttempt)
     assert isinstance(send, SendAttempt)
     return send
--- a/tests/proxy_random_history.py
+++ b/tests/proxy_random_history.py
@@ -1,6 +1,6 @@
-"""Random histories of a proxy's engine, checked at each effect and at the end.
+"""Random event sequences for the proxy's engine, with checks on every effect and at the end.
 
-Servers answer, fail, reject, stay silent or disconnect, while weights and admission levels change.
+Servers answer, fail, reject, do not answer or disconnect while weights and admission levels change.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from puffintide.decisions.settings import RepeatSafety
 from puffintide.protocol import messages as m
 from puffintide.proxy.effects import CompleteRequest, ConnectServer, DisconnectServer, Effect, SendAttempt
-from tests.proxy_engines import CLASSES, engine
+from tests.proxy_engines import REQUEST_CLASSES, create_engine
 
 STEPS = 150
 SERVERS = 4
@@ -28,11 +28,11 @@
 
 
 class RandomHistory:
-    """One seeded history."""
+    """Runs one random event sequence that is determined by its seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.engine = engine(
+        self.engine = create_engine(
             servers=SERVERS,
             default_retry_mode=self.random.choice((0, 1)),
             ejection_failures=self.random.choice((0, 2)),
@@ -40,16 +40,16 @@
             max_queued_requests=5,
         )
         self.now_s = 1.0
-        self.deadlines_s: dict[int, float] = {}  # by handle
-        self.completed: dict[int, CompleteRequest] = {}  # by handle
-        self.attempts: dict[int, list[SendAttempt]] = {}  # by handle
-        self.proven_not_executed: dict[int, bool] = {}  # by attempt
+        self.deadlines_s: dict[int, float] = {}  # By request handle.
+        self.completed: dict[int, CompleteRequest] = {}  # By request handle.
+        self.attempts: dict[int, list[SendAttempt]] = {}  # By request handle.
+        self.proven_not_executed: dict[int, bool] = {}  # By attempt id.
         self.connecting: set[int] = set()
         self.in_flight: list[SendAttempt] = []
         self.reported_requests = self.reported_attempts = self.reported_unanswered = 0
 
-    def play(self) -> None:
-        """All steps, then time until nothing is open."""
+    def run(self) -> None:
+        """Run all steps, then run all timers until no request is open."""
         for handle in range(STEPS):
             self._advance(self.now_s + self.random.random() * MAX_STEP_S)
             self._step(handle)
@@ -83,7 +83,7 @@
         remaining_s = self.random.uniform(0.05, 3)
         self.deadlines_s[handle] = self.now_s + remaining_s
         slice_id = self.random.randrange(SLICES)
-        class_index = self.random.randrange(len(CLASSES))
+        class_index = self.random.randrange(len(REQUEST_CLASSES))
         self._check(self.engine.on_request(self.now_s, handle, handle, slice_id, class_index, remaining_s))
 
     def _connect(self) -> None:
@@ -100,7 +100,7 @@
         status = self.random.choice(STATUSES)
         self.proven_not_executed[attempt_id] = status == m.AttemptStatus.SATURATED
         self._check(self.engine.on_response(self.now_s, server_id, attempt_id, status, []))
-        if self.random.random() < 0.1:  # the same attempt is answered twice
+        if self.random.random() < 0.1:  # Answer the same attempt a second time.
             status = m.AttemptStatus.OK
             self._check(self.engine.on_response(self.now_s, server_id, attempt_id, status, []))
 
@@ -123,7 +123,7 @@
         update = m.ProxyUpdate(1, self.now_s, 1.0, weights=weights, admission_levels=levels)
         self._check(self.engine.on_proxy_update(self.now_s, 0, update))
         for slice_id in range(SLICES):
-            for class_index in range(len(CLASSES)):
+            for class_index in range(len(REQUEST_CLASSES)):
                 assert self.engine.tables.retry_mode(slice_id, class_index) == retry_mode
 
     def _report(self) -> None:
@@ -153,10 +153,10 @@
     def _check_attempt(self, attempt: SendAttempt) -> None:
         assert attempt.remaining_s > 0
         assert isinstance(attempt.handle, int)
-        earlier = self.attempts.setdefault(attempt.handle, [])
-        if earlier:
+        earlier_attempts = self.attempts.setdefault(attempt.handle, [])
+        if earlier_attempts:
             assert attempt.attempt_number <= 2
-            if CLASSES[attempt.class_index].repeat_safety == RepeatSafety.NON_IDEMPOTENT:
-                assert all(self.proven_not_executed.get(other.attempt_id) for other in earlier)
-        earlier.append(attempt)
+            if REQUEST_CLASSES[attempt.class_index].repeat_safety == RepeatSafety.NON_IDEMPOTENT:
+                assert all(self.proven_not_executed.get(other.attempt_id) for other in earlier_attempts)
+        earlier_attempts.append(attempt)
         self.in_flight.append(attempt)
--- a/tests/test_proxy_connection_attempts.py
+++ b/tests/test_proxy_connection_attempts.py
@@ -1,4 +1,4 @@
-"""How many connections to one server are opened at once."""
+"""Tests of the limits on opening connections to one server."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["ask", "established", "failed", "lost", "ready", "drop"]), st.integers(0, 9)
+            st.sampled_from(["enqueue", "established", "failed", "lost", "pop", "discard"]), st.integers(0, 9)
         )
     )
 )
-def test_connecting_is_bounded_by_what_was_established_and_loses_no_attempt(
+def test_concurrent_connects_are_limited_and_every_waiting_attempt_ends(
     steps: list[tuple[str, int]],
 ) -> None:
     connections = ConnectionAttempts(6)
     waiting: set[int] = set()
-    key = established = 0
-    for what, which in steps:
-        if what == "ask":
-            key += 1
-            if connections.enqueue(key):
-                waiting.add(key)
+    last_attempt_id = consecutive_established = 0
+    for step, attempt_id in steps:
+        if step == "enqueue":
+            last_attempt_id += 1
+            if connections.enqueue(last_attempt_id):
+                waiting.add(last_attempt_id)
             else:
                 assert connections.established + connections.connecting >= 6 or len(waiting) >= 6
-        elif what == "established" and connections.connecting:
+        elif step == "established" and connections.connecting:
             connections.on_established()
-            established += 1
-        elif what == "failed" and connections.connecting:
-            ended = connections.on_connect_failed()
-            established = 0
-            assert set(ended) == waiting  # each would have met the same
+            consecutive_established += 1
+        elif step == "failed" and connections.connecting:
+            failed_attempts = connections.on_connect_failed()
+            consecutive_established = 0
+            assert set(failed_attempts) == waiting  # Every waiting attempt would see the same failure.
             waiting = set()
-        elif what == "lost" and connections.established:
+        elif step == "lost" and connections.established:
             connections.on_connection_lost()
-            established = established if connections.established else 0
-        elif what == "ready" and connections.established:
+            consecutive_established = consecutive_established if connections.established else 0
+        elif step == "pop" and connections.established:
             popped = connections.pop_waiting()
             assert popped == (min(waiting) if waiting else None)
             waiting.discard(popped or 0)
-        elif what == "drop":
-            assert connections.discard(which) == (which in waiting)
-            waiting.discard(which)
-        before = connections.connecting  # those begun earlier go on
+        elif step == "discard":
+            assert connections.discard(attempt_id) == (attempt_id in waiting)
+            waiting.discard(attempt_id)
+        connecting_before = connections.connecting  # Connections begun earlier continue.
         connections.begin_connecting()
-        assert connections.connecting <= max(before, min(1 + established, 6))
+        assert connections.connecting <= max(connecting_before, min(1 + consecutive_established, 6))
         assert connections.established + connections.connecting <= 6
-        # Each waiting attempt will end: a connection is being opened, or an established one is in use.
+        # Each waiting attempt will end, as a connection is being opened or an established one is in use.
         assert not waiting or connections.connecting or connections.established
--- a/tests/test_proxy_load_balancing.py
+++ b/tests/test_proxy_load_balancing.py
@@ -1,4 +1,4 @@
-"""Load balancing: slices of keys, and picks by weight."""
+"""Tests of key mapping and of weighted server selection."""
 
 from __future__ import annotations
 
@@ -14,52 +14,54 @@
 from puffintide.proxy.load_balancing import WeightedRandom, WeightedRoundRobin, slice_for_key
 
 
-def test_a_key_maps_to_the_slice_of_the_xxhash_reference() -> None:
-    # xxh64, seed 0, of 8 bytes little-endian: from the algorithm's own reference implementation.
+def test_slice_for_key_matches_xxhash_reference() -> None:
+    # Expected values: xxh64 with seed 0 of 8 little-endian bytes, from the xxHash reference implementation.
     assert slice_for_key(0, 1 << 64) == 0x34C96ACDCADB1BBB
     assert slice_for_key(b"\x00" * 8, 97) == slice_for_key(0, 97)
     assert slice_for_key(b"", 1 << 64) == 0xEF46DB3751D8E999
 
 
 @pytest.mark.parametrize("seed", range(5))
-@pytest.mark.parametrize("how", ["rotate", "random"])
-def test_picks_over_a_hundred_thousand_requests_match_the_weights(how: str, seed: int) -> None:
+@pytest.mark.parametrize("policy", ["rotate", "random"])
+def test_picks_over_100000_requests_match_weights(policy: str, seed: int) -> None:
     rng = random.Random(seed)
     weights = {s: rng.choice((0.5, 1.0, 1.0, 2.0, 3.5)) for s in range(12)}
-    balancer = WeightedRoundRobin(rng.random) if how == "rotate" else WeightedRandom(rng.random)
+    balancer = WeightedRoundRobin(rng.random) if policy == "rotate" else WeightedRandom(rng.random)
     balancer.set_weights(weights)
     count = 100_000
-    tally = Tally(balancer.pick() for _ in range(count))
-    expected_share = {s: count * w / sum(weights.values()) for s, w in weights.items()}
-    assert all(abs(tally[s] / expected_share[s] - 1) < (0.0005 if how == "rotate" else 0.05) for s in weights)
-    if how == "random":  # chi-square beside what chance allows: 11 degrees of freedom, one in a million
-        assert sum((tally[s] - expected_share[s]) ** 2 / expected_share[s] for s in weights) < 51
+    picks = Tally(balancer.pick() for _ in range(count))
+    expected_picks = {s: count * w / sum(weights.values()) for s, w in weights.items()}
+    tolerance = 0.0005 if policy == "rotate" else 0.05
+    assert all(abs(picks[s] / expected_picks[s] - 1) < tolerance for s in weights)
+    if policy == "random":
+        # Chi-square test with 11 degrees of freedom; chance exceeds the bound once in a million.
+        assert sum((picks[s] - expected_picks[s]) ** 2 / expected_picks[s] for s in weights) < 51
 
 
-def test_picks_follow_weights_that_change_ten_times_a_second() -> None:
+def test_picks_follow_frequent_weight_changes() -> None:
     rng = random.Random(3)
     balancer = WeightedRoundRobin(rng.random)
     expected: Tally[int] = Tally()
-    tally: Tally[int] = Tally()
-    for _ in range(1000):  # changes; a hundred requests between two
+    picks: Tally[int] = Tally()
+    for _ in range(1000):  # Weight changes, ten a second, with 100 requests after each.
         weights = {s: rng.choice((0.004, 1.0, 2.0)) for s in rng.sample(range(8), rng.randint(1, 8))}
         balancer.set_weights(weights)
         for _ in range(100):
             server = balancer.pick()
             assert server in weights
-            tally[server] += 1
+            picks[server] += 1
         for s, w in weights.items():
             expected[s] += 100 * w / sum(weights.values())  # type: ignore[assignment]
-    assert all(abs(tally[s] / expected[s] - 1) < 0.02 for s in range(8))
+    assert all(abs(picks[s] / expected[s] - 1) < 0.02 for s in range(8))
 
 
-def test_proxies_with_equal_tables_do_not_start_with_the_same_server() -> None:
-    first = Tally()  # type: Tally[Any]
+def test_proxies_with_equal_tables_do_not_all_start_with_same_server() -> None:
+    first_picks = Tally()  # type: Tally[Any]
     for proxy in range(400):
         balancer = WeightedRoundRobin(random.Random(proxy).random)
         balancer.set_weights(dict.fromkeys(range(4), 1.0))
-        first[balancer.pick()] += 1
-    assert all(60 < first[s] < 140 for s in range(4))
+        first_picks[balancer.pick()] += 1
+    assert all(60 < first_picks[s] < 140 for s in range(4))
 
 
 @given(
@@ -68,7 +70,7 @@
     st.integers(0, 999),
     st.booleans(),
 )
-def test_a_pick_avoids_servers_only_if_there_are_others(
+def test_pick_returns_avoided_server_only_if_there_is_no_other(
     weights: dict[int, float], avoid: frozenset[int], seed: int, round_robin: bool
 ) -> None:
     rng = random.Random(seed)
@@ -80,27 +82,27 @@
         assert (server in allowed) if allowed else server is None
 
 
-def test_two_choices_pick_the_server_with_fewer_requests_in_flight() -> None:
-    busy = {0: 5, 1: 0}
-    balancer = WeightedRandom(random.Random(1).random, lambda s: busy[s])
+def test_two_random_choices_prefer_server_with_fewer_requests_in_flight() -> None:
+    in_flight = {0: 5, 1: 0}
+    balancer = WeightedRandom(random.Random(1).random, lambda s: in_flight[s])
     balancer.set_weights({0: 1.0, 1: 1.0})
-    tally = Tally(balancer.pick() for _ in range(4000))
-    assert 0.7 < tally[1] / 4000 < 0.8  # all but the quarter where both draws are server 0
+    picks = Tally(balancer.pick() for _ in range(4000))
+    assert 0.7 < picks[1] / 4000 < 0.8  # Both draws are server 0 in a quarter of the picks.
 
 
-def test_a_pick_compares_few_servers_of_many() -> None:
-    """Operations, not time: a pick touches the heap, never all lines."""
+def test_pick_compares_few_of_many_servers() -> None:
+    """Count heap comparisons instead of time: a pick never scans all servers."""
     balancer = WeightedRoundRobin(random.Random(1).random)
     balancer.set_weights(dict.fromkeys(range(1024), 1.0))
-    seen: list[int] = []
+    comparisons: list[int] = []
 
-    class Watched(float):
+    class CountingFloat(float):
         def __lt__(self, other: Any) -> bool:
-            seen.append(1)
+            comparisons.append(1)
             return float.__lt__(self, other)
 
-    balancer._heap = [(Watched(turn), s) for turn, s in balancer._heap]
+    balancer._heap = [(CountingFloat(pass_value), s) for pass_value, s in balancer._heap]
     for _ in range(200):
         balancer.pick()
-    assert len(seen) < 200 * 30
+    assert len(comparisons) < 200 * 30
     assert np.isfinite(balancer._virtual_time)
--- a/tests/test_proxy_weight_tables.py
+++ b/tests/test_proxy_weight_tables.py
@@ -1,4 +1,4 @@
-"""Weight tables and the state file."""
+"""Tests of weight tables and of the state file."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from puffintide.proxy.state import StateError, capture_state, load_state, restore_state, save_state
 from puffintide.proxy.weight_tables import WeightTables
 from tests.proxy_engines import (
-    engine,
-    start,
+    create_engine,
+    start_request,
 )
 
 
-def test_tables_are_restored_from_the_state_file_and_a_damaged_one_is_an_error(tmp_path: Path) -> None:
-    e = engine()
-    e.on_proxy_update(
+def test_tables_are_restored_from_state_file_and_damaged_file_is_rejected(tmp_path: Path) -> None:
+    engine = create_engine()
+    engine.on_proxy_update(
         1.0,
         0,
         m.ProxyUpdate(
@@ -30,45 +30,49 @@
         ),
     )
     path = str(tmp_path / "tables.json")
-    save_state(path, capture_state(e.tables, 5.0))
-    again = WeightTables(4, 0, "rotate", lambda: 0.5)
-    restore_state(again, load_state(path))
-    for number in range(4):
-        assert again.available_weights(number) == e.tables.available_weights(number)
-        for kind in range(3):
-            assert again.admission_fraction(number, kind) == e.tables.admission_fraction(number, kind)
-            assert again.retry_mode(number, kind) == e.tables.retry_mode(number, kind)
-    assert again.addresses == e.tables.addresses
-    assert again.zones == e.tables.zones
+    save_state(path, capture_state(engine.tables, 5.0))
+    restored = WeightTables(4, 0, "rotate", lambda: 0.5)
+    restore_state(restored, load_state(path))
+    for slice_id in range(4):
+        assert restored.available_weights(slice_id) == engine.tables.available_weights(slice_id)
+        for class_index in range(3):
+            assert restored.admission_fraction(slice_id, class_index) == engine.tables.admission_fraction(
+                slice_id, class_index
+            )
+            assert restored.retry_mode(slice_id, class_index) == engine.tables.retry_mode(
+                slice_id, class_index
+            )
+    assert restored.addresses == engine.tables.addresses
+    assert restored.zones == engine.tables.zones
     data = Path(path).read_bytes()
-    for bad in (data[:-20], b"", b"{}", data.replace(b'"format":1', b'"format":9')):
-        Path(path).write_bytes(bad)
+    for damaged_data in (data[:-20], b"", b"{}", data.replace(b'"format":1', b'"format":9')):
+        Path(path).write_bytes(damaged_data)
         with pytest.raises(StateError, match=r"tables\.json"):
             load_state(path)
     with pytest.raises(StateError, match=r"tables\.jsonx: file does not exist"):
         load_state(path + "x")
-    assert msgspec.json.encode(capture_state(e.tables, 5.0)) == data
+    assert msgspec.json.encode(capture_state(engine.tables, 5.0)) == data
 
 
-def test_with_a_single_writer_a_new_weight_replaces_the_table() -> None:
-    e = engine(servers=1, single_writer=True)
-    e.on_proxy_update(
+def test_single_writer_weight_replaces_table() -> None:
+    engine = create_engine(servers=1, single_writer=True)
+    engine.on_proxy_update(
         1.0, 0, m.ProxyUpdate(1, 0.0, 1.0, weights=[m.WeightEntry(0, 5, 1.0, 1, "127.0.0.1:5")])
     )
-    assert e.tables.available_weights(0) == {5: 1.0}
-    assert {start(e, 1.2, handle=k).server_id for k in range(5)} == {5}
+    assert engine.tables.available_weights(0) == {5: 1.0}
+    assert {start_request(engine, 1.2, handle=k).server_id for k in range(5)} == {5}
 
 
-def test_an_older_reading_of_the_store_undoes_no_update_and_a_newer_one_applies() -> None:
-    tables = engine(servers=1).tables
-    old = m.SliceOwnership(0, 1, 0, [m.TableEntry(0, 1.0, "127.0.0.1:0")], 4)
+def test_store_table_older_than_update_is_ignored_and_newer_one_applies() -> None:
+    tables = create_engine(servers=1).tables
+    older_ownership = m.SliceOwnership(0, 1, 0, [m.TableEntry(0, 1.0, "127.0.0.1:0")], 4)
     tables.apply_update(
         0,
         m.ProxyUpdate(
             5, 0.0, 1.0, weights=[m.WeightEntry(0, 1, 1.0, 1, "127.0.0.1:1"), m.WeightEntry(0, 0, 0.0, 1)]
         ),
     )
-    tables.apply_ownership(old)
+    tables.apply_ownership(older_ownership)
     assert tables.available_weights(0) == {1: 1.0}
-    tables.apply_ownership(m.SliceOwnership(0, 1, 0, old.entries, 6))
+    tables.apply_ownership(m.SliceOwnership(0, 1, 0, older_ownership.entries, 6))
     assert tables.available_weights(0) == {0: 1.0}
