--- a/puffintide/proxy/state.py
+++ b/puffintide/proxy/state.py
@@ -1,4 +1,4 @@
-"""The state file: a copy of a proxy's tables, used at startup if no store or assigner is reachable."""
+"""The state file: the last received tables, with which a proxy starts if no other process is reachable."""
 
 from __future__ import annotations
 
