--- a/puffintide/proxy/outlier_detection.py
+++ b/puffintide/proxy/outlier_detection.py
@@ -6,7 +6,7 @@
 
 from puffintide.proxy.load_balancing import NO_SERVERS
 
-MAX_UNLISTED_SERVERS = 64  # Maximum number of failure counts kept for servers that are in no table.
+MAX_UNLISTED_SERVERS = 64  # Failure counts kept beyond twice the number of servers in a table.
 
 
 class OutlierDetector:
