--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -147,7 +147,7 @@
     service.start()
     run_reactor(reactor)
     engine.close()
-    if service.overtaken:
+    if service.superseded:
         exit_with_error("another store serves in this one's place")
 
 
--- a/puffintide/store/__init__.py
+++ b/puffintide/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store: ownership and tables of slices, kept durably, in a process of its own."""
+"""Store process that durably keeps the ownership and the tables of slices."""
--- a/puffintide/store/commits.py
+++ b/puffintide/store/commits.py
@@ -1,4 +1,7 @@
-"""Commits of the store, one at a time: what changes while one is under way goes into the next together."""
+"""Commit queue of the store.
+
+Commits run one at a time. All changes made during a commit are batched into the next one.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,16 @@
 from puffintide.store.engine import Commit, StorageEngine
 from puffintide.store.ownership import OwnershipLedger, OwnershipTransfer
 
-RETRY_DELAY_S = 0.5  # after a commit that failed
+RETRY_DELAY_S = 0.5  # Wait before a failed commit is retried, in seconds.
 
-EngineRunner = Callable[..., Deferred[Any]]  # carries out an engine's call, possibly in a thread
+EngineRunner = Callable[..., Deferred[Any]]  # Runs an engine method, possibly in a thread.
 
 
 @dataclass(slots=True)
 class WaitingPeers:
-    """Those who are to be notified once what they asked for is durable."""
+    """Peers to notify once the changes that they requested are durable."""
 
-    writers: dict[Stream, int] = field(default_factory=dict)  # the last batch of each
+    writers: dict[Stream, int] = field(default_factory=dict)  # Last batch of each writer.
     operators: list[Stream] = field(default_factory=list)
 
     def __bool__(self) -> bool:
@@ -34,21 +37,24 @@
 
 @dataclass(slots=True)
 class PendingChanges:
-    """What the next commit is to publish, besides the slices that the ledger has as changed."""
+    """Changes that the next commit publishes, besides the slices that the ledger lists as changed."""
 
-    transfers: dict[int, OwnershipTransfer] = field(default_factory=dict)  # by slice
-    zone_commands: dict[int, ZoneCommand] = field(default_factory=dict)  # by zone
+    transfers: dict[int, OwnershipTransfer] = field(default_factory=dict)  # Keyed by slice.
+    zone_commands: dict[int, ZoneCommand] = field(default_factory=dict)  # Keyed by zone.
     waiting: WaitingPeers = field(default_factory=WaitingPeers)
 
     def add_transfer(self, transfer: OwnershipTransfer) -> None:
-        """Adds a transfer; two of one slice become one from the first owner to the last."""
+        """Add a transfer, and merge it with an earlier transfer of the same slice.
+
+        The merged transfer leads from the first owner to the last.
+        """
         earlier = self.transfers.get(transfer.slice_id)
         if earlier is not None:
             transfer = OwnershipTransfer(transfer.slice_id, earlier.previous_owner_id, transfer.new_owner_id)
         self.transfers[transfer.slice_id] = transfer
 
     def prepend(self, earlier: PendingChanges) -> None:
-        """Adds the changes of a commit that failed, which came before these."""
+        """Add the changes of a failed commit, which precede these."""
         for slice_id, transfer in earlier.transfers.items():
             later = self.transfers.get(slice_id)
             new_owner_id = transfer.new_owner_id if later is None else later.new_owner_id
@@ -59,18 +65,19 @@
 
 
 class CommitQueue:
-    """Commits what changed, and publishes it once it is durable.
+    """Commits changes, and publishes them once they are durable.
 
-    A commit that fails is retried together with what changed meanwhile, and published to nobody before.
+    A failed commit is retried together with the changes made since. Its changes are not published before a
+    retry succeeds.
 
     Args:
-        clock: For retries.
-        ledger: Has the slices that changed.
-        durable: Updated by each commit.
-        engine: Makes commits durable.
-        run: Carries out the engine's calls.
-        publish: Called with the changes of each durable commit.
-        on_failure: Called with the failure of a commit.
+        clock: Schedules retries.
+        ledger: Tracks the slices that changed.
+        durable: State that each successful commit updates.
+        engine: Storage engine that makes commits durable.
+        run: Runs the engine's methods.
+        publish: Callback that receives the changes of each durable commit.
+        on_failure: Callback that receives the failure of a commit.
     """
 
     def __init__(
@@ -93,41 +100,46 @@
         self.pending = PendingChanges()
         self.commit_count = 0
         self.failure_count = 0
-        self.row_count = 0  # slices written, over all commits
+        self.row_count = 0  # Slices written in all commits together.
         self._committing = False
         self._retry_timer: Timer | None = None
 
     def add_transfers(self, transfers: list[OwnershipTransfer]) -> None:
-        """Commits changes of ownership."""
+        """Add ownership transfers to the next commit."""
         for transfer in transfers:
             self.pending.add_transfer(transfer)
         self.flush()
 
     def add_write(self, stream: Stream, batch: int) -> None:
-        """Commits what an assigner has written to the ledger; it is notified then."""
+        """Commit what an assigner has written to the ledger, and acknowledge the write once it is durable.
+
+        Args:
+            stream: Stream of the assigner.
+            batch: Number of the batch that the assigner wrote.
+        """
         self.pending.waiting.writers[stream] = batch
         self.flush()
 
     def add_operator(self, stream: Stream) -> None:
-        """An operator is to be notified of the next commit."""
+        """Register an operator to be notified of the next commit."""
         self.pending.waiting.operators.append(stream)
 
     def add_zone_command(self, stream: Stream, command: ZoneCommand) -> None:
-        """Commits an operator's command; the operator is notified then."""
+        """Commit an operator's command, and notify the operator once it is durable."""
         self.pending.zone_commands[command.zone] = command
         self.add_operator(stream)
         self.flush()
 
     def remove_writer(self, stream: Stream) -> None:
-        """A stream is lost: its writes are not acknowledged."""
+        """Drop the pending acknowledgement of a stream that was lost."""
         self.pending.waiting.writers.pop(stream, None)
 
     def flush(self) -> None:
-        """Begins a commit, unless one is under way or waits for its retry."""
+        """Start a commit, unless one is in progress or waits for its retry."""
         if self._committing or self._retry_timer is not None:
             return
         if not (self.ledger.changed or self.pending.zone_commands):
-            if self.pending.waiting:  # nothing changed: what they wrote was there, or was rejected
+            if self.pending.waiting:  # The writes repeated stored values or were rejected.
                 waiting = self.pending.waiting
                 self.pending.waiting = WaitingPeers()
                 self.publish(PendingChanges(waiting=waiting))
@@ -156,7 +168,7 @@
         self.flush()
 
     def _failed(self, failure: Failure, commit: Commit, changes: PendingChanges) -> None:
-        """The disk is full, or worse: everything waits for the retry."""
+        """Put the changes of a failed commit back, and schedule a retry, for example after a full disk."""
         self.on_failure(failure)
         self._committing = False
         self.failure_count += 1
@@ -169,7 +181,7 @@
         self.flush()
 
     def stop(self) -> None:
-        """Cancels the retry of a commit that failed."""
+        """Cancel the pending retry of a failed commit."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._retry_timer = None
--- a/puffintide/store/durable_state.py
+++ b/puffintide/store/durable_state.py
@@ -1,4 +1,7 @@
-"""What has been committed, in memory: reads and notifications are answered from it, and never wait for the disk."""
+"""In-memory copy of the committed state, from which reads and notifications are served.
+
+They never wait for the disk.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 def ownership_message(stored: StoredSlice) -> SliceOwnership:
-    """The message that tells peers of a stored slice."""
+    """Return the message that describes a stored slice to peers."""
     return SliceOwnership(
         slice_id=stored.slice_id,
         fencing_token=stored.fencing_token,
@@ -19,10 +22,10 @@
 
 
 class DurableState:
-    """The state of the store as of the last commit.
+    """State of the store as of the last commit.
 
     Args:
-        snapshot: What the engine has stored.
+        snapshot: State that the engine has stored.
     """
 
     def __init__(self, snapshot: StoreSnapshot) -> None:
@@ -30,10 +33,10 @@
         self.revision = snapshot.revision
         self.slices = dict(snapshot.slices)
         self.slice_revisions = dict(snapshot.slice_revisions)
-        self.zone_commands = dict(snapshot.zone_commands)  # by zone
+        self.zone_commands = dict(snapshot.zone_commands)  # Keyed by zone.
 
     def apply(self, commit: Commit) -> None:
-        """A commit has become durable."""
+        """Apply a commit that has become durable."""
         self.revision = commit.revision
         for stored in commit.slices:
             self.slices[stored.slice_id] = stored
@@ -42,9 +45,9 @@
             self.zone_commands[command.zone] = command
 
     def ownership(self, slice_id: int) -> SliceOwnership:
-        """The message that tells peers of a slice."""
+        """Return the message that describes a slice to peers."""
         return ownership_message(self.slices[slice_id])
 
     def commands_in_force(self) -> ZoneCommands:
-        """The message that tells peers of all zone commands."""
+        """Return the message that lists all zone commands in force."""
         return ZoneCommands([self.zone_commands[zone] for zone in sorted(self.zone_commands)])
--- a/puffintide/store/errors.py
+++ b/puffintide/store/errors.py
@@ -4,32 +4,32 @@
 
 
 class StoreError(Exception):
-    """The storage can't be used; the text says what and where, in one line."""
+    """Storage operation that failed. The text names the operation and the place in one line."""
 
 
-class StoreOvertakenError(StoreError):
-    """Another store process has written since: this one is behind, and must not go on."""
+class StoreSupersededError(StoreError):
+    """Another store process has acquired or written the storage, so this one must stop."""
 
 
 class StoreInUseError(StoreError):
-    """Another store process has the storage open."""
+    """Storage that another store process has open."""
 
 
 class StoreDamagedError(StoreError):
-    """What is stored can't be read back: a checksum, a row or the file itself is wrong."""
+    """Stored data that cannot be read: a checksum, a row or the file itself is wrong."""
 
 
 class StoreFormatError(StoreError):
-    """What is stored has a format that this program does not read."""
+    """Stored data in a format that this program does not read."""
 
 
 class StoreFullError(StoreError):
-    """There is no space left for a commit."""
+    """Commit that failed because no space is left."""
 
 
 class BackupError(StoreError):
-    """A backup can't be written or restored."""
+    """Backup that cannot be written or restored."""
 
 
 class TableFileError(StoreError):
-    """A file of initial tables can't be used; the text names file and line. Nothing of it is used."""
+    """Invalid file of initial tables, of which nothing is loaded. The text names file and line."""
--- a/puffintide/store/etcd/client.py
+++ b/puffintide/store/etcd/client.py
@@ -1,4 +1,4 @@
-"""Calls to an etcd cluster over its published v3 protocol (gRPC), with failover between its members."""
+"""Client of an etcd cluster over the v3 gRPC protocol, with failover between members."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from puffintide.store.etcd import rpc_pb2 as pb
 from puffintide.store.etcd.rpc_pb2_grpc import KVStub, LeaseStub
 
-CALL_TIMEOUT_S = 3.0
-MAX_CALL_ATTEMPTS = 3  # of a call that reached no leader: one may be being elected
-MAX_READ_ATTEMPTS = 3  # of a read whose revision is compacted meanwhile
-PAGE_KEYS = 500  # of one range request
-MAX_MESSAGE_BYTES = 64 << 20
+CALL_TIMEOUT_S = 3.0  # Timeout of one gRPC call, in seconds.
+MAX_CALL_ATTEMPTS = 3  # Attempts of a call that finds no leader, as an election may be in progress.
+MAX_READ_ATTEMPTS = 3  # Attempts of a read whose revision is compacted before its last page.
+PAGE_KEYS = 500  # Maximum number of keys in one range response.
+MAX_MESSAGE_BYTES = 64 << 20  # Maximum size of a received gRPC message, in bytes.
 
 Result = TypeVar("Result")
 
 
 class TlsFiles(Protocol):
-    """Paths of PEM files, as a [tls] section has them."""
+    """Paths of PEM files from a [tls] section."""
 
     @property
     def ca(self) -> str:
-        """Certificate of the authority."""
+        """Certificate of the certificate authority."""
 
     @property
     def cert(self) -> str:
@@ -38,25 +38,25 @@
 
 
 def read_credentials(files: TlsFiles) -> Any:
-    """Credentials for mutual TLS towards the cluster; its members' certificates name their addresses.
+    """Return credentials for mutual TLS with the cluster, whose members' certificates name their addresses.
 
     Raises:
-        StoreError: A file can't be read.
+        StoreError: A file cannot be read.
     """
     try:
         ca, key, cert = (Path(path).read_bytes() for path in (files.ca, files.key, files.cert))
     except OSError as error:
-        raise StoreError(f"{error.filename}: {error.strerror}") from error
+        raise StoreError(f"cannot read TLS file {error.filename}: {error.strerror}") from error
     return grpc.ssl_channel_credentials(ca, key, cert)
 
 
 class EtcdClient:
-    """Keys below one prefix of a cluster.
+    """Accesses the keys below one prefix of a cluster.
 
     Args:
-        endpoints: HOST:PORT of the members.
-        prefix: Of all keys.
-        credentials: Of read_credentials; None for no TLS.
+        endpoints: HOST:PORT of each member.
+        prefix: Prefix of all keys.
+        credentials: Result of read_credentials, or None to connect without TLS.
     """
 
     def __init__(self, endpoints: list[str], prefix: str, credentials: Any = None) -> None:
@@ -77,13 +77,13 @@
         self._leases = LeaseStub(self.channel)  # type: ignore[no-untyped-call]
 
     def _call(self, call: Callable[[], Result]) -> Result:
-        """Makes a call; where no member or no leader answers, it is retried at the next member.
+        """Make a call, and retry it at the next member if no member or no leader answers.
 
-        A transaction may have been carried out though its response is lost: the caller finds out by what it
-        compares.
+        A transaction may have been executed although its response was lost. The caller detects this by the
+        comparisons of its transactions.
 
         Raises:
-            StoreError: All attempts failed, or the error is one that a retry does not help.
+            StoreError: All attempts failed, or the error is not retryable.
         """
         reason = ""
         cause: grpc.RpcError | None = None
@@ -95,11 +95,13 @@
                 code = error.code() if isinstance(error, grpc.Call) else None
                 reason = f"{code.name.lower() if code else 'error'}: {error.details() if code else error}"
                 if code is grpc.StatusCode.RESOURCE_EXHAUSTED:
-                    raise StoreFullError(f"etcd {self.endpoints}: no room left ({reason})") from error
+                    raise StoreFullError(
+                        f"call to etcd {', '.join(self.endpoints)} failed: no space left ({reason})"
+                    ) from error
                 if code not in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED):
                     break
                 self._connect_to_next()
-        raise StoreError(f"etcd {', '.join(self.endpoints)}: {reason}") from cause
+        raise StoreError(f"call to etcd {', '.join(self.endpoints)} failed: {reason}") from cause
 
     def _connect_to_next(self) -> None:
         self.channel.close()
@@ -107,15 +109,15 @@
         self._connect()
 
     def key(self, name: str) -> bytes:
-        """The full key of a name below the prefix."""
+        """Return the full key of a name below the prefix."""
         return (self.prefix + name).encode()
 
-    def put(self, name: str, value: bytes, lease_id: int = 0) -> pb.RequestOp:
-        """An operation that sets a key, which ends with the lease if one is given."""
+    def put_operation(self, name: str, value: bytes, lease_id: int = 0) -> pb.RequestOp:
+        """Return an operation that sets a key, and attaches it to a lease if one is given."""
         return pb.RequestOp(request_put=pb.PutRequest(key=self.key(name), value=value, lease=lease_id))
 
-    def delete_range(self, first: str, end: str) -> pb.RequestOp:
-        """An operation that deletes the keys from first up to end."""
+    def delete_range_operation(self, first: str, end: str) -> pb.RequestOp:
+        """Return an operation that deletes the keys from first up to, but not including, end."""
         return pb.RequestOp(
             request_delete_range=pb.DeleteRangeRequest(key=self.key(first), range_end=self.key(end))
         )
@@ -123,17 +125,26 @@
     def transaction(
         self, compare: list[pb.Compare], operations: list[pb.RequestOp], read_on_failure: tuple[str, ...]
     ) -> pb.TxnResponse:
-        """Carries out operations if all comparisons hold, and otherwise reads some keys. Raises StoreError."""
+        """Execute operations if all comparisons hold, and otherwise read keys.
+
+        Args:
+            compare: Comparisons that must all hold.
+            operations: Operations that are executed atomically.
+            read_on_failure: Names of the keys to read if a comparison does not hold.
+
+        Raises:
+            StoreError: The call failed.
+        """
         reads = [pb.RequestOp(request_range=pb.RangeRequest(key=self.key(name))) for name in read_on_failure]
         request = pb.TxnRequest(compare=compare, success=operations, failure=reads)
         response: pb.TxnResponse = self._call(lambda: self._kv.Txn(request, timeout=CALL_TIMEOUT_S))
         return response
 
-    def read(self, first: str, end: str) -> list[tuple[str, pb.KeyValue]]:
-        """Reads all keys from first up to end, as of one revision.
+    def read_range(self, first: str, end: str) -> list[tuple[str, pb.KeyValue]]:
+        """Read all keys from first up to, but not including, end as of one revision.
 
         Raises:
-            StoreError: The cluster can't be read, or the revision was compacted at every attempt.
+            StoreError: The cluster cannot be read, or the revision was compacted in each attempt.
         """
         for _ in range(MAX_READ_ATTEMPTS):
             try:
@@ -143,12 +154,15 @@
                     raise
             else:
                 return [(pair.key.decode()[len(self.prefix) :], pair) for pair in pairs]
-        raise StoreError(f"etcd {', '.join(self.endpoints)}: compacted at every reading")
+        raise StoreError(
+            f"read from etcd {', '.join(self.endpoints)} failed: "
+            f"the revision was compacted in each of {MAX_READ_ATTEMPTS} attempts"
+        )
 
     def _read_pages(self, first: str, end: str) -> list[pb.KeyValue]:
         pairs: list[pb.KeyValue] = []
         key = self.key(first)
-        revision = 0  # 0: the latest
+        revision = 0  # 0 reads the latest revision.
         while True:
             page = self._read_page(
                 pb.RangeRequest(key=key, range_end=self.key(end), limit=PAGE_KEYS, revision=revision)
@@ -164,14 +178,22 @@
         return response
 
     def grant_lease(self, ttl_s: int) -> int:
-        """Takes a new lease and returns its id. Raises StoreError."""
+        """Obtain a new lease, and return its id.
+
+        Raises:
+            StoreError: The call failed.
+        """
         request = pb.LeaseGrantRequest(TTL=ttl_s)
         response = self._call(lambda: self._leases.LeaseGrant(request, timeout=CALL_TIMEOUT_S))
         lease_id: int = response.ID
         return lease_id
 
     def renew_lease(self, lease_id: int) -> bool:
-        """Renews a lease; returns False when it has expired. Raises StoreError."""
+        """Renew a lease, and return False if it has expired.
+
+        Raises:
+            StoreError: The call failed.
+        """
         requests = iter([pb.LeaseKeepAliveRequest(ID=lease_id)])
         response = self._call(
             lambda: next(iter(self._leases.LeaseKeepAlive(requests, timeout=CALL_TIMEOUT_S)))
@@ -179,10 +201,14 @@
         return bool(response.TTL > 0)
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Ends a lease, and the keys that are set with it. Raises StoreError."""
+        """Revoke a lease, which deletes the keys attached to it.
+
+        Raises:
+            StoreError: The call failed.
+        """
         request = pb.LeaseRevokeRequest(ID=lease_id)
         self._call(lambda: self._leases.LeaseRevoke(request, timeout=CALL_TIMEOUT_S))
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
         self.channel.close()
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -1,11 +1,12 @@
-"""The other engine: an etcd cluster, for those who outgrow one machine.
+"""Storage engine on an etcd cluster, for deployments that outgrow one machine.
 
-One store process at a time serves from it. It sets the key `holder` under a lease, and every transaction compares
-that key and the last revision: a process that was paused beyond its lease writes nothing once another has begun.
+One store process at a time serves from it. It sets the key `holder` under a lease, and every transaction
+compares that key and the last revision. A process that was paused beyond its lease therefore cannot write
+once another process has started.
 
-A commit that fits one transaction is one. A larger one is staged: its rows are put under keys of their own in
-several transactions, then one transaction makes them valid together, and they are moved to their keys after that.
-A reader applies what is staged and valid, so that a commit is there whole or not at all here too.
+A commit that fits one transaction is written as one. A larger commit is staged: its rows are written under
+staging keys in several transactions, one transaction then makes them valid together, and afterwards they are
+moved to their final keys. A reader applies staged rows that are valid, so that large commits are atomic too.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
     StoreError,
     StoreFormatError,
     StoreInUseError,
-    StoreOvertakenError,
+    StoreSupersededError,
 )
 from puffintide.store.etcd import rpc_pb2 as pb
 from puffintide.store.etcd.client import EtcdClient
@@ -43,9 +44,9 @@
     split_into_chunks,
 )
 
-FORMAT = 1
-LEASE_TTL_S = 10
-MAX_FENCED_ATTEMPTS = 3  # of a transaction whose lease has expired
+FORMAT = 1  # Version of the stored format.
+LEASE_TTL_S = 10  # Time to live of the holder's lease, in seconds.
+MAX_FENCED_ATTEMPTS = 3  # Attempts of a transaction whose lease has expired.
 
 
 class Meta(
@@ -53,26 +54,27 @@
     frozen=True,
     rename={"store_id": "identity", "highest_token": "token", "staged_chunks": "staged"},
 ):
-    """Value of the key `meta`, which every commit sets."""
+    """Value of the key `meta`, which every commit updates."""
 
     format: int
     store_id: str
     revision: int
     highest_token: int
-    staged_chunks: int = 0  # of this revision, that are valid
+    staged_chunks: int = 0  # Number of valid staged chunks of this revision.
 
 
 _meta_decoder = msgspec.json.Decoder(Meta)
 
 
 class EtcdEngine:
-    """A StorageEngine on an etcd cluster.
+    """StorageEngine on an etcd cluster.
 
     Args:
-        endpoints: HOST:PORT of the members.
-        name: Of the deployment, below whose prefix all keys are.
-        ttl_s: Of the lease, in whole seconds; renew_lease() is to be called at least every third of it.
-        credentials: Of read_credentials; None for no TLS.
+        endpoints: HOST:PORT of each member.
+        name: Name of the deployment, which is part of the prefix of all keys.
+        ttl_s: Time to live of the lease, in whole seconds. The caller calls renew_lease() at least every
+            third of it.
+        credentials: Result of read_credentials, or None to connect without TLS.
     """
 
     def __init__(
@@ -81,33 +83,40 @@
         self.prefix = f"/puffintide/{name}/"
         self.ttl_s = ttl_s
         self.client = EtcdClient(endpoints, self.prefix, credentials)
-        self._holder_value = secrets.token_hex(8).encode()  # of this process
+        self._holder_value = secrets.token_hex(8).encode()  # Identifies this process.
         self._lease_id = 0
-        self._holder_revision = 0  # create revision of this process's `holder`; 0: not held
+        self._holder_revision = 0  # Create revision of this process's `holder` key, or 0.
         self._meta = Meta(FORMAT, "", 0, 0)
-        self._meta_revision = 0  # mod revision of `meta` in etcd, as last written or read
-        self._staged_rows: list[KeyedRow] = []  # valid, but still to be moved to their keys
+        self._meta_revision = 0  # Mod revision of `meta` in etcd, as last written or read.
+        self._staged_rows: list[KeyedRow] = []  # Valid rows that are not yet moved to their final keys.
 
-    def _acquire(self) -> None:
-        """Sets the key `holder` under a new lease. Raises StoreInUseError while another process has it."""
+    def _acquire_store(self) -> None:
+        """Set the key `holder` under a new lease.
+
+        Raises:
+            StoreInUseError: Another process holds the store.
+            StoreError: The cluster cannot be reached.
+        """
         self._lease_id = self.client.grant_lease(self.ttl_s)
         has_no_holder = pb.Compare(
             result=pb.Compare.EQUAL, target=pb.Compare.VERSION, key=self.client.key("holder"), version=0
         )
-        put_holder = self.client.put("holder", self._holder_value, self._lease_id)
+        put_holder = self.client.put_operation("holder", self._holder_value, self._lease_id)
         response = self.client.transaction([has_no_holder], [put_holder], ("holder", "meta"))
         if response.succeeded:
             self._holder_revision = response.header.revision
             return
         holders = response.responses[0].response_range.kvs
-        if holders and holders[0].value == self._holder_value:  # set by us; the response was lost
+        if (
+            holders and holders[0].value == self._holder_value
+        ):  # This process set the key, but the response was lost.
             self._holder_revision = holders[0].create_revision
             self._lease_id = holders[0].lease
             return
         self.client.revoke_lease(self._lease_id)
-        raise StoreInUseError(f"{self.prefix} in etcd is open in another store")
+        raise StoreInUseError(f"{self.prefix} in etcd is in use by another store process")
 
-    def _fence(self) -> list[pb.Compare]:
+    def _fencing_comparisons(self) -> list[pb.Compare]:
         return [
             pb.Compare(
                 result=pb.Compare.EQUAL,
@@ -126,55 +135,59 @@
     def _fenced_transaction(
         self, operations: list[pb.RequestOp], is_own_meta: Callable[[bytes], bool] = lambda _: False
     ) -> pb.TxnResponse:
-        """Carries out operations if this process still holds the store.
+        """Execute operations if this process still holds the store.
 
-        If the lease has expired while nobody else wrote, it is acquired anew.
+        If the lease has expired and no other process has written since, it is acquired again.
 
         Args:
-            operations: To carry out together.
-            is_own_meta: Whether a `meta` found instead of the compared one is what the operations set.
+            operations: Operations that are executed atomically.
+            is_own_meta: Returns whether a `meta` value other than the compared one was set by these
+                operations.
 
         Raises:
-            StoreOvertakenError: Another process holds the store, or has written.
-            StoreError: The cluster can't be reached, or the lease keeps expiring.
+            StoreSupersededError: Another process holds the store, or has written to it.
+            StoreError: The cluster cannot be reached, or the lease expired in each attempt.
         """
         for _ in range(MAX_FENCED_ATTEMPTS):
-            response = self.client.transaction(self._fence(), operations, ("holder", "meta"))
+            response = self.client.transaction(self._fencing_comparisons(), operations, ("holder", "meta"))
             if response.succeeded:
                 return response
             holders, metas = (found.response_range.kvs for found in response.responses)
             if metas and metas[0].mod_revision != self._meta_revision:
                 if not is_own_meta(metas[0].value):
-                    raise StoreOvertakenError(f"{self.prefix} in etcd was written by another store")
-                self._meta_revision = metas[0].mod_revision  # carried out before; the response was lost
+                    raise StoreSupersededError(f"{self.prefix} in etcd was written by another store process")
+                self._meta_revision = metas[0].mod_revision  # Executed earlier, but the response was lost.
                 return response
             if not holders:
-                self._acquire()
+                self._acquire_store()
             elif holders[0].create_revision != self._holder_revision:
-                raise StoreOvertakenError(f"{self.prefix} in etcd is held by another store")
-        raise StoreError(f"{self.prefix} in etcd: the lease runs out again and again")
+                raise StoreSupersededError(f"{self.prefix} in etcd is held by another store process")
+        raise StoreError(
+            f"transaction on {self.prefix} in etcd failed: "
+            f"the lease expired in each of {MAX_FENCED_ATTEMPTS} attempts"
+        )
 
     def renew_lease(self) -> None:
-        """Renews the lease, or acquires it anew.
+        """Renew the lease, or acquire it again if it has expired.
 
         Raises:
-            StoreOvertakenError: Another process holds the store.
+            StoreSupersededError: Another process holds the store, or has written to it.
             StoreError: The lease was not renewed, and may expire.
         """
         if not self.client.renew_lease(self._lease_id):
             self._fenced_transaction([])
 
     def load(self) -> StoreSnapshot:
-        """Acquires the store and reads all that is stored.
+        """Acquire the store, and read the complete stored state.
 
         Raises:
             StoreInUseError: Another process holds the store.
             StoreDamagedError: A row is damaged or missing.
-            StoreError: The cluster can't be read.
+            StoreError: The cluster cannot be read.
         """
         if not self._holder_revision:
-            self._acquire()
-        stored = dict(self.client.read("", "~"))
+            self._acquire_store()
+        stored = dict(self.client.read_range("", "~"))
         if "meta" not in stored:
             self._meta = Meta(FORMAT, secrets.token_hex(8), 0, 0)
             self._write_meta(self._meta, [])
@@ -192,10 +205,12 @@
             raise StoreDamagedError(f"{self.prefix}meta: {error}") from error
         self._meta_revision = pair.mod_revision
         if self._meta.format != FORMAT:
-            raise StoreFormatError(f"{self.prefix}meta: format {self._meta.format} is not {FORMAT}")
+            raise StoreFormatError(
+                f"{self.prefix}meta: format {self._meta.format} is not the supported format {FORMAT}"
+            )
 
     def _read_rows(self, stored: dict[str, pb.KeyValue]) -> dict[str, Row]:
-        """The rows at their keys, and over them those that are staged and valid."""
+        """Return the rows at their final keys, overridden by valid staged rows."""
         rows: dict[str, Row] = {}
         try:
             for name, pair in stored.items():
@@ -216,24 +231,26 @@
     def _write_meta(self, meta: Meta, operations: list[pb.RequestOp]) -> None:
         value = msgspec.json.encode(meta)
         response = self._fenced_transaction(
-            [*operations, self.client.put("meta", value)], lambda found: found == value
+            [*operations, self.client.put_operation("meta", value)], lambda found: found == value
         )
         if response.succeeded:
             self._meta_revision = response.header.revision
         self._meta = meta
 
     def _put_rows(self, rows: list[KeyedRow]) -> list[pb.RequestOp]:
-        return [self.client.put(name, encode_row(row)) for name, row in rows]
+        return [self.client.put_operation(name, encode_row(row)) for name, row in rows]
 
     def commit(self, commit: Commit) -> None:
-        """Writes a commit, staged if it does not fit one transaction.
+        """Write a commit, and stage it if it does not fit one transaction.
 
         Raises:
-            StoreOvertakenError: Another process holds the store, or has written.
+            StoreSupersededError: Another process holds the store, or has written to it.
             StoreError: Nothing of the commit is stored.
         """
         if not self._holder_revision:
-            raise StoreError("load() comes first")
+            raise StoreError(
+                f"commit of revision {commit.revision} to {self.prefix} in etcd: load() was not called"
+            )
         self._move_staged_rows()
         rows = rows_of_commit(commit)
         if fits_transaction(rows):
@@ -242,7 +259,7 @@
         chunks = list(split_into_chunks(rows))
         for chunk_number, chunk in enumerate(chunks):
             name = self._staging_key(commit.revision, chunk_number)
-            self._fenced_transaction([self.client.put(name, encode_chunk(chunk))])
+            self._fenced_transaction([self.client.put_operation(name, encode_chunk(chunk))])
         self._write_meta(self._meta_of(commit, len(chunks)), [])
         self._staged_rows = rows
 
@@ -250,22 +267,29 @@
         return Meta(FORMAT, self._meta.store_id, commit.revision, commit.highest_token, staged_chunks)
 
     def _move_staged_rows(self) -> None:
-        """Moves staged rows to their keys; they are valid already, so this may be left half done."""
+        """Move staged rows to their final keys.
+
+        The rows are valid already, so an interrupted move loses nothing.
+        """
         if not self._staged_rows:
             return
         for chunk in split_into_chunks(self._staged_rows):
             self._fenced_transaction(self._put_rows(chunk))
         meta = msgspec.structs.replace(self._meta, staged_chunks=0)
-        self._write_meta(meta, [self.client.delete_range("stage/", "stage0")])
+        self._write_meta(meta, [self.client.delete_range_operation("stage/", "stage0")])
         self._staged_rows = []
 
     def backup(self, path: str) -> int:
-        """Raises BackupError, always."""
-        raise BackupError(f"{path}: what is kept in etcd is backed up by etcd's own snapshots")
+        """Reject the backup, as etcd has its own snapshots.
+
+        Raises:
+            BackupError: Always.
+        """
+        raise BackupError(f"backup to {path} is not supported by the etcd engine; use etcd's own snapshots")
 
     def close(self) -> None:
-        """Revokes the lease, so that the next store process need not wait for its end."""
-        with contextlib.suppress(StoreError):  # it expires by itself
+        """Revoke the lease, so that the next store process need not wait until it expires."""
+        with contextlib.suppress(StoreError):  # An unrevoked lease expires by itself.
             if self._lease_id:
                 self.client.revoke_lease(self._lease_id)
         self.client.close()
--- a/puffintide/store/etcd/rows.py
+++ b/puffintide/store/etcd/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the etcd engine: their encoding, checksums, and division into transactions."""
+"""Encoding and checksums of the etcd engine's rows, and their division into transactions."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 from puffintide.store.engine import Commit, StoredSlice, StoreSnapshot
 from puffintide.store.errors import StoreDamagedError
 
-MAX_TRANSACTION_ROWS = 100  # etcd takes 128 operations by default
-MAX_TRANSACTION_BYTES = 1 << 20  # etcd takes requests of 1.5 MiB by default
-ROW_OVERHEAD_BYTES = 20  # of a staged row, besides name and body
+MAX_TRANSACTION_ROWS = 100  # Below etcd's default limit of 128 operations in one transaction.
+MAX_TRANSACTION_BYTES = 1 << 20  # Below etcd's default limit of 1.5 MiB in one request.
+ROW_OVERHEAD_BYTES = 20  # Encoded size of a staged row besides its name and body.
 
 SLICE_PREFIX = "slice/"
 COMMAND_PREFIX = "hand/"
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """What is stored under one key; stored as an array, so the order of the fields must not change."""
+    """Value stored under one key.
 
-    revision: int  # of the commit
+    It is encoded as an array, so the order of the fields must not change.
+    """
+
+    revision: int  # Revision of the commit that wrote the row.
     checksum: int
     body: bytes
 
 
-KeyedRow = tuple[str, Row]  # a key below the deployment's prefix, and its row
+KeyedRow = tuple[str, Row]  # A key below the deployment's prefix, and its row.
 
 _row_decoder = msgspec.msgpack.Decoder(Row)
 _chunk_decoder = msgspec.msgpack.Decoder(list[KeyedRow])
@@ -36,32 +39,40 @@
 
 
 def checksum(name: str, revision: int, body: bytes) -> int:
-    """xxh64 of a row and its name."""
+    """Return the xxh64 checksum of a row and its name."""
     return xxhash.xxh64_intdigest(b"%s:%d:" % (name.encode(), revision) + body)
 
 
 def encode_row(row: Row) -> bytes:
-    """The value of a row's key."""
+    """Encode a row as the value of its key."""
     return msgspec.msgpack.encode(row)
 
 
 def decode_row(value: bytes) -> Row:
-    """The row of a key's value. Raises msgspec.DecodeError."""
+    """Decode the value of a row's key.
+
+    Raises:
+        msgspec.DecodeError: The value is not an encoded row.
+    """
     return _row_decoder.decode(value)
 
 
 def encode_chunk(chunk: list[KeyedRow]) -> bytes:
-    """The value of a chunk of staged rows."""
+    """Encode a chunk of staged rows as the value of its key."""
     return msgspec.msgpack.encode(chunk)
 
 
 def decode_chunk(value: bytes) -> list[KeyedRow]:
-    """The staged rows of a chunk. Raises msgspec.DecodeError."""
+    """Decode the staged rows of a chunk.
+
+    Raises:
+        msgspec.DecodeError: The value is not an encoded chunk.
+    """
     return _chunk_decoder.decode(value)
 
 
 def rows_of_commit(commit: Commit) -> list[KeyedRow]:
-    """The rows that a commit sets."""
+    """Return the rows that a commit writes."""
     bodies = [
         (f"{SLICE_PREFIX}{stored.slice_id:07d}", msgspec.msgpack.encode(stored)) for stored in commit.slices
     ]
@@ -75,13 +86,13 @@
 
 
 def fits_transaction(rows: list[KeyedRow]) -> bool:
-    """Whether rows can be written by one transaction."""
+    """Return whether rows can be written in one transaction."""
     total_bytes = sum(len(row.body) for _, row in rows)
     return len(rows) <= MAX_TRANSACTION_ROWS and total_bytes <= MAX_TRANSACTION_BYTES
 
 
 def split_into_chunks(rows: list[KeyedRow]) -> Iterator[list[KeyedRow]]:
-    """Divides rows into chunks that each fit a transaction."""
+    """Divide rows into chunks that each fit one transaction."""
     chunk: list[KeyedRow] = []
     size = 0
     for name, row in rows:
@@ -97,19 +108,19 @@
 
 
 def add_to_snapshot(snapshot: StoreSnapshot, prefix: str, name: str, row: Row) -> None:
-    """Checks and decodes a row into a snapshot.
+    """Verify the checksum of a row, and decode the row into a snapshot.
 
     Args:
-        snapshot: Takes the row's content.
-        prefix: Of the deployment's keys, for errors.
+        snapshot: Snapshot to which the content of the row is added.
+        prefix: Prefix of the deployment's keys, which errors name.
         name: Key of the row below the prefix.
-        row: As stored.
+        row: Row as stored.
 
     Raises:
-        StoreDamagedError: The checksum does not fit.
+        StoreDamagedError: The checksum does not match.
     """
     if row.checksum != checksum(name, row.revision, row.body):
-        raise StoreDamagedError(f"{prefix}{name}: checksum of the row does not fit")
+        raise StoreDamagedError(f"{prefix}{name}: row checksum does not match")
     number = int(name.split("/")[1])
     if name.startswith(SLICE_PREFIX):
         snapshot.slices[number] = _slice_decoder.decode(row.body)
--- a/puffintide/store/memory.py
+++ b/puffintide/store/memory.py
@@ -1,4 +1,4 @@
-"""An engine that keeps nothing over a restart: for scenarios and tests that do not concern storage."""
+"""Non-durable in-memory storage engine, for scenarios and tests that do not concern storage."""
 
 from __future__ import annotations
 
@@ -7,24 +7,28 @@
 
 
 class MemoryEngine:
-    """A StorageEngine whose commits are lost with the process."""
+    """StorageEngine whose commits are lost when the process ends."""
 
     def __init__(self, store_id: str = "memory") -> None:
         self.snapshot = StoreSnapshot(store_id)
 
     def load(self) -> StoreSnapshot:
-        """Returns an empty snapshot."""
+        """Return an empty snapshot."""
         return self.snapshot
 
     def commit(self, commit: Commit) -> None:
-        """Does nothing."""
+        """Do nothing."""
 
     def backup(self, path: str) -> int:
-        """Raises BackupError, always."""
-        raise BackupError(f"{path}: a store in memory has nothing to back up")
+        """Reject the backup, as nothing is stored.
+
+        Raises:
+            BackupError: Always.
+        """
+        raise BackupError(f"backup to {path} is not supported by the in-memory engine")
 
     def renew_lease(self) -> None:
-        """Does nothing."""
+        """Do nothing."""
 
     def close(self) -> None:
-        """Does nothing."""
+        """Do nothing."""
--- a/puffintide/store/notifications.py
+++ b/puffintide/store/notifications.py
@@ -1,4 +1,4 @@
-"""Notifies peers of what a commit has made durable."""
+"""Notifications to peers about durable changes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class Notifier:
-    """Sends changes of ownership to assigners and proxies, and results to those who wait for them.
+    """Sends ownership changes to assigners and proxies, and results to the peers that wait for them.
 
     Args:
-        sessions: The peers.
-        durable: The state that they are notified of.
-        log: Of the store.
+        sessions: Sessions of the connected peers.
+        durable: Durable state, from which the messages are built.
+        log: Logger of the store.
     """
 
     def __init__(self, sessions: Sessions, durable: DurableState, log: Any) -> None:
@@ -29,8 +29,8 @@
         self.log = log
 
     def publish(self, changes: PendingChanges) -> None:
-        """Notifies peers of changes that are durable."""
-        granted = self._revoke(changes.transfers)
+        """Notify peers of durable changes."""
+        granted = self._notify_previous_owners(changes.transfers)
         for owner_id, ownerships in sorted(granted.items()):
             slice_ids = [ownership.slice_id for ownership in ownerships]
             self.log.info("ownership_changed", owner_id=owner_id, slice_ids=slice_ids)
@@ -43,8 +43,10 @@
         for stream in changes.waiting.operators:
             stream.send(self.durable.commands_in_force())
 
-    def _revoke(self, transfers: Mapping[int, OwnershipTransfer]) -> dict[int, list[m.SliceOwnership]]:
-        """Notifies previous owners; returns the new ownerships by owner."""
+    def _notify_previous_owners(
+        self, transfers: Mapping[int, OwnershipTransfer]
+    ) -> dict[int, list[m.SliceOwnership]]:
+        """Tell previous owners that they lost slices, and return the new ownerships keyed by owner."""
         granted: dict[int, list[m.SliceOwnership]] = {}
         for slice_id, transfer in sorted(transfers.items()):
             ownership = self.durable.ownership(slice_id)
@@ -55,15 +57,15 @@
         return granted
 
     def _send_ownerships(self, owner_id: int, line: bytes) -> None:
-        """Sends a message, encoded once, to the owner and every proxy."""
+        """Send one encoded message to the owner and to every proxy."""
         owner = self.sessions.assigners.get(owner_id)
         if owner is not None:
             owner.send_line(line)
         for proxy in sorted(self.sessions.proxies, key=_peer_order):
             if proxy.writable:
                 proxy.send_line(line)
-            else:  # it connects again, and reads on from the revision it has
-                proxy.abort("does not read what it is told")
+            else:  # The proxy reconnects, and reads the changes since its last known revision.
+                proxy.abort("the proxy reads notifications too slowly")
 
 
 def _peer_order(stream: Stream) -> str:
--- a/puffintide/store/operator_commands.py
+++ b/puffintide/store/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands that operators give to the store: zones, migrations and backups."""
+"""Handlers of operator commands to the store: zone commands, migrations and backups."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 ZONE_OPERATIONS = ("drain", "hold", "return")
 MIN_PACE = 0.1
 MAX_PACE = 10
-MAX_OPERATOR_CHARS = 100  # of an operator's name that are stored and logged
+MAX_OPERATOR_CHARS = 100  # Operator names are truncated to this length before they are stored or logged.
 
 
 class ZoneCommandHandler:
-    """Checks, numbers and commits commands for zones.
+    """Validates, numbers and commits zone commands.
 
     Args:
-        zone_count: Zones are numbered below this.
-        durable: Has the commands so far.
-        commits: Makes commands durable.
-        log: Of the store.
+        zone_count: Number of zones. Zone numbers start at 0.
+        durable: Durable state, which contains the commands so far.
+        commits: Commit queue that makes commands durable.
+        log: Logger of the store.
     """
 
     def __init__(self, zone_count: int, durable: DurableState, commits: CommitQueue, log: Any) -> None:
@@ -36,13 +36,13 @@
         self.last_sequence = max((command.sequence for command in durable.zone_commands.values()), default=0)
 
     def handle(self, stream: Stream, command: m.ZoneCommand) -> None:
-        """Commits a command, or rejects the operator's stream."""
-        problem = self._problem(command)
-        if problem is not None:
-            stream.reject(problem)
+        """Commit a command, or reject the operator's stream."""
+        reason = self._rejection_reason(command)
+        if reason is not None:
+            stream.reject(reason)
             return
         self.last_sequence += 1
-        numbered = m.ZoneCommand(
+        numbered_command = m.ZoneCommand(
             command.zone,
             command.operation,
             command.pace,
@@ -51,18 +51,18 @@
         )
         self.log.warning(
             "zone_command",
-            zone=numbered.zone,
-            operation=numbered.operation,
-            pace=numbered.pace,
-            operator=numbered.operator,
-            sequence=numbered.sequence,
+            zone=numbered_command.zone,
+            operation=numbered_command.operation,
+            pace=numbered_command.pace,
+            operator=numbered_command.operator,
+            sequence=numbered_command.sequence,
         )
-        self.commits.add_zone_command(stream, numbered)
+        self.commits.add_zone_command(stream, numbered_command)
 
-    def _problem(self, command: m.ZoneCommand) -> str | None:
+    def _rejection_reason(self, command: m.ZoneCommand) -> str | None:
         if not 0 <= command.zone < self.zone_count or command.operation not in ZONE_OPERATIONS:
             subject = f"{command.operation!r} of zone {command.zone}"
-            return f"{subject}: there are {self.zone_count} zones; drain, hold or return"
+            return f"{subject}: zones are 0 to {self.zone_count - 1}; operations are drain, hold and return"
         if not MIN_PACE <= command.pace <= MAX_PACE:
             return f"pace {command.pace:g} is not from {MIN_PACE:g} to {MAX_PACE:g}"
         return None
@@ -72,10 +72,10 @@
     """Changes the home of slices.
 
     Args:
-        clock: The present time.
-        ledger: Has the homes.
-        commits: Makes the change durable.
-        log: Of the store.
+        clock: Clock that returns the current time.
+        ledger: Ledger that stores the homes.
+        commits: Commit queue that makes the change durable.
+        log: Logger of the store.
     """
 
     def __init__(self, clock: Clock, ledger: OwnershipLedger, commits: CommitQueue, log: Any) -> None:
@@ -85,10 +85,10 @@
         self.log = log
 
     def handle(self, stream: Stream, command: m.MigrateSlices) -> None:
-        """Commits a migration, or rejects the operator's stream."""
-        problem = self.ledger.set_home(command.slice_ids, command.assigner_id)
-        if problem is not None:
-            stream.reject(problem)
+        """Commit a migration, or reject the operator's stream."""
+        reason = self.ledger.set_home(command.slice_ids, command.assigner_id)
+        if reason is not None:
+            stream.reject(reason)
             return
         self.log.warning(
             "slices_migrated",
@@ -104,10 +104,11 @@
     """Writes backups while the store serves.
 
     Args:
-        engine: Writes them.
-        run: Carries out the engine's call.
-        backup_path: Returns the path for a backup's name, or raises ValueError; None where there are no backups.
-        log: Of the store.
+        engine: Storage engine that writes the backups.
+        run: Runs the engine's methods.
+        backup_path: Returns the path for a backup's name, or raises ValueError. None if backups are not
+            configured.
+        log: Logger of the store.
     """
 
     def __init__(
@@ -123,9 +124,9 @@
         self.log = log
 
     def handle(self, stream: Stream, request: m.BackupRequest) -> None:
-        """Writes a backup and notifies the operator, or rejects the operator's stream."""
+        """Write a backup and notify the operator, or reject the operator's stream."""
         if self.backup_path is None:
-            stream.reject("this store keeps nothing that could be backed up")
+            stream.reject(f"backup {request.name!r}: backups are not configured for this store")
             return
         try:
             path = self.backup_path(request.name)
--- a/puffintide/store/ownership.py
+++ b/puffintide/store/ownership.py
@@ -1,10 +1,11 @@
-"""Which assigner owns each slice, and the tables of the slices. Pure: time is passed in, nothing is read or sent.
-
-A slice has a home: the assigner of its number modulo the number of assigners, or the one that an operator migrated
-it to. When its owner has been disconnected for longer than the lease, the slice is granted to a connected assigner;
-it returns to its home at a limited rate once that is connected again, as each transfer costs caches. Every change
-of ownership takes a new fencing token. A write with an older token is rejected, so that an assigner that was paused
-beyond its lease changes nothing when it resumes, whatever the clocks say.
+"""Ledger of the slices' owners and tables. It does no I/O, and the caller passes in the time.
+
+A slice has a home: the assigner whose id is the slice's number modulo the number of assigners, or the
+assigner to which an operator migrated it. When the owner has been disconnected for longer than its lease, the
+slice is granted to a connected assigner. It returns to its home once that is connected again, at a limited
+rate because each transfer loses cached data. Every change of ownership issues a new fencing token. A write
+with an older token is rejected, so an assigner that was paused beyond its lease cannot change anything when
+it resumes, regardless of clock differences.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 from puffintide.protocol.messages import TableEntry, WeightEntry
 from puffintide.protocol.validation import weights_problem
-from puffintide.store.engine import NO_OVERRIDE, NOBODY, StoredSlice, StoreSnapshot
+from puffintide.store.engine import NO_OVERRIDE, NO_OWNER, StoredSlice, StoreSnapshot
 
-BURST_S = 0.25  # of transfers at the limited rate that may be saved up
+TRANSFER_BURST_S = 0.25  # Unused transfer credit accumulates up to this many seconds of the limited rate.
 MAX_TABLE_ENTRIES = 1000
 MAX_TRANSFERS_PER_S = 200.0
 
@@ -25,21 +26,24 @@
 class SliceRecord:
     """Ownership and table of one slice."""
 
-    owner_id: int = NOBODY
+    owner_id: int = NO_OWNER
     fencing_token: int = 0
-    batch: int = 0  # of the last write in this tenure
-    entries: dict[int, TableEntry] = field(default_factory=dict)  # by server id
-    home_override: int = NO_OVERRIDE  # assigner that an operator made the slice's home
-    tenure_token: int = 0  # first token of this unbroken ownership
-    incarnation: int = 0  # of the owner
+    batch: int = 0  # Batch of the last write in this tenure.
+    entries: dict[int, TableEntry] = field(default_factory=dict)  # Keyed by server id.
+    home_override: int = NO_OVERRIDE  # Assigner that an operator made the slice's home.
+    tenure_token: int = 0  # First token of this uninterrupted ownership.
+    incarnation: int = 0  # Incarnation of the owner.
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipTransfer:
-    """A slice was granted; previous and new owner are the same where only the token changed."""
+    """Grant of a slice to an owner.
+
+    Previous and new owner are equal if only the fencing token changed.
+    """
 
     slice_id: int
-    previous_owner_id: int  # NOBODY: none
+    previous_owner_id: int  # Id of an assigner, or NO_OWNER.
     new_owner_id: int
 
 
@@ -47,13 +51,14 @@
     """Ownership and tables of all slices.
 
     Args:
-        slice_count: Slices are numbered from 0.
-        assigner_count: Assigners are numbered from 0.
-        takeover_s: Lease: how long a disconnected assigner keeps its slices.
-        single_writer: Whether a table has one entry, which a write replaces.
-        max_table_entries: Of one table; a write beyond is rejected.
-        opened_at_s: When the store began; an assigner that has not connected yet has its lease from then on.
-        max_transfers_per_s: Rate at which slices return to their home.
+        slice_count: Number of slices. Slice numbers start at 0.
+        assigner_count: Number of assigners. Assigner ids start at 0.
+        takeover_s: Lease of a disconnected assigner, in seconds, during which it keeps its slices.
+        single_writer: Whether a table has a single entry, which each write replaces.
+        max_table_entries: Maximum number of entries in one table. A write beyond it is rejected.
+        opened_at_s: Time at which the store started. The lease of an assigner that has not connected yet
+            starts then.
+        max_transfers_per_s: Maximum rate at which slices return to their home, in slices per second.
     """
 
     def __init__(
@@ -75,27 +80,28 @@
         self.slices = {slice_id: SliceRecord() for slice_id in range(slice_count)}
         self.connected: set[int] = set()
         self.disconnected_since_s: dict[int, float] = {}
-        self.incarnations: dict[int, int] = {}  # of the connected assigners
-        self.highest_token = 0  # highest fencing token issued or observed
-        self.changed: set[int] = set()  # slices changed since take_changed()
-        self._transfer_credit = 0.0  # transfers that the rate allows now
+        self.incarnations: dict[int, int] = {}  # Keyed by assigner.
+        self.highest_token = 0  # Highest fencing token issued or observed.
+        self.changed: set[int] = set()  # Slices changed since pop_changed() was last called.
+        self._transfer_credit = 0.0  # Number of transfers that the rate limit allows now.
         self._credited_at_s = opened_at_s
 
     def home_of(self, slice_id: int) -> int:
-        """The assigner that owns the slice while it is connected."""
+        """Return the assigner that owns the slice whenever that assigner is connected."""
         override = self.slices[slice_id].home_override
         return override if override >= 0 else slice_id % self.assigner_count
 
     def assigner_connected(
         self, now_s: float, assigner_id: int, incarnation: int = 0
     ) -> list[OwnershipTransfer]:
-        """An assigner has connected.
+        """Record that an assigner has connected, and grant slices to it.
 
-        What it owns is granted anew, as it may have missed that; in the same incarnation its tenure goes on. Its
-        home slices that nobody owns are granted at once, and those that others own as `reassign` allows.
+        The slices that it owns are granted again, as it may have missed the earlier grants. Its tenure
+        continues if the incarnation is the same. Home slices without an owner are granted immediately, and
+        home slices of other owners at the rate that `reassign` allows.
 
         Returns:
-            The grants, with those of `reassign`.
+            The grants, including those of `reassign`.
         """
         self.connected.add(assigner_id)
         self.incarnations[assigner_id] = incarnation
@@ -110,13 +116,16 @@
         return grants + self.reassign(now_s)
 
     def assigner_disconnected(self, now_s: float, assigner_id: int) -> None:
-        """An assigner's stream is lost; its lease runs from now on."""
+        """Start the lease of an assigner whose stream was lost."""
         if assigner_id in self.connected:
             self.connected.discard(assigner_id)
             self.disconnected_since_s[assigner_id] = now_s
 
     def reassign(self, now_s: float) -> list[OwnershipTransfer]:
-        """Grants slices whose owner's lease has expired, and returns slices to their home at the limited rate."""
+        """Reassign slices whose owner's lease has expired, and return slices to their home.
+
+        Returns to the home are rate limited.
+        """
         self._add_transfer_credit(now_s)
         if not self.connected:
             return []
@@ -128,13 +137,16 @@
         return transfers
 
     def _add_transfer_credit(self, now_s: float) -> None:
-        limit = max(1.0, self.max_transfers_per_s * BURST_S)
+        limit = max(1.0, self.max_transfers_per_s * TRANSFER_BURST_S)
         elapsed_s = max(0.0, now_s - self._credited_at_s)
         self._transfer_credit = min(limit, self._transfer_credit + self.max_transfers_per_s * elapsed_s)
         self._credited_at_s = now_s
 
     def _next_owner(self, now_s: float, slice_id: int, record: SliceRecord) -> int | None:
-        """The assigner that is to own the slice in place of its present owner; a return home uses up credit."""
+        """Return the assigner that replaces the current owner, or None.
+
+        A return to the home consumes transfer credit.
+        """
         home = self.home_of(slice_id)
         if record.owner_id in self.connected:
             if home == record.owner_id or home not in self.connected or self._transfer_credit < 1:
@@ -149,7 +161,7 @@
         return candidates[slice_id % len(candidates)]
 
     def lease_holders(self, now_s: float) -> list[int]:
-        """The connected assigners, and those whose lease has not expired."""
+        """Return the connected assigners and the disconnected ones whose lease has not expired."""
         within_lease = [
             assigner_id
             for assigner_id, since_s in self.disconnected_since_s.items()
@@ -158,26 +170,27 @@
         return sorted({*self.connected, *within_lease})
 
     def set_home(self, slice_ids: Sequence[int], assigner_id: int) -> str | None:
-        """Makes an assigner the home of slices, on an operator's command; -1 takes that back.
+        """Make an assigner the home of slices, on an operator's command; -1 restores their default home.
 
         Returns:
-            What is wrong with the command, in which case nothing is changed; None if it was taken.
+            The reason why the command is rejected and nothing is changed, or None if the command was applied.
         """
         unknown = [slice_id for slice_id in slice_ids if slice_id not in self.slices]
         if unknown:
-            return f"slice {unknown[0]} is not among the {len(self.slices)}"
+            return f"slice {unknown[0]} is not from 0 to {len(self.slices) - 1}"
         if not NO_OVERRIDE <= assigner_id < self.assigner_count:
-            return f"assigner {assigner_id} is not among the {self.assigner_count}"
+            return f"assigner {assigner_id} is not from {NO_OVERRIDE} to {self.assigner_count - 1}"
         for slice_id in slice_ids:
             self.slices[slice_id].home_override = assigner_id
             self.changed.add(slice_id)
         return None
 
     def observe_token(self, token: int) -> list[OwnershipTransfer]:
-        """A peer has seen this fencing token.
+        """Process a fencing token that a peer has seen.
 
-        One beyond those issued means that this store is an older copy of itself: tokens go on above it, and all
-        that connected assigners own is granted anew, so that nothing granted before counts any more.
+        A token above the highest issued one shows that this store was started from an older copy of its data.
+        New tokens are then issued above it, and all slices of connected assigners are granted again, which
+        invalidates all earlier grants.
         """
         if token <= self.highest_token:
             return []
@@ -205,7 +218,7 @@
         return transfer
 
     def stored_slice(self, slice_id: int) -> StoredSlice:
-        """The slice as it is to be stored."""
+        """Return the stored form of a slice."""
         record = self.slices[slice_id]
         return StoredSlice(
             slice_id,
@@ -219,38 +232,38 @@
         )
 
     def pop_changed(self) -> tuple[StoredSlice, ...]:
-        """The slices changed since this was last called."""
+        """Return the slices changed since the last call, and clear the set of changed slices."""
         changed = tuple(self.stored_slice(slice_id) for slice_id in sorted(self.changed))
         self.changed = set()
         return changed
 
     def load_tables(self, tables: Mapping[int, Sequence[TableEntry]]) -> None:
-        """Sets tables to start with, by slice."""
+        """Replace tables, keyed by slice, with loaded ones."""
         for slice_id, entries in tables.items():
             self.slices[slice_id].entries = {entry.server_id: entry for entry in entries}
             self.changed.add(slice_id)
 
     def restore(self, snapshot: StoreSnapshot) -> None:
-        """Takes over what was stored. Slices beyond those of the deployment stay as they are stored."""
+        """Load a snapshot. Stored slices beyond those of the deployment are ignored and stay stored."""
         self.highest_token = snapshot.highest_token
         for slice_id, stored in snapshot.slices.items():
             if slice_id in self.slices:
-                known_override = stored.home_override < self.assigner_count
+                override_exists = stored.home_override < self.assigner_count
                 self.slices[slice_id] = SliceRecord(
                     owner_id=stored.owner_id,
                     fencing_token=stored.fencing_token,
                     batch=stored.batch,
                     entries={entry.server_id: entry for entry in stored.entries},
-                    home_override=stored.home_override if known_override else NO_OVERRIDE,
+                    home_override=stored.home_override if override_exists else NO_OVERRIDE,
                     tenure_token=stored.tenure_token,
                     incarnation=stored.incarnation,
                 )
 
     def write(self, writer_id: int, weights: Sequence[WeightEntry], batch: int = 0) -> dict[int, str]:
-        """Takes the entries of slices that the writer owns.
+        """Apply weight entries to the tables of slices that the writer owns.
 
         Returns:
-            The reason for each slice of which an entry was rejected.
+            The reason of rejection for each slice with a rejected entry.
         """
         rejections: dict[int, str] = {}
         for weight in weights:
@@ -269,15 +282,15 @@
         if record is None:
             return "no such slice"
         if record.owner_id != writer_id:
-            return f"in charge of assigner {record.owner_id}"
+            return f"the slice is owned by assigner {record.owner_id}"
         if weight.fencing_token != record.fencing_token:
-            return f"token {weight.fencing_token} is not the present {record.fencing_token}"
+            return f"fencing token {weight.fencing_token} is not the current token {record.fencing_token}"
         problem = weights_problem([weight])
         if problem is not None:
             return problem
         adds_entry = weight.weight > 0 and weight.server_id not in record.entries
         if adds_entry and len(record.entries) >= self.max_table_entries:
-            return f"a table holds {self.max_table_entries} lines at most"
+            return f"the table already has the maximum of {self.max_table_entries} entries"
         return None
 
     def _set_weight(self, record: SliceRecord, weight: WeightEntry) -> None:
--- a/puffintide/store/reads.py
+++ b/puffintide/store/reads.py
@@ -1,4 +1,4 @@
-"""Reads of the store: all tables and ownership, or what changed since a revision."""
+"""Reads of all tables and ownerships, or of those changed since a revision."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from puffintide.protocol.stream import Stream
 from puffintide.store.durable_state import DurableState
 
-MAX_CACHED_READS = 20
-EVERYTHING = -1  # the revision since which a read is that asks for all
+MAX_CACHED_READS = 20  # Maximum number of cached responses, one for each starting revision.
+NO_KNOWN_REVISION = -1  # Starting revision of a read that requests all slices.
 
 
 def encode_ownerships(ownerships: list[m.SliceOwnership]) -> list[bytes]:
-    """Encodes ownerships as the fewest messages that may hold them."""
+    """Encode ownerships as the smallest possible number of messages."""
     size = m.MAX_OWNERSHIPS_PER_MESSAGE
     return [
         encode(m.SliceOwnerships(ownerships[first : first + size]))
@@ -22,28 +22,28 @@
     ]
 
 
-class Reads:
+class ReadHandler:
     """Answers reads from the durable state.
 
-    A read is encoded once for each revision and starting point, and handed out as each reader takes it.
+    A response is encoded once for each revision and starting revision. It is sent at the pace of each reader.
 
     Args:
-        durable: The state that is read.
-        slice_ids: The slices of the deployment; others that are stored are left out.
+        durable: Durable state that is read.
+        slice_ids: Slices of the deployment. Other stored slices are omitted.
     """
 
     def __init__(self, durable: DurableState, slice_ids: Container[int]) -> None:
         self.durable = durable
         self.slice_ids = slice_ids
-        self._encoded: dict[int, list[bytes]] = {}  # by the revision since which they are
-        self._encoded_revision = EVERYTHING
+        self._encoded: dict[int, list[bytes]] = {}  # Keyed by starting revision.
+        self._encoded_revision = NO_KNOWN_REVISION
 
     def send(self, stream: Stream, request: m.ReadRequest) -> None:
-        """Sends the response to a read, in place of one that is still being sent on the stream."""
+        """Send the response to a read, and abandon a response that is still being sent on the stream."""
         lines = iter(self._lines_since(self._known_revision(request)))
 
         def send_while_writable() -> None:
-            """Sends a line at a time, so that many slow readers do not fill the memory with buffers."""
+            """Send one line at a time, so that the buffers of many slow readers do not fill the memory."""
             while stream.writable and not stream.closed:
                 line = next(lines, None)
                 if line is None:
@@ -55,11 +55,11 @@
         send_while_writable()
 
     def _known_revision(self, request: m.ReadRequest) -> int:
-        """The revision that the reader has of this very store."""
+        """Return the reader's revision if it belongs to this store, else NO_KNOWN_REVISION."""
         same_store = request.store_id == self.durable.store_id
         if same_store and 0 <= request.since_revision <= self.durable.revision:
             return request.since_revision
-        return EVERYTHING
+        return NO_KNOWN_REVISION
 
     def _lines_since(self, known_revision: int) -> list[bytes]:
         if self._encoded_revision != self.durable.revision:
--- a/puffintide/store/restoration.py
+++ b/puffintide/store/restoration.py
@@ -1,4 +1,4 @@
-"""Restores an empty store from the replicas that assigners hold of the tables."""
+"""Restoration of an empty store from the replicas of the tables that assigners hold."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.sessions import Sessions
 
-MAX_LOGGED_REASONS = 5  # of one message
+MAX_LOGGED_REASONS = 5  # Maximum number of rejected rows that are logged for one message.
 
 
 class Restoration:
-    """While it is pending, the store grants no ownership.
+    """Restores the tables of an empty store from replicas.
+
+    The store grants no ownership while the restoration is pending.
 
     Args:
-        clock: The present time.
-        ledger: Takes the tables.
-        sessions: The peers.
-        commits: Makes the tables durable.
-        table_restore: Gathers the replicas; None if nothing is to be restored.
-        log: Of the store.
+        clock: Clock that returns the current time.
+        ledger: Ledger into which the tables are loaded.
+        sessions: Sessions of the connected peers.
+        commits: Commit queue that makes the tables durable.
+        table_restore: Collects the replicas. None if nothing is to be restored.
+        log: Logger of the store.
     """
 
     def __init__(
@@ -46,11 +48,11 @@
 
     @property
     def pending(self) -> bool:
-        """Whether the store still waits for replicas."""
+        """Return whether the store still waits for replicas."""
         return self.table_restore is not None
 
     def handle_delta(self, stream: Stream, delta: m.ReplicationDelta) -> None:
-        """Takes a part of an assigner's replica."""
+        """Add a part of an assigner's replica."""
         if self.table_restore is None:
             return
         reasons = self.table_restore.on_delta(self.clock.seconds(), stream.peer.id, delta)
@@ -58,31 +60,31 @@
             self.log.warning("replica_row_rejected", assigner_id=stream.peer.id, reason=reason)
 
     def handle_command(self, stream: Stream, command: m.RestoreFromReplicas) -> None:
-        """Goes on with the replicas received so far, on an operator's command, or rejects the operator."""
+        """Complete the restoration with the replicas received so far, or reject the operator's stream."""
         if self.table_restore is None:
-            stream.reject("it is not empty, or may not be refilled")
+            stream.reject("restore from replicas: the store is not empty, or restoring is not configured")
             return
         if not self.table_restore.complete_assigners:
-            stream.reject("no assigner has answered yet")
+            stream.reject("restore from replicas: no assigner has sent a complete replica yet")
             return
         self.commits.add_operator(stream)
         self._complete(self.table_restore, command.operator[:MAX_OPERATOR_CHARS])
 
-    def check(self) -> None:
-        """Goes on once enough replicas are complete."""
+    def complete_if_ready(self) -> None:
+        """Complete the restoration if enough replicas are complete."""
         if self.table_restore is not None and self.table_restore.is_ready(self.clock.seconds()):
-            self._complete(self.table_restore, "itself")
+            self._complete(self.table_restore, "automatic")
 
     def assigner_disconnected(self, assigner_id: int) -> None:
-        """An assigner's stream is lost, with what it had not sent in full."""
+        """Discard the incomplete replica of an assigner whose stream was lost."""
         if self.table_restore is not None:
             self.table_restore.on_assigner_disconnected(assigner_id)
 
     def _complete(self, table_restore: TableRestore, operator: str) -> None:
-        """Takes the tables over, and grants slices to the connected assigners.
+        """Load the restored tables, and grant slices to the connected assigners.
 
-        Fencing tokens go on far above any that was seen, so that nothing granted before counts any more. Proxies
-        keep the weights that they have until they are notified.
+        New fencing tokens are issued far above any token seen, which invalidates all earlier grants. Proxies
+        keep their current weights until they are notified.
         """
         now_s = self.clock.seconds()
         self.table_restore = None
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -1,7 +1,7 @@
-"""The store on sockets: assigners write, proxies read and are notified of changes of ownership.
+"""Network service of the store: assigners write, proxies read and are notified of ownership changes.
 
-Nobody is notified of a change before it is durable. Reads are answered from what is durable, and never wait for the
-disk.
+No peer is notified of a change before it is durable. Reads are answered from the durable state in memory, and
+never wait for the disk.
 """
 
 from __future__ import annotations
@@ -19,35 +19,38 @@
 from puffintide.store.commits import CommitQueue, EngineRunner
 from puffintide.store.durable_state import DurableState
 from puffintide.store.engine import StorageEngine, StoreSnapshot
-from puffintide.store.errors import StoreError, StoreOvertakenError
+from puffintide.store.errors import StoreError, StoreSupersededError
 from puffintide.store.notifications import Notifier
 from puffintide.store.operator_commands import BackupHandler, MigrationHandler, ZoneCommandHandler
 from puffintide.store.ownership import OwnershipLedger
-from puffintide.store.reads import Reads
+from puffintide.store.reads import ReadHandler
 from puffintide.store.restoration import Restoration
 from puffintide.store.sessions import Sessions
 
 REASSIGN_INTERVAL_S = 0.1
 LEASE_RENEWAL_INTERVAL_S = 1.0
 STATS_INTERVAL_S = 10.0
-MAX_STREAMS = 5000
+MAX_STREAMS = 5000  # Proxies are rejected while this many streams are open.
 
 
 class StoreService:
-    """Wires the parts of the store to its streams and timers.
+    """Connects the components of the store to its streams and timers.
 
     Args:
-        reactor: Clock, and stopped when another store has overtaken this one.
-        ledger: Ownership, with the snapshot restored into it.
-        deployment: Name that peers must give.
-        log: Of the store.
-        engine: Where the state is stored.
-        snapshot: What the engine has stored.
-        zone_count: Zones are numbered below this.
-        run: Carries out an engine's call, in a thread of its own where that may take long.
-        max_streams: Beyond which proxies are rejected.
-        backup_path: Returns the path for a backup's name, or raises ValueError; None where there are no backups.
-        table_restore: Gathers replicas if the store is empty; None where it is not to be restored from them.
+        reactor: Reactor that provides the clock. It is stopped when another store process supersedes this
+            one.
+        ledger: Ownership ledger into which the snapshot has been restored.
+        deployment: Deployment name that peers must send.
+        log: Logger of the store.
+        engine: Storage engine.
+        snapshot: State that the engine has stored.
+        zone_count: Number of zones. Zone numbers start at 0.
+        run: Runs an engine method, in a separate thread if the method may block.
+        max_streams: Number of streams from which proxies are rejected.
+        backup_path: Returns the path for a backup's name, or raises ValueError. None if backups are not
+            configured.
+        table_restore: Collects replicas if the store is empty. None if restoring from replicas is not
+            configured.
     """
 
     def __init__(
@@ -69,8 +72,8 @@
         self.log = log
         self.engine = engine
         self.run = run
-        self.overtaken = False  # another store serves in place of this one
-        self.membership: list[int] = []  # assigners as last sent
+        self.superseded = False  # Whether another store process has replaced this one.
+        self.membership: list[int] = []  # Assigner ids as last sent.
         self._timers: dict[str, Timer] = {}
         self._stopped = False
         is_empty = snapshot.revision == 0 and not snapshot.slices and not ledger.changed
@@ -80,7 +83,7 @@
         self.commits = CommitQueue(
             reactor, ledger, self.durable, engine, run, self.notifier.publish, self._commit_failed
         )
-        self.reads = Reads(self.durable, ledger.slices)
+        self.reads = ReadHandler(self.durable, ledger.slices)
         self.zone_commands = ZoneCommandHandler(zone_count, self.durable, self.commits, log)
         self.migrations = MigrationHandler(reactor, ledger, self.commits, log)
         self.backups = BackupHandler(engine, run, backup_path, log)
@@ -89,23 +92,23 @@
         )
 
     def factory(self) -> StreamServerFactory:
-        """The factory for the listening port."""
+        """Return the protocol factory for the listening port."""
         return StreamServerFactory(
             self.reactor,
             lambda: m.Welcome(m.PROTOCOL_VERSION, m.PeerRole.STORE, 0),
             self._handle_message,
-            self._handle_lost,
+            self._handle_connection_lost,
             self.sessions.rejection_reason,
         )
 
     def start(self) -> None:
-        """Starts the timers."""
+        """Start the timers."""
         self._reassign()
         self._schedule("stats", STATS_INTERVAL_S, self._log_stats)
         self._schedule("lease_renewal", LEASE_RENEWAL_INTERVAL_S, self._renew_lease)
 
     def stop(self) -> None:
-        """Cancels all timers. The engine is closed by whoever opened it."""
+        """Cancel all timers. The caller closes the engine."""
         self._stopped = True
         self.commits.stop()
         for timer in self._timers.values():
@@ -122,26 +125,27 @@
 
     def _renew_lease(self) -> None:
         done = self.run(self.engine.renew_lease)
-        done.addErrback(self._log_failure, "lease_renewal_failed")
+        done.addErrback(self._handle_engine_failure, "lease_renewal_failed")
         done.addBoth(lambda _: self._schedule("lease_renewal", LEASE_RENEWAL_INTERVAL_S, self._renew_lease))
 
     def _commit_failed(self, failure: Failure) -> None:
-        self._log_failure(failure, "commit_failed")
+        self._handle_engine_failure(failure, "commit_failed")
 
-    def _log_failure(self, failure: Failure, event: str) -> None:
-        if isinstance(failure.value, StoreOvertakenError):
+    def _handle_engine_failure(self, failure: Failure, event: str) -> None:
+        if isinstance(failure.value, StoreSupersededError):
             self.log.critical("overtaken", reason=str(failure.value))
-            self.overtaken = True
+            self.superseded = True
             self.reactor.stop()
         elif isinstance(failure.value, StoreError):
             self.log.error(event, reason=str(failure.value))
-        else:  # a bug: nothing more is stored, and that must not go unnoticed
+        else:  # A bug in the engine. Nothing more is stored, which must be visible at critical level.
             self.log.critical("engine_failed", reason=failure.getTraceback())
 
     def _reassign(self) -> None:
         now_s = self.reactor.seconds()
-        self.restoration.check()
-        self.commits.add_transfers(self.ledger.reassign(now_s))  # nobody is connected before the restoration
+        self.restoration.complete_if_ready()
+        # The ledger has no connected assigners while a restoration is pending, so nothing is granted then.
+        self.commits.add_transfers(self.ledger.reassign(now_s))
         membership = self.ledger.lease_holders(now_s)
         if membership != self.membership:
             self.membership = membership
@@ -198,7 +202,7 @@
 
     @staticmethod
     def _reject(stream: Stream, message: m.AnyMessage) -> None:
-        stream.reject(f"a {type(message).__name__} is not for the store")
+        stream.reject(f"message {type(message).__name__} is not accepted by the store")
 
     def _handle_hello(self, stream: Stream, hello: m.Hello) -> None:
         if not self.restoration.pending:
@@ -208,7 +212,10 @@
             self._handle_assigner_hello(stream, hello)
 
     def _check_highest_token(self, hello: m.Hello) -> None:
-        """A peer that has seen a later token than was issued shows that this store is an older copy of itself."""
+        """Detect that this store runs on an older copy of its data.
+
+        In that case a peer has seen a later token than any issued here.
+        """
         if hello.highest_token <= self.ledger.highest_token:
             return
         self.log.error(
@@ -233,7 +240,7 @@
         now_s = self.reactor.seconds()
         self.commits.add_transfers(self.ledger.assigner_connected(now_s, hello.id, hello.incarnation))
 
-    def _handle_lost(self, stream: Stream, _reason: m.AnyMessage) -> None:
+    def _handle_connection_lost(self, stream: Stream, _reason: m.AnyMessage) -> None:
         if not stream.peer.role:
             return
         self.commits.remove_writer(stream)
--- a/puffintide/store/sqlite.py
+++ b/puffintide/store/sqlite.py
@@ -1,7 +1,8 @@
-"""The embedded engine: one SQLite file (through apsw) with a write-ahead log, synced at every commit.
+"""Embedded storage engine: one SQLite file with a write-ahead log that is synced at every commit.
 
-Every row carries a checksum (xxh64 of its place and content), as SQLite itself would hand out a flipped bit. The
-file is locked while open, so that two stores can't serve from it. Its format is 1.
+Every row has an xxh64 checksum of its key and content, because SQLite itself does not detect a flipped bit.
+SQLite is accessed through apsw. The file is locked while it is open, so that two store processes cannot serve
+from it. Its format version is 1.
 """
 
 from __future__ import annotations
@@ -27,13 +28,12 @@
     StoreInUseError,
 )
 
-FORMAT = 1
-RESTORED_TOKEN_INCREMENT = (
-    1 << 32
-)  # a restored store issues tokens above all that its older self may have issued
-WAL_CHECKPOINT_PAGES = 1000  # of the write-ahead log, before it is folded into the file
-MAX_WAL_BYTES = 4 << 20  # that the log keeps on the disk once it is folded in
-BACKUP_STEP_PAGES = 500
+FORMAT = 1  # Version of the stored format, kept in SQLite's user_version.
+# A restored store raises its highest token by this much, above all tokens that the original may have issued.
+RESTORED_TOKEN_INCREMENT = 1 << 32
+WAL_CHECKPOINT_PAGES = 1000  # Pages in the write-ahead log at which it is checkpointed into the file.
+MAX_WAL_BYTES = 4 << 20  # Size to which the log file is truncated after a checkpoint, in bytes.
+BACKUP_STEP_PAGES = 500  # Number of pages that one step of a backup copies.
 
 _slice_decoder = msgspec.json.Decoder(StoredSlice)
 _command_decoder = msgspec.json.Decoder(ZoneCommand)
@@ -43,26 +43,30 @@
  sum integer not null);
 create table hand (zone integer primary key, revision integer not null, body blob not null, sum integer not null);
 """
-_ERRORS: list[tuple[type[BaseException], type[StoreError], str]] = [
-    (apsw.BusyError, StoreInUseError, "is open in another store"),
-    (apsw.LockedError, StoreInUseError, "is open in another store"),
-    (apsw.NotADBError, StoreFormatError, "is no store's file"),
+_ERROR_MAPPING: list[tuple[type[BaseException], type[StoreError], str]] = [
+    (apsw.BusyError, StoreInUseError, "is in use by another store process"),
+    (apsw.LockedError, StoreInUseError, "is in use by another store process"),
+    (apsw.NotADBError, StoreFormatError, "is not a store database"),
     (apsw.CorruptError, StoreDamagedError, "is damaged"),
-    (apsw.FullError, StoreFullError, "no room left on the disk"),
-    (apsw.ReadOnlyError, StoreError, "can't be written to"),
-    (apsw.CantOpenError, StoreError, "can't be opened"),
+    (apsw.FullError, StoreFullError, "no space left on the disk"),
+    (apsw.ReadOnlyError, StoreError, "is read-only"),
+    (apsw.CantOpenError, StoreError, "cannot be opened"),
     (apsw.IOError, StoreError, "could not be read or written"),
 ]
 
 
 def checksum(*parts: object) -> int:
-    """xxh64 of the parts, as a signed integer of 64 bits, which is what SQLite stores."""
+    """Return the xxh64 checksum of the parts as the signed 64-bit integer that SQLite stores."""
     unsigned = xxhash.xxh64_intdigest(repr(parts).encode())
     return unsigned - (1 << 64) if unsigned >= 1 << 63 else unsigned
 
 
 def sync_path(path: str) -> None:
-    """Makes a file, or the entries of a folder, durable. Raises OSError."""
+    """Sync a file, or the entries of a directory, to the disk.
+
+    Raises:
+        OSError: The file cannot be opened or synced.
+    """
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -71,22 +75,22 @@
 
 
 def _store_error(path: str, error: BaseException) -> StoreError:
-    """The StoreError that stands for an error of SQLite or of the system."""
-    for kind, store_error, text in _ERRORS:
-        if isinstance(error, kind):
+    """Convert an error of SQLite or of the operating system into a StoreError."""
+    for error_type, store_error, text in _ERROR_MAPPING:
+        if isinstance(error, error_type):
             return store_error(f"{path}: {text} ({error})")
     return StoreError(f"{path}: {error}")
 
 
 class SqliteEngine:
-    """A StorageEngine on one file, which it creates and locks.
+    """StorageEngine on one file, which it creates if necessary and locks.
 
     Args:
-        path: Of the file.
-        vfs: Name of a file layer registered with apsw, for tests; None is the system's own.
+        path: Path of the file.
+        vfs: Name of a VFS registered with apsw, for tests. None selects the default VFS.
 
     Raises:
-        StoreError: The file can't be opened, is in use, or is not a store's.
+        StoreError: The file cannot be opened, is in use, or is not a store database.
     """
 
     def __init__(self, path: str, vfs: str | None = None) -> None:
@@ -94,7 +98,7 @@
         try:
             self.db = apsw.Connection(path, vfs=vfs)
             self._configure()
-            self.db.execute("begin immediate")  # takes the lock, or fails if another process has it
+            self.db.execute("begin immediate")  # Takes the lock, or fails if another process has it.
             self._create_or_check_format()
             self.db.execute("commit")
         except (apsw.Error, ValueError) as error:
@@ -105,9 +109,9 @@
 
     def _configure(self) -> None:
         self.db.set_busy_timeout(0)
-        self.db.pragma("locking_mode", "EXCLUSIVE")  # keeps a second store out, and needs no shared memory
+        self.db.pragma("locking_mode", "EXCLUSIVE")  # Excludes other processes, and needs no shared memory.
         self.db.pragma("journal_mode", "WAL")
-        self.db.pragma("synchronous", "FULL")  # the log is synced at every commit
+        self.db.pragma("synchronous", "FULL")  # Syncs the log at every commit.
         self.db.pragma("wal_autocheckpoint", WAL_CHECKPOINT_PAGES)
         self.db.pragma("journal_size_limit", MAX_WAL_BYTES)
 
@@ -122,7 +126,7 @@
             self.db.execute("rollback")
             relation = "newer than" if version > FORMAT else "not"
             raise StoreFormatError(
-                f"{self.path}: format {version} is {relation} {FORMAT}, which this program writes"
+                f"{self.path}: format {version} is {relation} {FORMAT}, the format that this program supports"
             )
 
     def _put_meta(self, **values: str) -> None:
@@ -138,29 +142,29 @@
         *content, stored_checksum = row
         if checksum(*content) == stored_checksum:
             return None
-        return f"{self.path}: {table} {row[0]}: checksum of the row does not fit"
+        return f"{self.path}: {table} {row[0]}: row checksum does not match"
 
     def problems(self) -> list[str]:
-        """What is damaged, each with its place; empty if nothing is."""
-        found = []
+        """Check the file and all rows, and return a description of each damaged place."""
+        problems = []
         try:
             for (text,) in self.db.execute("pragma integrity_check"):
                 if text != "ok":
-                    found.append(f"{self.path}: {text}")
+                    problems.append(f"{self.path}: {text}")
             for table, row in self._rows():
                 problem = self._row_problem(table, row)
                 if problem is not None:
-                    found.append(problem)
+                    problems.append(problem)
         except apsw.Error as error:
-            found.append(str(_store_error(self.path, error)))
-        return found
+            problems.append(str(_store_error(self.path, error)))
+        return problems
 
     def load(self) -> StoreSnapshot:
-        """Reads and checks all rows.
+        """Read all rows, and verify their checksums.
 
         Raises:
             StoreDamagedError: A row is damaged or missing.
-            StoreError: The file can't be read.
+            StoreError: The file cannot be read.
         """
         meta: dict[str, str] = {}
         snapshot = StoreSnapshot("")
@@ -184,11 +188,11 @@
         except msgspec.DecodeError as error:
             raise StoreDamagedError(f"{self.path}: {error}") from error
         except KeyError as error:
-            raise StoreDamagedError(f"{self.path}: meta {error} is missing") from error
+            raise StoreDamagedError(f"{self.path}: meta row {error} is missing") from error
         return snapshot
 
     def commit(self, commit: Commit) -> None:
-        """Writes a commit as one transaction, and syncs it.
+        """Write a commit as one transaction, and sync it.
 
         Raises:
             StoreError: Nothing of the commit is stored.
@@ -219,14 +223,14 @@
         self.db.executemany(f"insert or replace into {table} values (?, ?, ?, ?)", values)
 
     def backup(self, path: str) -> int:
-        """Writes a copy as of one revision to a new file, and returns that revision.
+        """Write a copy as of one revision to a new file, and return that revision.
 
         Raises:
-            BackupError: The file exists.
-            StoreError: The copy can't be written.
+            BackupError: The file exists already.
+            StoreError: The copy cannot be written.
         """
         if Path(path).exists():
-            raise BackupError(f"{path}: is there already")
+            raise BackupError(f"backup to {path} failed: the file already exists")
         partial_path = f"{path}.part"
         try:
             Path(partial_path).unlink(missing_ok=True)
@@ -240,15 +244,19 @@
 
     def _copy_to(self, path: str) -> int:
         with apsw.Connection(path) as copy:
-            with copy.backup("main", self.db, "main") as work:
-                while not work.done:
-                    work.step(BACKUP_STEP_PAGES)
+            with copy.backup("main", self.db, "main") as backup:
+                while not backup.done:
+                    backup.step(BACKUP_STEP_PAGES)
             ((text,),) = copy.execute("select value from meta where name = 'revision'").fetchall()
         copy.close()
         return int(str(text))
 
     def assign_new_identity(self) -> str:
-        """Makes a copy another store, with tokens above all that the original may have issued; returns its id."""
+        """Give a copy a new store id, and tokens above all that the original may have issued.
+
+        Returns:
+            The new store id.
+        """
         snapshot = self.load()
         store_id = secrets.token_hex(8)
         token = snapshot.highest_token + RESTORED_TOKEN_INCREMENT
@@ -258,8 +266,8 @@
         return store_id
 
     def renew_lease(self) -> None:
-        """Does nothing: the lock lasts as long as the process."""
+        """Do nothing, as the file lock is held until the file is closed."""
 
     def close(self) -> None:
-        """Closes the file, which folds the log into it."""
+        """Close the file, which checkpoints the write-ahead log into it."""
         self.db.close()
--- a/puffintide/store/sqlite_restore.py
+++ b/puffintide/store/sqlite_restore.py
@@ -1,4 +1,4 @@
-"""Restoring a backup of the embedded engine in place of a store that does not run."""
+"""Restoration of an SQLite backup in place of the file of a stopped store."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 
 
 def restore_backup(backup: str, target: str) -> StoreSnapshot:
-    """Puts a backup in place of a store's file, as another store. The old file is kept beside it as .before.
+    """Replace a store's file with a backup.
+
+    The restored store gets a new store id. The old file is kept with the suffix .before.
 
     Args:
         backup: Path of the backup.
-        target: Path of the store's file, which may not exist.
+        target: Path of the store's file, which need not exist.
 
     Returns:
-        What the restored store holds.
+        The state of the restored store.
 
     Raises:
-        StoreError: The target is as it was.
+        StoreError: The backup was not restored, and the target is unchanged.
     """
     if not Path(backup).exists():
-        raise BackupError(f"{backup}: is not there")
+        raise BackupError(f"restore of {backup} failed: the backup does not exist")
     new_path = f"{target}.restoring"
     Path(new_path).unlink(missing_ok=True)
     _copy_verified(backup, new_path)
     if Path(target).exists():
-        SqliteEngine(target).close()  # raises if a store runs on it; folds its log into the file
+        SqliteEngine(target).close()  # Raises if a store is running on it. Checkpoints its log into the file.
         os.replace(target, f"{target}.before")
     engine = SqliteEngine(new_path)
     try:
--- a/tests/store_histories.py
+++ b/tests/store_histories.py
@@ -51,7 +51,7 @@
 
     def commit(self, commit: Commit) -> None:
         if self.full:
-            raise StoreFullError("no room left on the disk")
+            raise StoreFullError("no space left on the disk")
         snapshot = self.snapshot
         snapshot.revision = commit.revision
         snapshot.highest_token = commit.highest_token
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -12,7 +12,7 @@
 from puffintide.emulators.etcd import Etcd
 from puffintide.protocol import messages as m
 from puffintide.store.engine import Commit, StorageEngine, StoredSlice
-from puffintide.store.errors import StoreError, StoreFullError, StoreInUseError, StoreOvertakenError
+from puffintide.store.errors import StoreError, StoreFullError, StoreInUseError, StoreSupersededError
 from puffintide.store.etcd.engine import EtcdEngine
 from puffintide.store.sqlite import SqliteEngine
 from tests.peers import PORTS, dial, process
@@ -98,7 +98,7 @@
 def test_second_engine_on_the_same_storage_is_rejected(open_engine: Open) -> None:
     engine = open_engine()
     engine.load()
-    with pytest.raises(StoreInUseError, match="open in another store"):
+    with pytest.raises(StoreInUseError, match="in use by another store process"):
         open_engine().load()
     engine.commit(Commit(1, 1, slices_at(range(2), 1)))
     engine.close()
@@ -117,9 +117,9 @@
     advance(etcd, 30)
     second = etcd_engine(etcd)
     second.load()
-    with pytest.raises(StoreOvertakenError):
+    with pytest.raises(StoreSupersededError):
         first.commit(Commit(2, 2, slices_at(range(2), 2)))
-    with pytest.raises(StoreOvertakenError):
+    with pytest.raises(StoreSupersededError):
         first.renew_lease()
     second.commit(Commit(2, 3, slices_at(range(1), 3)))
     assert stored_slices(etcd, second)[0].fencing_token == 3
@@ -140,7 +140,7 @@
     engine.commit(Commit(1, 1, slices_at(range(2), 1)))
     advance(etcd, 30)
     engine.renew_lease()
-    with pytest.raises(StoreInUseError, match="open in another store"):
+    with pytest.raises(StoreInUseError, match="in use by another store process"):
         etcd_engine(etcd).load()
 
 
@@ -205,14 +205,14 @@
         engine.commit(Commit(2, 2, slices_at(range(2), 2)))
     etcd.faults.no_leader = False
     etcd.faults.no_space = True
-    with pytest.raises(StoreFullError, match="no room left"):
+    with pytest.raises(StoreFullError, match="no space left"):
         engine.commit(Commit(2, 2, slices_at(range(2), 2)))
     etcd.faults.no_space = False
     engine.commit(Commit(2, 2, slices_at(range(2), 2)))
     engine.close()
     etcd.faults.compacted_revision = 1 << 40  # the second page of each reading
     other = etcd_engine(etcd)
-    with pytest.raises(StoreError, match="compacted at every reading"):
+    with pytest.raises(StoreError, match="compacted in each of 3 attempts"):
         other.load()
     etcd.faults.compacted_revision = 0
     assert len(other.load().slices) == 900
--- a/tests/test_sqlite.py
+++ b/tests/test_sqlite.py
@@ -126,7 +126,7 @@
     engine.commit(commit_at(1))
     disk.capacity_bytes = 40_000
     revision, error = commit_until_full(engine, 2)
-    assert "no room" in str(error)
+    assert "no space left" in str(error)
     assert engine.load().slices == state_at(revision - 1)[0]
     disk.capacity_bytes = UNLIMITED_BYTES
     engine.commit(commit_at(revision))
@@ -157,7 +157,7 @@
     file.write_bytes(data)
     verified = run_command("store", "verify", str(file))
     assert verified.returncode == 1
-    assert "checksum of the row does not fit" in verified.stdout
+    assert "row checksum does not match" in verified.stdout
     slice_id = int(verified.stdout.split("slice ")[1].split(":")[0])
     assert slice_id in state_at(LAST_REVISION)[0]
     assert f"slice {slice_id}" in run_command("store", "dump", str(file)).stderr
@@ -175,7 +175,7 @@
 def test_other_files_newer_formats_and_files_in_use_are_rejected(file: Path, tmp_path: Path) -> None:
     other = tmp_path / "other"
     other.write_bytes(b"no store at all, but long enough to look at" * 50)
-    with pytest.raises(StoreFormatError, match="is no store's file"):
+    with pytest.raises(StoreFormatError, match="is not a store database"):
         SqliteEngine(str(other))
     shutil.copy(file, tmp_path / "newer.db")
     with apsw.Connection(str(tmp_path / "newer.db")) as db:
@@ -184,7 +184,7 @@
     with pytest.raises(StoreFormatError, match="format 7 is newer than 1"):
         SqliteEngine(str(tmp_path / "newer.db"))
     first = SqliteEngine(str(file))
-    with pytest.raises(StoreInUseError, match="open in another store"):
+    with pytest.raises(StoreInUseError, match="in use by another store process"):
         SqliteEngine(str(file))
     first.close()
     SqliteEngine(str(file)).close()
@@ -195,10 +195,10 @@
     before = engine.load()
     backup = tmp_path / "monday"
     assert engine.backup(str(backup)) == LAST_REVISION
-    with pytest.raises(BackupError, match="there already"):
+    with pytest.raises(BackupError, match="the file already exists"):
         engine.backup(str(backup))
     engine.commit(commit_at(LAST_REVISION + 1))
-    with pytest.raises(StoreInUseError, match="open in another store"):
+    with pytest.raises(StoreInUseError, match="in use by another store process"):
         restore_backup(str(backup), str(file))  # the store runs
     engine.close()
     restored = restore_backup(str(backup), str(file))
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -187,7 +187,7 @@
             migrated |= {ownership.slice_id for ownership in message.ownerships}
         shown = run_command("charge", "show", *config).stdout
         assert "0-5, 7" in shown, shown
-        assert "slice 99 is not among the 8" in run_command("charge", "move", "99", "1", *config).stderr
+        assert "slice 99 is not from 0 to 7" in run_command("charge", "move", "99", "1", *config).stderr
         backup = run_command("store", "backup", "monday", *config)
         assert backup.returncode == 0, backup.stderr
         assert "revision" in backup.stdout, backup.stderr
