--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -107,9 +107,8 @@
             self._holder_revision = response.header.revision
             return
         holders = response.responses[0].response_range.kvs
-        if (
-            holders and holders[0].value == self._holder_value
-        ):  # This process set the key, but the response was lost.
+        if holders and holders[0].value == self._holder_value:
+            # An earlier attempt of this process set the key, but its response was lost.
             self._holder_revision = holders[0].create_revision
             self._lease_id = holders[0].lease
             return
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -32,7 +32,7 @@
 from puffintide.store.engine import Commit
 from puffintide.store.ownership import OwnershipLedger
 from puffintide.store.service import StoreService
-from tests.surviving_store_engine import SurvivingStoreEngine, copied
+from tests.surviving_store_engine import SurvivingStoreEngine, copy_snapshot
 from tests.virtual_network import START, ProcessReactor, VirtualNetwork
 
 SECTIONS: dict[str, dict[str, Any]] = {
@@ -183,13 +183,13 @@
         store, news = self.place.tapped("store"), self.place.tapped("list")
         log, life = self.log[name], self.incarnations[name]
         if kind == "store":
-            image = copied(self.engine.image)
+            snapshot = copy_snapshot(self.engine.snapshot)
             charge, now = self.config.charge, party.seconds()
             book = OwnershipLedger(d.slices, d.assigners, charge.takeover_s, d.single_writer, opened_at_s=now)
-            book.restore(image)
+            book.restore(snapshot)
             refill = TableRestore(d.slices, d.assigners, 5.0) if self.config.peers is not None else None
             self.store = StoreService(
-                party, book, d.name, log, self.engine, image, zones, table_restore=refill
+                party, book, d.name, log, self.engine, snapshot, zones, table_restore=refill
             )
             party.listenTCP(self.place.store, self.store.factory())
             self.store.start()
@@ -222,12 +222,12 @@
                 self.reactors[name].kill()
                 self.engine = SurvivingStoreEngine("u")
             case "backup":
-                self.saved = copied(self.engine.image)
+                self.saved = copy_snapshot(self.engine.snapshot)
             case "restore":  # as the command does it
                 self.reactors[name].kill()
                 self.engine = SurvivingStoreEngine()
-                self.engine.image = replace(
-                    copied(self.saved),
+                self.engine.snapshot = replace(
+                    copy_snapshot(self.saved),
                     store_id="r",
                     highest_token=self.saved.highest_token + FENCING_TOKEN_GAP,
                 )
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -1,7 +1,7 @@
-"""A disk in memory, as a file layer (VFS) for SQLite.
+"""In-memory disk, exposed to SQLite as a VFS.
 
-What was written and not yet synced is lost, whole or in part, when the power is cut. Every write and every sync is
-an operation at which that may happen.
+Writes that are not yet synced are lost, in whole or in part, when the power is cut. The power can be cut at
+every write and every sync.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 LOST_WRITE_PROBABILITY = 0.4
 TORN_WRITE_PROBABILITY = 0.5
 
-PendingWrite = tuple[int, bytes | None]  # (offset, data), or (size, None) for a truncation
+PendingWrite = tuple[int, bytes | None]  # (offset, data), or (size, None) for a truncation.
 
 
 class PowerCutError(Exception):
-    """The power is cut."""
+    """Raised at the operation at which the power is cut."""
 
 
 class Disk:
-    """Files by name: their durable contents, and the writes since, in order."""
+    """Files by name: their synced contents, and the unsynced writes in order."""
 
     def __init__(self) -> None:
         self.synced: dict[str, bytes] = {}
         self.pending: dict[str, list[PendingWrite]] = {}
-        self.operations = 0  # writes and syncs so far
-        self.cut_at_operation = 0  # at which the power is cut; 0: never
-        self.capacity_bytes = UNLIMITED_BYTES  # of each file
+        self.operations = 0  # Number of writes and syncs so far.
+        self.cut_at_operation = 0  # Operation at which the power is cut, or 0.
+        self.capacity_bytes = UNLIMITED_BYTES  # Maximum size of each file.
         self.fail_sync = False
-        self.powered_off = False  # what is done after the cut does not reach the disk
+        self.powered_off = False  # Operations after a power cut have no effect.
 
     def count_operation(self) -> None:
         self.operations += 1
@@ -42,7 +42,7 @@
             raise PowerCutError
 
     def contents(self, name: str, writes: list[PendingWrite] | None = None) -> bytes:
-        """A file with its pending writes, or with others, applied."""
+        """Return the contents of a file with its pending writes, or with the given ones, applied."""
         data = bytearray(self.synced.get(name, b""))
         for offset, piece in self.pending.get(name, []) if writes is None else writes:
             if piece is None:
@@ -57,13 +57,16 @@
         self.pending[name] = []
 
     def after_power_cut(self, rng: random.Random) -> Disk:
-        """The disk as it may be found: of each file any of the pending writes, each whole or its first sectors."""
-        found = Disk()
+        """Return a possible state of the disk after a power cut.
+
+        Any of the pending writes of each file may survive, in whole or with its first sectors only.
+        """
+        remaining = Disk()
         for name in sorted({*self.synced, *self.pending}):
             survived = self._surviving_writes(name, rng)
             if name in self.synced or survived:
-                found.synced[name] = self.contents(name, survived)
-        return found
+                remaining.synced[name] = self.contents(name, survived)
+        return remaining
 
     def _surviving_writes(self, name: str, rng: random.Random) -> list[PendingWrite]:
         survived: list[PendingWrite] = []
@@ -79,7 +82,7 @@
 
 
 class DiskFile(apsw.VFSFile):
-    """An open file of a disk."""
+    """Open file on a Disk."""
 
     def __init__(self, disk: Disk, name: str) -> None:
         self.disk = disk
@@ -138,7 +141,7 @@
 
 
 class DiskVfs(apsw.VFS):
-    """Registers itself with SQLite under a name; its disk can be changed between opens."""
+    """VFS registered with SQLite under a name. Its disk can be replaced between opens."""
 
     def __init__(self, name: str, disk: Disk) -> None:
         self.disk = disk
--- a/tests/store_histories.py
+++ b/tests/store_histories.py
@@ -1,11 +1,12 @@
-"""Concurrent writers and readers of the real store service, on a clock in memory.
+"""Simulation of concurrent writers and readers of the real store service on an in-memory clock.
 
-There are kills, pauses and slow or full disks. `play` runs a course of events from a seed and returns what the
-clients observed, as operations whose linearizability can be checked.
+The simulation injects kills, pauses, and slow or full disks. `run_workload` runs a random sequence of events
+from a seed, and returns the operations that the clients observed, so that their linearizability can be
+checked.
 """
 
 # mypy: disallow-untyped-calls=False
-# (StringTransport and its relatives are untyped in Twisted.)
+# StringTransport and related classes are untyped in Twisted.
 from __future__ import annotations
 
 import contextlib
@@ -38,12 +39,12 @@
 SLOW_COMMIT_PROBABILITY = 0.05
 SLOW_COMMIT_S = 1.5
 COMMIT_S = 0.05
-REACHED_DISK_PROBABILITY = 0.5  # of a commit that is under way when the store is killed
+REACHED_DISK_PROBABILITY = 0.5  # Chance that a commit in progress survives a kill of the store.
 SETTLING_S = 2.0
 
 
 class DurableEngine(MemoryEngine):
-    """Keeps commits over a kill of the store; it may be full."""
+    """Keeps commits when the store is killed, and fails every commit while `full` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -76,37 +77,39 @@
 
 
 class Connection:
-    """A client's stream to the store: messages take their time, in order, until it is cut."""
+    """A client's stream to the store, which delivers messages in order after a random latency."""
 
-    def __init__(self, world: World, hello: m.Hello, on_message: Callable[[m.AnyMessage], None]) -> None:
-        self.world = world
+    def __init__(
+        self, simulation: Simulation, hello: m.Hello, on_message: Callable[[m.AnyMessage], None]
+    ) -> None:
+        self.simulation = simulation
         self.on_message = on_message
         self.open = True
-        self.last_arrival_s = 0.0  # at the store
-        self.last_reply_s = 0.0  # at the client
-        self.stream = world.factory.buildProtocol(None)
+        self.last_request_s = 0.0  # Arrival time of the last request at the store.
+        self.last_reply_s = 0.0  # Arrival time of the last reply at the client.
+        self.stream = simulation.factory.buildProtocol(None)
         self.transport = MemoryTransport()
         self.stream.makeConnection(self.transport)
-        world.connections.append(self)
+        simulation.connections.append(self)
         self.send(hello)
 
     def send(self, message: m.Message) -> None:
-        self.last_arrival_s = max(self.last_arrival_s, self.world.after_latency_s())
-        delay_s = self.last_arrival_s - self.world.clock.seconds()
-        self.world.clock.callLater(delay_s, self._deliver_to_store, encode(message) + b"\n")
+        self.last_request_s = max(self.last_request_s, self.simulation.arrival_time_s())
+        delay_s = self.last_request_s - self.simulation.clock.seconds()
+        self.simulation.clock.callLater(delay_s, self._deliver_to_store, encode(message) + b"\n")
 
     def _deliver_to_store(self, data: bytes) -> None:
         if self.open:
             self.stream.dataReceived(data)
 
-    def pump(self) -> None:
-        """Takes what the store has written."""
+    def schedule_replies(self) -> None:
+        """Schedule the delivery of the messages that the store has written."""
         written = self.transport.value()
         for line in written.splitlines():
             message = decode(line)
-            self.last_reply_s = max(self.last_reply_s, self.world.after_latency_s())
-            delay_s = self.last_reply_s - self.world.clock.seconds()
-            self.world.clock.callLater(delay_s, self._deliver_to_client, message)
+            self.last_reply_s = max(self.last_reply_s, self.simulation.arrival_time_s())
+            delay_s = self.last_reply_s - self.simulation.clock.seconds()
+            self.simulation.clock.callLater(delay_s, self._deliver_to_client, message)
         self.transport.clear()
 
     def _deliver_to_client(self, message: m.AnyMessage) -> None:
@@ -117,7 +120,7 @@
         else:
             self.on_message(message)
 
-    def cut(self) -> None:
+    def close(self) -> None:
         if self.open:
             self.open = False
             reason = Failure(ConnectionError())
@@ -126,14 +129,14 @@
 
 @dataclass(eq=False, slots=True)
 class EngineCall:
-    """A call of the engine that is under way."""
+    """Engine call in progress."""
 
     call: Callable[..., Any]
     arguments: tuple[Any, ...]
 
 
-class World:
-    """A store and its clients; the seed determines the order of events."""
+class Simulation:
+    """A store and its clients. The seed determines the order of events."""
 
     def __init__(self, seed: int, slice_count: int = 3, assigner_count: int = 3) -> None:
         self.rng = random.Random(seed)
@@ -142,11 +145,11 @@
         self.slice_count = slice_count
         self.assigner_count = assigner_count
         self.engine = DurableEngine()
-        self.calls_under_way: list[EngineCall] = []
+        self.pending_calls: list[EngineCall] = []
         self.connections: list[Connection] = []
-        self.history: defaultdict[int, list[Operation]] = defaultdict(list)  # by slice
-        self.granted_at_s: dict[tuple[int, int], float] = {}  # (slice, token): when it was first observed
-        self.last_value = 0  # of writes
+        self.history: defaultdict[int, list[Operation]] = defaultdict(list)  # Keyed by slice.
+        self.granted_at_s: dict[tuple[int, int], float] = {}  # First observation of each (slice, token).
+        self.last_value = 0  # Last value written.
         self.start()
 
     def start(self) -> None:
@@ -165,33 +168,33 @@
         self.factory = self.service.factory()
         self.service.start()
 
-    def after_latency_s(self) -> float:
+    def arrival_time_s(self) -> float:
         return self.clock.seconds() + self.rng.uniform(MIN_LATENCY_S, MAX_LATENCY_S)
 
     def run(self, call: Callable[..., Any], *arguments: Any) -> Deferred[Any]:
         done: Deferred[Any] = Deferred()
-        under_way = EngineCall(call, arguments)
-        self.calls_under_way.append(under_way)
+        engine_call = EngineCall(call, arguments)
+        self.pending_calls.append(engine_call)
 
         def finish() -> None:
-            if under_way not in self.calls_under_way:  # the store was killed meanwhile
+            if engine_call not in self.pending_calls:  # The store was killed in the meantime.
                 return
-            self.calls_under_way.remove(under_way)
+            self.pending_calls.remove(engine_call)
             try:
                 done.callback(call(*arguments))
             except StoreError:
                 done.errback()
 
-        longest_s = SLOW_COMMIT_S if self.rng.random() < SLOW_COMMIT_PROBABILITY else COMMIT_S
-        self.clock.callLater(self.rng.uniform(0.0, longest_s), finish)
+        max_delay_s = SLOW_COMMIT_S if self.rng.random() < SLOW_COMMIT_PROBABILITY else COMMIT_S
+        self.clock.callLater(self.rng.uniform(0.0, max_delay_s), finish)
         return done
 
     def kill(self) -> None:
-        for under_way in self.calls_under_way:
+        for engine_call in self.pending_calls:
             if self.rng.random() < REACHED_DISK_PROBABILITY:
                 with contextlib.suppress(StoreError):
-                    under_way.call(*under_way.arguments)
-        self.calls_under_way = []
+                    engine_call.call(*engine_call.arguments)
+        self.pending_calls = []
         for connection in self.connections:
             connection.open = False
         self.connections = []
@@ -201,11 +204,11 @@
         grant = (ownership.slice_id, ownership.fencing_token)
         self.granted_at_s.setdefault(grant, self.clock.seconds())
 
-    def pass_time(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_S)):
             self.clock.advance(TICK_S)
             for connection in list(self.connections):
-                connection.pump()
+                connection.schedule_replies()
 
     def finish(self) -> dict[int, list[Operation]]:
         for (slice_id, token), observed_s in self.granted_at_s.items():
@@ -215,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A write of one slice that has not been acknowledged."""
+    """Unacknowledged write of one slice."""
 
     slice_id: int
     token: int
@@ -224,23 +227,26 @@
 
 
 class Assigner:
-    """Writes under the tokens it has received; it may be paused for a while, and goes on all the same."""
+    """Writes with the fencing tokens that it has received.
 
-    def __init__(self, world: World, assigner_id: int) -> None:
-        self.world = world
+    It may be paused, and continues with its old tokens when it is resumed.
+    """
+
+    def __init__(self, simulation: Simulation, assigner_id: int) -> None:
+        self.simulation = simulation
         self.assigner_id = assigner_id
         self.tokens: dict[int, int] = {}
-        self.pending: dict[int, list[PendingWrite]] = {}  # by batch
+        self.pending: dict[int, list[PendingWrite]] = {}  # Keyed by batch.
         self.batch = 0
         self.connection: Connection | None = None
         self.paused = False
-        self.unread: list[m.AnyMessage] = []  # received while it was paused
+        self.unread: list[m.AnyMessage] = []  # Messages received during a pause.
 
     def connect(self) -> None:
         hello = m.Hello(
             m.PROTOCOL_VERSION, "assigner", self.assigner_id, 0, "t", incarnation=self.assigner_id + 1
         )
-        self.connection = Connection(self.world, hello, self.on_message)
+        self.connection = Connection(self.simulation, hello, self.on_message)
 
     def pause(self) -> None:
         self.paused = True
@@ -259,30 +265,33 @@
             case m.SliceOwnerships():
                 for ownership in message.ownerships:
                     if ownership.owner_id == self.assigner_id:
-                        self.world.observe_grant(ownership)
+                        self.simulation.observe_grant(ownership)
                         self.tokens[ownership.slice_id] = ownership.fencing_token
             case m.WriteRejected(batch, slice_id, _):
                 self.pending[batch] = [w for w in self.pending.get(batch, []) if w.slice_id != slice_id]
             case m.WriteAcknowledged(batch):
                 for acknowledged in sorted(b for b in self.pending if b <= batch):
-                    self._record(self.pending.pop(acknowledged), self.world.clock.seconds())
+                    self._record(self.pending.pop(acknowledged), self.simulation.clock.seconds())
 
     def _record(self, writes: list[PendingWrite], answered_s: float) -> None:
         for w in writes:
             operation = Operation(OperationType.WRITE, w.token, w.value, w.sent_s, answered_s)
-            self.world.history[w.slice_id].append(operation)
+            self.simulation.history[w.slice_id].append(operation)
 
     def write(self) -> None:
         if not self.tokens or self.connection is None or not self.connection.open:
             return
-        rng = self.world.rng
+        rng = self.simulation.rng
         self.batch += 1
         writes = []
         for slice_id in rng.sample(sorted(self.tokens), rng.randint(1, len(self.tokens))):
-            self.world.last_value += 1
+            self.simulation.last_value += 1
             writes.append(
                 PendingWrite(
-                    slice_id, self.tokens[slice_id], self.world.last_value, self.world.clock.seconds()
+                    slice_id,
+                    self.tokens[slice_id],
+                    self.simulation.last_value,
+                    self.simulation.clock.seconds(),
                 )
             )
         self.pending[self.batch] = writes
@@ -290,9 +299,9 @@
         self.connection.send(m.WriteRequest(self.batch, weights))
 
     def disconnect(self) -> None:
-        """Its stream is lost: of the pending writes nothing will be received."""
+        """Close the stream. The pending writes never receive a response."""
         if self.connection is not None:
-            self.connection.cut()
+            self.connection.close()
         for writes in self.pending.values():
             self._record(writes, NEVER)
         self.pending = {}
@@ -305,21 +314,21 @@
 
 
 class Reader:
-    """Reads all slices, one read at a time."""
+    """Reads all slices, with one read in progress at a time."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.sent_s = 0.0  # of the read under way; 0: none
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.sent_s = 0.0  # Time at which the read in progress was sent, or 0.
         self.received: list[m.SliceOwnership] = []
         self.connection: Connection | None = None
 
     def read(self) -> None:
         if self.connection is None or not self.connection.open:
             hello = m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t")
-            self.connection = Connection(self.world, hello, self.on_message)
+            self.connection = Connection(self.simulation, hello, self.on_message)
             self.sent_s = 0.0
         if not self.sent_s:
-            self.sent_s = self.world.clock.seconds()
+            self.sent_s = self.simulation.clock.seconds()
             self.received = []
             self.connection.send(m.ReadRequest())
 
@@ -334,24 +343,26 @@
                 self.sent_s = 0.0
 
     def _record(self, ownership: m.SliceOwnership) -> None:
-        self.world.observe_grant(ownership)
+        self.simulation.observe_grant(ownership)
         value = round(ownership.entries[0].weight) if ownership.entries else 0
-        answered_s = self.world.clock.seconds()
+        answered_s = self.simulation.clock.seconds()
         operation = Operation(OperationType.READ, ownership.fencing_token, value, self.sent_s, answered_s)
-        self.world.history[ownership.slice_id].append(operation)
+        self.simulation.history[ownership.slice_id].append(operation)
 
     def forget_connection(self) -> None:
         self.connection = None
 
 
-class Play:
-    """One random course of events."""
+class RandomWorkload:
+    """A random sequence of client operations and faults."""
 
     def __init__(self, seed: int) -> None:
-        self.world = World(seed)
-        self.assigners = [Assigner(self.world, k) for k in range(self.world.assigner_count)]
-        self.reader = Reader(self.world)
-        self.events: list[tuple[Callable[[Assigner], None], float]] = [  # with their relative frequencies
+        self.simulation = Simulation(seed)
+        self.assigners = [Assigner(self.simulation, k) for k in range(self.simulation.assigner_count)]
+        self.reader = Reader(self.simulation)
+        self.events: list[
+            tuple[Callable[[Assigner], None], float]
+        ] = [  # Events and their relative frequencies.
             (Assigner.write, 12),
             (lambda _: self.reader.read(), 6),
             (Assigner.disconnect, 2),
@@ -374,58 +385,58 @@
     def restart_store(self) -> None:
         self.disconnect_assigners()
         self.reader.forget_connection()
-        self.world.kill()
-        self.world.start()
+        self.simulation.kill()
+        self.simulation.start()
         self.connect_assigners()
 
     def set_disk_full(self, full: bool) -> None:
-        self.world.engine.full = full
+        self.simulation.engine.full = full
 
     def step(self) -> None:
-        rng = self.world.rng
+        rng = self.simulation.rng
         assigner = rng.choice(self.assigners)
         calls = [call for call, _ in self.events]
         frequencies = [frequency for _, frequency in self.events]
         rng.choices(calls, frequencies)[0](assigner)
-        self.world.pass_time(rng.choice([0.02, 0.1, 0.4, 1.5]))
+        self.simulation.advance_clock(rng.choice([0.02, 0.1, 0.4, 1.5]))
 
     def final_read(self) -> None:
         self.set_disk_full(False)
         self.disconnect_assigners()
-        self.world.pass_time(SETTLING_S)
+        self.simulation.advance_clock(SETTLING_S)
         self.reader.forget_connection()
         self.reader.read()
-        self.world.pass_time(SETTLING_S)
+        self.simulation.advance_clock(SETTLING_S)
 
 
-def play(
-    seed: int, steps: int = 40, fault: Callable[[World], None] | None = None
+def run_workload(
+    seed: int, steps: int = 40, fault: Callable[[Simulation], None] | None = None
 ) -> dict[int, list[Operation]]:
-    """The operations of each slice that clients observed.
+    """Return the operations that clients observed, keyed by slice.
 
     Args:
-        seed: Determines the course of events.
-        steps: How many of them there are.
-        fault: Called before each; it may break the store, to show that the check notices.
+        seed: Seed that determines the sequence of events.
+        steps: Number of events.
+        fault: Called before each event. It may break the store to show that the check detects a fault.
     """
-    course = Play(seed)
-    course.connect_assigners()
+    workload = RandomWorkload(seed)
+    workload.connect_assigners()
     for _ in range(steps):
         if fault is not None:
-            fault(course.world)
-        course.step()
-    course.final_read()
-    return course.world.finish()
+            fault(workload.simulation)
+        workload.step()
+    workload.final_read()
+    return workload.simulation.finish()
 
 
 def failing_seeds(
-    first: int, end: int, fault: Callable[[World], None] | None = None
+    first: int, end: int, fault: Callable[[Simulation], None] | None = None
 ) -> tuple[list[int], int]:
-    """Seeds whose histories are not linearizable, and the number of operations that were checked."""
+    """Return the seeds whose histories are not linearizable, and the number of operations checked."""
     failing = []
     operation_count = 0
     for seed in range(first, end):
-        history = play(seed, fault=fault)
+        history = run_workload(seed, fault=fault)
         operation_count += sum(map(len, history.values()))
         if not all(is_linearizable(operations) for operations in history.values()):
             failing.append(seed)
--- a/tests/surviving_store_engine.py
+++ b/tests/surviving_store_engine.py
@@ -1,4 +1,4 @@
-"""A storage engine in memory that outlives the process of its store."""
+"""In-memory storage engine whose state survives restarts of the store in a test."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class SurvivingStoreEngine:
-    """A store's engine that outlives its process, and refuses while `full`."""
+    """Keeps its state when the store is restarted, and fails every commit while `full` is set."""
 
-    def __init__(self, identity: str = "t") -> None:
-        self.image, self.full = StoreSnapshot(identity), False
+    def __init__(self, store_id: str = "t") -> None:
+        self.snapshot, self.full = StoreSnapshot(store_id), False
 
     def load(self) -> StoreSnapshot:
-        return self.image
+        return self.snapshot
 
-    def commit(self, change: Commit) -> None:
+    def commit(self, commit: Commit) -> None:
         if self.full:
-            raise StoreError("no space left")
-        self.image.revision, self.image.highest_token = change.revision, change.highest_token
-        self.image.slices |= {s.slice_id: s for s in change.slices}
-        self.image.slice_revisions |= {s.slice_id: change.revision for s in change.slices}
-        self.image.zone_commands |= {h.zone: h for h in change.zone_commands}
+            raise StoreError("commit failed: no space left")
+        self.snapshot.revision, self.snapshot.highest_token = commit.revision, commit.highest_token
+        self.snapshot.slices |= {stored.slice_id: stored for stored in commit.slices}
+        self.snapshot.slice_revisions |= {stored.slice_id: commit.revision for stored in commit.slices}
+        self.snapshot.zone_commands |= {command.zone: command for command in commit.zone_commands}
 
     def backup(self, _path: str) -> int:
-        raise StoreError("not in tests")
+        raise StoreError("backup is not supported by this test engine")
 
     def renew_lease(self) -> None:
         pass
@@ -35,5 +35,5 @@
         pass
 
 
-def copied(image: StoreSnapshot) -> StoreSnapshot:
-    return msgspec.convert(msgspec.to_builtins(image), StoreSnapshot)
+def copy_snapshot(snapshot: StoreSnapshot) -> StoreSnapshot:
+    return msgspec.convert(msgspec.to_builtins(snapshot), StoreSnapshot)
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""One suite for both storage engines, and the faults of an etcd cluster (against the emulator)."""
+"""Tests that both storage engines must pass, and tests of etcd cluster faults against the emulator."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from puffintide.store.sqlite import SqliteEngine
 from tests.peers import PORTS, dial, process
 
-Open = Callable[[], StorageEngine]
+EngineOpener = Callable[[], StorageEngine]
 
 
 class Clock:
@@ -30,10 +30,10 @@
 @pytest.fixture
 def etcd() -> Iterator[Etcd]:
     clock = Clock()
-    made = Etcd(clock)
-    made.port = made.serve()  # type: ignore[attr-defined]
-    yield made
-    made.stop()
+    emulator = Etcd(clock)
+    emulator.port = emulator.serve()  # type: ignore[attr-defined]
+    yield emulator
+    emulator.stop()
 
 
 def etcd_engine(etcd: Etcd, ttl_s: int = 10) -> EtcdEngine:
@@ -41,7 +41,7 @@
 
 
 @pytest.fixture(params=["sqlite", "etcd"])
-def open_engine(request: pytest.FixtureRequest, tmp_path: Path) -> Open:
+def open_engine(request: pytest.FixtureRequest, tmp_path: Path) -> EngineOpener:
     if request.param == "sqlite":
         return lambda: SqliteEngine(str(tmp_path / "store.db"))
     etcd = request.getfixturevalue("etcd")
@@ -56,10 +56,10 @@
 
 
 def by_slice(stored: tuple[StoredSlice, ...]) -> dict[int, StoredSlice]:
-    return {one.slice_id: one for one in stored}
+    return {row.slice_id: row for row in stored}
 
 
-def test_commits_are_loaded_after_a_restart(open_engine: Open) -> None:
+def test_commits_are_loaded_after_a_restart(open_engine: EngineOpener) -> None:
     engine = open_engine()
     snapshot = engine.load()
     assert (snapshot.revision, snapshot.slices, snapshot.zone_commands) == (0, {}, {})
@@ -67,18 +67,18 @@
     engine.commit(Commit(2, 6, slices_at(range(3), 2), (m.ZoneCommand(1, "hold", 1.0, "me", 1),)))
     engine.renew_lease()
     engine.close()
-    again = open_engine()
-    found = again.load()
-    assert found.store_id == snapshot.store_id
-    assert (found.revision, found.highest_token) == (2, 6)
-    assert found.slices == by_slice(slices_at(range(30), 1) + slices_at(range(3), 2))
-    assert found.slice_revisions == {n: 2 if n < 3 else 1 for n in range(30)}
-    assert found.zone_commands[1].operator == "me"
-    again.commit(Commit(3, 7, slices_at(range(1), 3)))
-    again.close()
-
-
-def test_large_commit_is_loaded_after_a_restart(open_engine: Open) -> None:
+    reopened = open_engine()
+    loaded = reopened.load()
+    assert loaded.store_id == snapshot.store_id
+    assert (loaded.revision, loaded.highest_token) == (2, 6)
+    assert loaded.slices == by_slice(slices_at(range(30), 1) + slices_at(range(3), 2))
+    assert loaded.slice_revisions == {n: 2 if n < 3 else 1 for n in range(30)}
+    assert loaded.zone_commands[1].operator == "me"
+    reopened.commit(Commit(3, 7, slices_at(range(1), 3)))
+    reopened.close()
+
+
+def test_large_commit_is_loaded_after_a_restart(open_engine: EngineOpener) -> None:
     engine = open_engine()
     engine.load()
     engine.commit(Commit(1, 1, slices_at(range(3000), 1)))
@@ -88,14 +88,14 @@
     engine.commit(Commit(2, 2, slices_at(range(5), 2)))
     engine.close()
     engine = open_engine()
-    found = engine.load()
-    assert found.slices == by_slice(slices_at(range(3000), 1) + slices_at(range(5), 2))
-    assert found.slice_revisions[4] == 2
-    assert found.slice_revisions[5] == 1
+    loaded = engine.load()
+    assert loaded.slices == by_slice(slices_at(range(3000), 1) + slices_at(range(5), 2))
+    assert loaded.slice_revisions[4] == 2
+    assert loaded.slice_revisions[5] == 1
     engine.close()
 
 
-def test_second_engine_on_the_same_storage_is_rejected(open_engine: Open) -> None:
+def test_second_engine_on_the_same_storage_is_rejected(open_engine: EngineOpener) -> None:
     engine = open_engine()
     engine.load()
     with pytest.raises(StoreInUseError, match="in use by another store process"):
@@ -110,7 +110,7 @@
     etcd.clock.now += seconds
 
 
-def test_engine_paused_beyond_its_lease_is_overtaken_by_the_next(etcd: Etcd) -> None:
+def test_engine_paused_beyond_its_lease_is_superseded_by_the_next(etcd: Etcd) -> None:
     first = etcd_engine(etcd)
     first.load()
     first.commit(Commit(1, 1, slices_at(range(2), 1)))
@@ -128,12 +128,12 @@
 def stored_slices(etcd: Etcd, engine: EtcdEngine) -> dict[int, StoredSlice]:
     engine.close()
     other = etcd_engine(etcd)
-    found = other.load().slices
+    loaded = other.load().slices
     other.close()
-    return found
+    return loaded
 
 
-def test_expired_lease_is_acquired_anew_when_no_other_store_came(etcd: Etcd) -> None:
+def test_expired_lease_is_acquired_again_if_no_other_store_holds_it(etcd: Etcd) -> None:
     engine = etcd_engine(etcd)
     engine.load()
     advance(etcd, 30)
@@ -149,40 +149,42 @@
     engine = etcd_engine(etcd)
     engine.load()
     engine.commit(Commit(1, 1, slices_at(range(5), 1)))
-    for lost in (1, 2):
-        etcd.faults.lose_responses = lost
-        engine.commit(Commit(1 + lost, lost, slices_at(range(rows), 1 + lost)))
-    found = stored_slices(etcd, engine)
-    assert found == by_slice(slices_at(range(5), 1) + slices_at(range(rows), 3))
+    for lost_responses in (1, 2):
+        etcd.faults.lose_responses = lost_responses
+        engine.commit(Commit(1 + lost_responses, lost_responses, slices_at(range(rows), 1 + lost_responses)))
+    loaded = stored_slices(etcd, engine)
+    assert loaded == by_slice(slices_at(range(5), 1) + slices_at(range(rows), 3))
 
 
-@pytest.mark.parametrize("after", range(1, 12))
-def test_interrupted_staged_commit_is_loaded_in_full_or_not_at_all(etcd: Etcd, after: int) -> None:
+@pytest.mark.parametrize("transaction_limit", range(1, 12))
+def test_interrupted_staged_commit_is_loaded_in_full_or_not_at_all(
+    etcd: Etcd, transaction_limit: int
+) -> None:
     engine = etcd_engine(etcd)
     engine.load()
     engine.commit(Commit(1, 1, slices_at(range(450), 1)))
     engine.commit(Commit(2, 2, slices_at(range(1), 2)))
-    begun = etcd.transactions
+    transactions_before = etcd.transactions
 
     class ConnectionCutError(Exception):
         pass
 
-    put = etcd._execute
+    execute = etcd._execute
 
-    def cut(operation: object) -> object:
-        if etcd.transactions - begun > after:
+    def fail_after_limit(operation: object) -> object:
+        if etcd.transactions - transactions_before > transaction_limit:
             etcd.faults.no_leader = True
             raise ConnectionCutError
-        return put(operation)  # type: ignore[arg-type]
+        return execute(operation)  # type: ignore[arg-type]
 
-    etcd._execute = cut  # type: ignore[method-assign, assignment]
+    etcd._execute = fail_after_limit  # type: ignore[method-assign, assignment]
     acknowledged = True
     try:
         engine.commit(Commit(3, 3, slices_at(range(450), 3)))
         engine.commit(Commit(4, 4, slices_at(range(2), 4)))
     except StoreError:
         acknowledged = False
-    etcd._execute = put  # type: ignore[method-assign]
+    etcd._execute = execute  # type: ignore[method-assign]
     etcd.faults.no_leader = False
     advance(etcd, 30)
     other = etcd_engine(etcd)
@@ -210,7 +212,7 @@
     etcd.faults.no_space = False
     engine.commit(Commit(2, 2, slices_at(range(2), 2)))
     engine.close()
-    etcd.faults.compacted_revision = 1 << 40  # the second page of each reading
+    etcd.faults.compacted_revision = 1 << 40  # Rejects the second page of each read.
     other = etcd_engine(etcd)
     with pytest.raises(StoreError, match="compacted in each of 3 attempts"):
         other.load()
@@ -219,46 +221,52 @@
 
 
 def test_next_member_is_called_when_one_is_unreachable(etcd: Etcd) -> None:
-    gone = PORTS.take()
-    engine = EtcdEngine([f"127.0.0.1:{gone}", f"127.0.0.1:{etcd.port}"], "t")  # type: ignore[attr-defined]
+    unreachable_port = PORTS.take()
+    engine = EtcdEngine([f"127.0.0.1:{unreachable_port}", f"127.0.0.1:{etcd.port}"], "t")  # type: ignore[attr-defined]
     engine.load()
     engine.commit(Commit(1, 1, slices_at(range(2), 1)))
     assert stored_slices(etcd, engine) == by_slice(slices_at(range(2), 1))
 
 
 def test_second_store_process_takes_over_from_a_paused_one(etcd: Etcd, tmp_path: Path) -> None:
-    """The first is paused beyond its lease, a second begins, and the first ends itself once it goes on."""
+    """A second store starts while the first is paused beyond its lease; the first exits when it is resumed."""
     section = {"listen": f"127.0.0.1:{PORTS.take()}", "etcd": f"127.0.0.1:{etcd.port}"}  # type: ignore[attr-defined]
     with process(tmp_path, "store", section) as first:
         port = int(section["listen"].split(":")[1])
-        line = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 0, 0, "t", incarnation=1))
-        given = line.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships
-        mine = next(c for c in given if c.owner_id == 0)
-        line.send(
-            m.WriteRequest(1, [m.WeightEntry(mine.slice_id, 4, 1.0, mine.fencing_token, "127.0.0.1:9")])
+        connection = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 0, 0, "t", incarnation=1))
+        granted = connection.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships
+        own_slice = next(o for o in granted if o.owner_id == 0)
+        connection.send(
+            m.WriteRequest(
+                1, [m.WeightEntry(own_slice.slice_id, 4, 1.0, own_slice.fencing_token, "127.0.0.1:9")]
+            )
         )
-        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
+        connection.until(lambda x: isinstance(x, m.WriteAcknowledged))
         etcd.faults.no_leader = True
-        line.send(
-            m.WriteRequest(2, [m.WeightEntry(mine.slice_id, 5, 1.0, mine.fencing_token, "127.0.0.1:9")])
+        connection.send(
+            m.WriteRequest(
+                2, [m.WeightEntry(own_slice.slice_id, 5, 1.0, own_slice.fencing_token, "127.0.0.1:9")]
+            )
         )
         with pytest.raises(TimeoutError):
-            line.until(lambda x: isinstance(x, m.WriteAcknowledged), 1.0)  # not kept, so not told
+            # A write that is not durable is not acknowledged.
+            connection.until(lambda x: isinstance(x, m.WriteAcknowledged), 1.0)
         etcd.faults.no_leader = False
-        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
-        first.send_signal(
-            signal.SIGSTOP
-        )  # else its next beat may take the lease anew before the second is up
+        connection.until(lambda x: isinstance(x, m.WriteAcknowledged))
+        # Without the pause, its next renewal could acquire the lease again before the second store is up.
+        first.send_signal(signal.SIGSTOP)
         advance(etcd, 30)
         second = dict(section, listen=f"127.0.0.1:{PORTS.take()}")
         folder = tmp_path / "second"
         folder.mkdir()
-        end = time.monotonic() + 20
+        deadline = time.monotonic() + 20
         with process(folder, "store", second):
             first.send_signal(signal.SIGCONT)
-            assert first.wait(max(1.0, end - time.monotonic())) == 2
+            assert first.wait(max(1.0, deadline - time.monotonic())) == 2
             other = dial(int(second["listen"].split(":")[1]), m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
             other.until(lambda x: isinstance(x, m.Welcome))
             other.send(m.ReadRequest())
-            kept = other.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships
-            assert {h.server_id for c in kept if c.slice_id == mine.slice_id for h in c.entries} == {4, 5}
+            ownerships = other.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships
+            assert {
+                entry.server_id for o in ownerships if o.slice_id == own_slice.slice_id for entry in o.entries
+            } == {4, 5}
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Histories of the store service under kills, pauses and slow disks are linearizable, and the check can fail."""
+"""Tests that store histories under kills, pauses and slow disks are linearizable, with negative controls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from puffintide.audit.linearizability import Operation, OperationType, is_linearizable
 from puffintide.protocol import messages as m
 from puffintide.store.ownership import OwnershipLedger
-from tests.store_histories import NEVER, World, failing_seeds
+from tests.store_histories import NEVER, Simulation, failing_seeds
 
 
 def op(kind: OperationType, token: int, value: int, sent_s: float, answered_s: float) -> Operation:
@@ -34,7 +34,7 @@
                 op(OperationType.READ, 1, 0, 4, 5),
             ],
             False,
-        ),  # lost
+        ),  # An acknowledged write is lost.
         (
             [
                 op(OperationType.GIVE, 1, 0, 0, 1),
@@ -53,7 +53,7 @@
             ],
             False,
         ),
-        # A former owner's write after the next owner has been notified.
+        # A previous owner's write succeeds after the next owner has been notified.
         (
             [
                 op(OperationType.GIVE, 1, 0, 0, 1),
@@ -73,7 +73,7 @@
         (
             [op(OperationType.GIVE, 2, 0, 0, 1), op(OperationType.GIVE, 1, 0, 2, 3)],
             False,
-        ),  # a token that comes again
+        ),  # A token is issued again.
         (
             [
                 op(OperationType.GIVE, 1, 0, 0, 1),
@@ -104,21 +104,21 @@
     assert operation_count > 2000
 
 
-def reissue_tokens(world: World) -> None:
-    """As if tokens began again at a start."""
-    if world.service.ledger.highest_token > 12:
-        world.service.ledger.highest_token = 0
+def reissue_tokens(simulation: Simulation) -> None:
+    """Simulate a store that issues its fencing tokens again from 1."""
+    if simulation.service.ledger.highest_token > 12:
+        simulation.service.ledger.highest_token = 0
 
 
-def acknowledge_before_commit(world: World) -> None:
-    """As if writes were acknowledged before they are durable."""
-    for stream, batch in list(world.service.commits.pending.waiting.writers.items()):
+def acknowledge_before_commit(simulation: Simulation) -> None:
+    """Simulate a store that acknowledges writes before they are durable."""
+    for stream, batch in list(simulation.service.commits.pending.waiting.writers.items()):
         stream.send(m.WriteAcknowledged(batch, 0))
 
 
-def ignore_fencing_tokens(world: World) -> None:
-    """As if every token were the present one."""
-    ledger = world.service.ledger
+def ignore_fencing_tokens(simulation: Simulation) -> None:
+    """Simulate a store that accepts every fencing token as the current one."""
+    ledger = simulation.service.ledger
 
     def unfenced_write(_writer_id: int, weights: Sequence[m.WeightEntry], batch: int = 0) -> dict[int, str]:
         rejections: dict[int, str] = {}
@@ -132,6 +132,6 @@
 
 
 @pytest.mark.parametrize("fault", [reissue_tokens, ignore_fencing_tokens, acknowledge_before_commit])
-def test_check_notices_a_faulty_store(fault: Callable[[World], None]) -> None:
+def test_check_detects_a_faulty_store(fault: Callable[[Simulation], None]) -> None:
     failing, _ = failing_seeds(0, 25, fault)
     assert failing
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""The ownership ledger: homes, leases, tenures and restored snapshots."""
+"""Tests of the ownership ledger: homes, leases, tenures and restored snapshots."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RunningLedger:
-    """A ledger on a clock that counts how often each slice changed its owner."""
+    """Ledger with a simulated clock that counts the owner changes of each slice."""
 
     def __init__(self) -> None:
         self.ledger = OwnershipLedger(SLICES, ASSIGNERS, 2.0, False, opened_at_s=99.0, max_transfers_per_s=10)
@@ -25,8 +25,8 @@
         for transfer in transfers:
             self.owner_changes[transfer.slice_id] += transfer.previous_owner_id != transfer.new_owner_id
 
-    def pass_time(self, seconds: float) -> list[int]:
-        """The number of transfers in each tick."""
+    def advance_clock(self, seconds: float) -> list[int]:
+        """Advance the clock, and return the number of transfers in each tick."""
         transfer_counts = []
         for _ in range(round(seconds * TICKS_PER_S)):
             self.now_s += 1 / TICKS_PER_S
@@ -41,20 +41,24 @@
     ledger = running.ledger
     for assigner_id in range(ASSIGNERS):
         ledger.assigner_connected(running.now_s, assigner_id)
-    running.pass_time(5)
+    running.advance_clock(5)
     for assigner_id in range(ASSIGNERS):
         ledger.assigner_disconnected(running.now_s, assigner_id)
-        assert sum(running.pass_time(3)) == 30  # all at once, as nobody owns them
+        assert sum(running.advance_clock(3)) == 30  # Not rate limited, as the owner's lease has expired.
         running.count(ledger.assigner_connected(running.now_s, assigner_id, incarnation=2))
-        returned = running.pass_time(6)
+        returned = running.advance_clock(6)
         assert 25 <= sum(returned) <= 30
         assert all(sum(returned[tick : tick + TICKS_PER_S]) <= 13 for tick in range(50))
     assert max(running.owner_changes.values()) <= 2
     assert all(ledger.slices[slice_id].owner_id == slice_id % ASSIGNERS for slice_id in range(SLICES))
 
 
-def test_reconnected_store_does_not_take_back_newer_weights_of_the_same_incarnation() -> None:
-    """The assigner updated the proxy while the store was away: the proxy's weights are newer than the store's."""
+def test_reconnected_store_does_not_revert_newer_weights_of_the_same_incarnation() -> None:
+    """A proxy's weights are newer than the store's if the assigner updated it while the store was away.
+
+    If the incarnation has changed, the assigner has lost its updates, and the store's table replaces the
+    weights.
+    """
     tables = WeightTables(2, 0, "rotate", lambda: 0.5)
     ledger = OwnershipLedger(2, 1, 2.0, False)
     ledger.assigner_connected(0.0, 0, incarnation=7)
@@ -70,14 +74,12 @@
     weights = [m.WeightEntry(0, 5, 1.0, token, "a:2"), m.WeightEntry(0, 4, 0.0, token)]
     tables.apply_update(0, m.ProxyUpdate(5, 0.0, 1.0, weights))
     ledger.assigner_disconnected(1.0, 0)
-    ledger.assigner_connected(1.5, 0, incarnation=7)  # the same incarnation: its tenure goes on
+    ledger.assigner_connected(1.5, 0, incarnation=7)  # The same incarnation continues its tenure.
     tables.apply_ownership(stored_ownership(0))
     assert tables.slices[0].weights == {5: 1.0}
     assert tables.slices[0].fencing_token == ledger.slices[0].fencing_token
     ledger.assigner_disconnected(2.0, 0)
-    ledger.assigner_connected(
-        2.5, 0, incarnation=8
-    )  # it has lost its updates: the store's table holds for all
+    ledger.assigner_connected(2.5, 0, incarnation=8)  # A new incarnation has lost its updates.
     tables.apply_ownership(stored_ownership(0))
     assert tables.slices[0].weights == {4: 1.0}
 
--- a/tests/test_sqlite.py
+++ b/tests/test_sqlite.py
@@ -1,4 +1,4 @@
-"""The SQLite engine: power cuts, damage, a full disk, other files in its place, and restored backups."""
+"""Tests of the SQLite engine: power cuts, damaged files, a full disk, invalid files and restored backups."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 VFS = DiskVfs("puffintide-test", Disk())
 SLICES = 60
-LAST_REVISION = 29  # of the file fixture
+LAST_REVISION = 29  # Last revision in the `file` fixture.
 
 
 def stored_slice(slice_id: int, token: int) -> StoredSlice:
@@ -37,7 +37,7 @@
 
 
 def commit_at(revision: int) -> Commit:
-    """A commit that depends on its revision alone."""
+    """Return a commit whose content depends on its revision only."""
     rng = random.Random(revision)
     slice_ids = sorted(rng.sample(range(SLICES), rng.randint(1, 25)))
     has_command = rng.random() < 0.2
@@ -47,7 +47,7 @@
 
 
 def state_at(last_revision: int) -> tuple[dict[int, StoredSlice], dict[int, m.ZoneCommand]]:
-    """Slices and zone commands after all commits up to a revision."""
+    """Return the slices and zone commands after all commits up to a revision."""
     slices: dict[int, StoredSlice] = {}
     commands: dict[int, m.ZoneCommand] = {}
     for revision in range(1, last_revision + 1):
@@ -63,13 +63,17 @@
 
 
 def run_until_cut(cut_at_operation: int, commits: int = 40) -> tuple[Disk, int, int]:
-    """The disk when the power was cut, the last revision acknowledged, and the last one attempted."""
+    """Commit until the power is cut.
+
+    Returns:
+        The disk when the power was cut, the last acknowledged revision, and the last attempted revision.
+    """
     disk = Disk()
     disk.cut_at_operation = cut_at_operation
     acknowledged = attempted = 0
     with contextlib.suppress(PowerCutError, StoreError):
         engine = open_on(disk)
-        engine.db.pragma("wal_autocheckpoint", 30)  # so that the log is folded into the file now and then
+        engine.db.pragma("wal_autocheckpoint", 30)  # Checkpoints often enough that power cuts hit them.
         for attempted in range(1, commits + 1):
             engine.commit(commit_at(attempted))
             acknowledged = attempted
@@ -81,24 +85,24 @@
     engine = open_on(disk.after_power_cut(random.Random(seed)))
     assert engine.problems() == []
     snapshot = engine.load()
-    assert acknowledged <= snapshot.revision <= attempted  # the last one may be durable, and is then complete
+    assert acknowledged <= snapshot.revision <= attempted  # If durable, the last commit is complete.
     assert (snapshot.slices, snapshot.zone_commands) == state_at(snapshot.revision)
-    engine.commit(commit_at(snapshot.revision + 1))  # and the store goes on
+    engine.commit(commit_at(snapshot.revision + 1))  # The store accepts further commits.
 
 
-def test_power_cut_at_any_operation_loses_no_acknowledged_commit_and_tears_none() -> None:
-    cases = 0
+def test_power_cut_at_any_operation_loses_no_acknowledged_commit_and_leaves_none_incomplete() -> None:
+    case_count = 0
     for cut_at_operation in range(1, 500, 5):
         disk, acknowledged, attempted = run_until_cut(cut_at_operation)
         for seed in range(3):
             check_after_cut(disk, acknowledged, attempted, seed)
-            cases += 1
-    assert cases == 300
+            case_count += 1
+    assert case_count == 300
 
 
 def test_without_syncs_a_power_cut_loses_acknowledged_commits() -> None:
-    """The test above can fail."""
-    lost = 0
+    """Shows that the power cut test can fail: without syncs, acknowledged commits are lost."""
+    lossy_count = 0
     for seed in range(10):
         disk = Disk()
         engine = open_on(disk)
@@ -106,18 +110,18 @@
         for revision in range(1, 10):
             engine.commit(commit_at(revision))
         with contextlib.suppress(StoreError):
-            lost += open_on(disk.after_power_cut(random.Random(seed))).load().revision < 9
-    assert lost > 0
+            lossy_count += open_on(disk.after_power_cut(random.Random(seed))).load().revision < 9
+    assert lossy_count > 0
 
 
 def commit_until_full(engine: SqliteEngine, first_revision: int) -> tuple[int, StoreFullError]:
-    """Commits until one fails for lack of space; returns its revision and error."""
+    """Commit until one fails because the disk is full; return its revision and error."""
     for revision in range(first_revision, 500):
         try:
             engine.commit(commit_at(revision))
         except StoreFullError as error:
             return revision, error
-    raise AssertionError("the disk did not fill")
+    raise AssertionError("no commit failed, so the disk did not become full")
 
 
 def test_full_disk_keeps_earlier_commits_and_the_failed_one_can_be_retried() -> None:
@@ -140,7 +144,7 @@
 
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
-    """A store's file of LAST_REVISION commits."""
+    """Return the path of a store file with LAST_REVISION commits."""
     path = tmp_path / "store.db"
     engine = SqliteEngine(str(path))
     for revision in range(1, LAST_REVISION + 1):
@@ -149,11 +153,11 @@
     return path
 
 
-def test_flipped_bit_is_reported_with_its_place_and_the_store_does_not_start(file: Path) -> None:
+def test_flipped_bit_is_reported_with_its_slice_and_the_store_does_not_start(file: Path) -> None:
     assert run_command("store", "verify", str(file)).returncode == 0
     data = bytearray(file.read_bytes())
-    at = data.index(b"127.0.0.1:9000")
-    data[at + 3] ^= 4
+    offset = data.index(b"127.0.0.1:9000")
+    data[offset + 3] ^= 4
     file.write_bytes(data)
     verified = run_command("store", "verify", str(file))
     assert verified.returncode == 1
@@ -174,7 +178,7 @@
 
 def test_other_files_newer_formats_and_files_in_use_are_rejected(file: Path, tmp_path: Path) -> None:
     other = tmp_path / "other"
-    other.write_bytes(b"no store at all, but long enough to look at" * 50)
+    other.write_bytes(b"not a store database, but long enough to check" * 50)
     with pytest.raises(StoreFormatError, match="is not a store database"):
         SqliteEngine(str(other))
     shutil.copy(file, tmp_path / "newer.db")
@@ -199,7 +203,7 @@
         engine.backup(str(backup))
     engine.commit(commit_at(LAST_REVISION + 1))
     with pytest.raises(StoreInUseError, match="in use by another store process"):
-        restore_backup(str(backup), str(file))  # the store runs
+        restore_backup(str(backup), str(file))  # The store is running.
     engine.close()
     restored = restore_backup(str(backup), str(file))
     assert restored.slices == before.slices
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -1,4 +1,4 @@
-"""The store in a process of its own: kills, reads, stale copies, operators' commands, and resent writes."""
+"""Tests of the store in its own process: kills, reads, stale copies, operator commands and resent writes."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 pytestmark = pytest.mark.processes
 
-ASSIGNER_SLICES = 4  # that each of the two assigners owns
+ASSIGNER_SLICES = 4  # Number of slices that each of the two assigners owns.
 
 
-class StoreSetting:
-    """A store on a file, which can be started again and again, and peers of it."""
+class FileStore:
+    """File-backed store that can be restarted, with helpers that connect peers to it."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -44,7 +44,7 @@
     def connect_assigner(
         self, assigner_id: int = 0, highest_token: int = 0, incarnation: int = 1
     ) -> tuple[Line, dict[int, m.SliceOwnership]]:
-        """The assigner's connection and what it owns."""
+        """Connect an assigner, and return its connection and the slices that it owns."""
         hello = m.Hello(
             m.PROTOCOL_VERSION,
             "assigner",
@@ -54,30 +54,30 @@
             incarnation=incarnation,
             highest_token=highest_token,
         )
-        line = dial(self.port, hello)
+        connection = dial(self.port, hello)
         owned: dict[int, m.SliceOwnership] = {}
         while len(owned) < ASSIGNER_SLICES:
-            message = line.until(lambda x: isinstance(x, m.SliceOwnerships))
+            message = connection.until(lambda x: isinstance(x, m.SliceOwnerships))
             owned |= {o.slice_id: o for o in message.ownerships if o.owner_id == assigner_id}
-        return line, owned
+        return connection, owned
 
     def read(
         self, since_revision: int = -1, store_id: str = ""
     ) -> tuple[dict[int, m.SliceOwnership], m.ReadComplete]:
-        """A proxy's read of the store."""
-        line = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
-        line.until(lambda x: isinstance(x, m.Welcome))
-        line.send(m.ReadRequest(since_revision, store_id))
+        """Read the store as a proxy does."""
+        connection = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
+        connection.until(lambda x: isinstance(x, m.Welcome))
+        connection.send(m.ReadRequest(since_revision, store_id))
         ownerships: dict[int, m.SliceOwnership] = {}
         while True:
-            message = line.until(lambda x: isinstance(x, m.SliceOwnerships | m.ReadComplete))
+            message = connection.until(lambda x: isinstance(x, m.SliceOwnerships | m.ReadComplete))
             if isinstance(message, m.ReadComplete):
-                line.close()
+                connection.close()
                 return ownerships, message
             ownerships |= {o.slice_id: o for o in message.ownerships}
 
     def operator_config(self) -> list[str]:
-        """Command line arguments that name the store to an operator's command."""
+        """Return the command line arguments that point an operator command to the store."""
         path = self.folder / "operator.ini"
         path.write_text(
             "[deployment]\nname = t\nzones = a, b\nproxies = 3\nslices = 8\nassigners = 2\n"
@@ -87,12 +87,12 @@
 
 
 @pytest.fixture
-def setting(tmp_path: Path) -> StoreSetting:
-    return StoreSetting(tmp_path)
+def file_store(tmp_path: Path) -> FileStore:
+    return FileStore(tmp_path)
 
 
 def batch_server(batch: int) -> int:
-    """The server whose weight a batch sets; its address tells the batch."""
+    """Return the server whose weight a batch sets. The server's address identifies the batch."""
     return batch % 50
 
 
@@ -100,37 +100,37 @@
     return f"127.0.0.1:{9000 + batch % 1000}"
 
 
-def write(line: Line, owned: dict[int, m.SliceOwnership], batch: int) -> None:
+def write(connection: Line, owned: dict[int, m.SliceOwnership], batch: int) -> None:
     weights = [
         m.WeightEntry(slice_id, batch_server(batch), 1.0, ownership.fencing_token, batch_address(batch))
         for slice_id, ownership in sorted(owned.items())
     ]
-    line.send(m.WriteRequest(batch, weights))
+    connection.send(m.WriteRequest(batch, weights))
 
 
 def acknowledged_batch(message: Any, otherwise: int) -> int:
     return message.batch if isinstance(message, m.WriteAcknowledged) else otherwise
 
 
-def test_no_kill_loses_an_acknowledged_write(setting: StoreSetting) -> None:
+def test_killing_the_store_loses_no_acknowledged_write(file_store: FileStore) -> None:
     batch = 0
     for pause_s in (0.0, 0.003, 0.011, 0.05):
-        with setting.running() as running:
-            line, owned = setting.connect_assigner(incarnation=batch)
+        with file_store.running() as running:
+            connection, owned = file_store.connect_assigner(incarnation=batch)
             acknowledged = first = batch
             end = time.monotonic() + 0.4 + pause_s
             while time.monotonic() < end:
                 batch += 1
-                write(line, owned, batch)
-                while not line.came.empty():
-                    acknowledged = acknowledged_batch(line.read(), acknowledged)
+                write(connection, owned, batch)
+                while not connection.came.empty():
+                    acknowledged = acknowledged_batch(connection.read(), acknowledged)
             running.kill()
             with contextlib.suppress(TimeoutError):
-                while (message := line.read(2.0)) is not None:
+                while (message := connection.read(2.0)) is not None:
                     acknowledged = acknowledged_batch(message, acknowledged)
         assert acknowledged > first
-        with setting.running():
-            stored, _ = setting.read()
+        with file_store.running():
+            stored, _ = file_store.read()
         for slice_id in owned:
             last = stored[slice_id].batch
             assert acknowledged <= last <= batch
@@ -139,47 +139,47 @@
             assert expected.items() <= addresses.items()
 
 
-def test_read_continues_from_a_known_revision_of_the_same_store_only(setting: StoreSetting) -> None:
-    with setting.running():
-        line, owned = setting.connect_assigner()
-        everything, end = setting.read()
-        assert set(everything) == set(owned)  # nobody has owned the others yet
-        write(line, {0: owned[0]}, 1)
-        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
-        changed, later = setting.read(end.revision, end.store_id)
+def test_read_continues_from_a_known_revision_of_the_same_store_only(file_store: FileStore) -> None:
+    with file_store.running():
+        connection, owned = file_store.connect_assigner()
+        all_slices, end = file_store.read()
+        assert set(all_slices) == set(owned)  # The other slices have had no owner yet.
+        write(connection, {0: owned[0]}, 1)
+        connection.until(lambda x: isinstance(x, m.WriteAcknowledged))
+        changed, later = file_store.read(end.revision, end.store_id)
         assert set(changed) == {0}
         assert later.revision > end.revision
         of_another_store = (end.revision, "another")
         from_the_future = (later.revision + 100, end.store_id)
         for since_revision, store_id in (of_another_store, from_the_future):
-            assert set(setting.read(since_revision, store_id)[0]) == set(owned)
+            assert set(file_store.read(since_revision, store_id)[0]) == set(owned)
 
 
-def test_old_copy_in_place_of_a_store_is_detected_and_its_tokens_are_superseded(
-    setting: StoreSetting, tmp_path: Path
+def test_old_copy_of_a_store_file_is_detected_and_its_tokens_are_superseded(
+    file_store: FileStore, tmp_path: Path
 ) -> None:
-    with setting.running():
-        setting.connect_assigner()
-    shutil.copy(setting.file, tmp_path / "old")
-    with setting.running():
-        line, owned = setting.connect_assigner(incarnation=2)
-        write(line, owned, 5)
-        line.until(lambda x: isinstance(x, m.WriteAcknowledged))
+    with file_store.running():
+        file_store.connect_assigner()
+    shutil.copy(file_store.file, tmp_path / "old")
+    with file_store.running():
+        connection, owned = file_store.connect_assigner(incarnation=2)
+        write(connection, owned, 5)
+        connection.until(lambda x: isinstance(x, m.WriteAcknowledged))
     highest_token = max(ownership.fencing_token for ownership in owned.values())
     for path in tmp_path.glob("kept.db*"):
         path.unlink()
-    shutil.copy(tmp_path / "old", setting.file)
-    with setting.running():
-        _, again = setting.connect_assigner(highest_token=highest_token, incarnation=2)
-        assert min(ownership.fencing_token for ownership in again.values()) > highest_token
+    shutil.copy(tmp_path / "old", file_store.file)
+    with file_store.running():
+        _, reissued_grants = file_store.connect_assigner(highest_token=highest_token, incarnation=2)
+        assert min(ownership.fencing_token for ownership in reissued_grants.values()) > highest_token
     assert "stale_store_detected" in (tmp_path / "store.log").read_text()
 
 
-def test_operator_migrates_slices_and_writes_backups(setting: StoreSetting, tmp_path: Path) -> None:
-    with setting.running():
-        config = setting.operator_config()
-        setting.connect_assigner(0)
-        other, _ = setting.connect_assigner(1)
+def test_operator_migrates_slices_and_writes_backups(file_store: FileStore, tmp_path: Path) -> None:
+    with file_store.running():
+        config = file_store.operator_config()
+        file_store.connect_assigner(0)
+        other, _ = file_store.connect_assigner(1)
         assert run_command("charge", "move", "0,2-4", "1", *config).returncode == 0
         migrated: set[int] = set()
         while not {0, 2, 4} <= migrated:
@@ -194,13 +194,13 @@
         for name in ("monday", "../monday", ".x"):
             assert run_command("store", "backup", name, *config).returncode == 2
     assert run_command("store", "verify", str(tmp_path / "monday")).returncode == 0
-    with setting.running():  # the migration is durable
-        stored, _ = setting.read()
+    with file_store.running():  # The migration is durable.
+        stored, _ = file_store.read()
         assert {slice_id for slice_id, o in stored.items() if o.owner_id == 0} == {6}
 
 
 def reissued(ownerships: list[m.SliceOwnership], token_increment: int) -> m.SliceOwnerships:
-    """The same ownerships under later tokens."""
+    """Return the same ownerships with later fencing tokens."""
     return m.SliceOwnerships(
         [
             msgspec.structs.replace(ownership, fencing_token=ownership.fencing_token + token_increment)
@@ -210,7 +210,7 @@
 
 
 def apply_write(ownerships: list[m.SliceOwnership], write: m.WriteRequest) -> list[m.SliceOwnership]:
-    """The ownerships with the tables that a store has after a write."""
+    """Return the ownerships with the tables that a store has after a write."""
     ledger = OwnershipLedger(8, 1, 1.0, False)
     ledger.load_tables({ownership.slice_id: ownership.entries for ownership in ownerships})
     for record in ledger.slices.values():
@@ -236,8 +236,9 @@
         ]
         store.send(m.SliceOwnerships(granted))
         time.sleep(0.5)
-        endpoint_list.send(m.WatchEvent("delta", 2, servers(2)[:1]))  # server 0 drains: all slices leave it
-        lost = store.until(lambda x: isinstance(x, m.WriteRequest))  # and is never acknowledged
+        # Server 0 drains, so all slices leave it.
+        endpoint_list.send(m.WatchEvent("delta", 2, servers(2)[:1]))
+        lost = store.until(lambda x: isinstance(x, m.WriteRequest))  # This write is never acknowledged.
         proxy.until(lambda x: isinstance(x, m.ProxyUpdate))
         store.close()
         store = around.store.accept("store")
@@ -248,5 +249,5 @@
         }
         store.send(m.WriteAcknowledged(resent.batch + 1000, 1))
         store.send(reissued(apply_write(granted, resent), 200))
-        with pytest.raises(TimeoutError):  # what is durable is not written again
+        with pytest.raises(TimeoutError):  # Durable weights are not written again.
             store.until(lambda x: isinstance(x, m.WriteRequest) and bool(x.weights), 1.0)
