--- a/tests/test_replication_processes.py
+++ b/tests/test_replication_processes.py
@@ -93,7 +93,7 @@
         assert shown.returncode == 0
         refused = c.command("store", "refill")
         assert refused.returncode != 0
-        assert "it is not empty" in refused.stderr
+        assert "the store is not empty" in refused.stderr
         c.kill("store", "1", "2")
         for file in tmp_path.glob("kept.db*"):
             file.unlink()
