--- a/puffintide/zones/__init__.py
+++ b/puffintide/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Loss and recovery of zones: limits to the capacity that a director plans with."""
+"""Loss and recovery of zones: limits on the capacity that a director may plan with."""
--- a/puffintide/zones/servers.py
+++ b/puffintide/zones/servers.py
@@ -1,4 +1,4 @@
-"""The servers of each zone as listed, and those that are missing: removed without draining first."""
+"""The listed servers of each zone, and its missing servers: those removed without draining first."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingServer:
-    """A server that was ready when it was removed."""
+    """A server that was listed as ready when it was removed."""
 
     removed_at_s: float
     weight: float
 
 
 class ZoneServers:
-    """Follows the endpoint list.
+    """Tracks the endpoint list.
 
     Attributes:
-        endpoints: Servers by id; those that were removed stay while they count as missing.
+        endpoints: Endpoints by server id. A removed server is kept while it counts as missing.
     """
 
     def __init__(self, slow_start_duration_s: float) -> None:
         self._slow_start_duration_s = slow_start_duration_s
         self.endpoints: dict[int, Endpoint] = {}
-        self._missing: dict[int, MissingServer] = {}
+        self._missing: dict[int, MissingServer] = {}  # By server id.
 
     def apply(self, now_s: float, event: EndpointListUpdate) -> list[int]:
         """Take in an update of the list, and return the servers that were ready and now are missing."""
         if event.update_type == ListUpdateType.FAILED:
             return []
-        updated = {endpoint.server_id: endpoint for endpoint in event.endpoints}
+        updated_endpoints = {endpoint.server_id: endpoint for endpoint in event.endpoints}
         if event.is_snapshot:
-            self._add_unlisted(updated)
+            self._add_unlisted_as_removed(updated_endpoints)
         newly_missing = []
-        for server_id, endpoint in sorted(updated.items()):
+        for server_id, endpoint in sorted(updated_endpoints.items()):
             previous = self.endpoints.get(server_id)
             is_removed = endpoint.status == EndpointStatus.REMOVED
             if not is_removed:
@@ -49,31 +49,31 @@
             self.endpoints[server_id] = endpoint
         return newly_missing
 
-    def _add_unlisted(self, updated: dict[int, Endpoint]) -> None:
-        """Add servers that a snapshot does not list as removed ones."""
+    def _add_unlisted_as_removed(self, updated_endpoints: dict[int, Endpoint]) -> None:
+        """Add the known servers that a snapshot does not list, with status REMOVED."""
         for server_id, endpoint in sorted(self.endpoints.items()):
-            if server_id not in updated and endpoint.status != EndpointStatus.REMOVED:
-                updated[server_id] = replace(endpoint, status=EndpointStatus.REMOVED)
+            if server_id not in updated_endpoints and endpoint.status != EndpointStatus.REMOVED:
+                updated_endpoints[server_id] = replace(endpoint, status=EndpointStatus.REMOVED)
 
-    def forget_removed(self, now_s: float) -> list[int]:
-        """Forget, and return, servers that drained and were removed, or have been missing for long.
+    def purge_removed(self, now_s: float) -> list[int]:
+        """Delete and return servers that were removed after draining or have been missing for too long.
 
-        Each machine has an id of its own, so that they do not come back.
+        Each machine has its own id, so these servers do not come back.
         """
         for server_id, missing in sorted(self._missing.items()):
             if now_s - missing.removed_at_s > parameters.MISSING_SERVER_RETENTION_S:
                 del self._missing[server_id]
-        forgotten = [
+        purged_ids = [
             server_id
             for server_id, endpoint in self.endpoints.items()
             if endpoint.status == EndpointStatus.REMOVED and server_id not in self._missing
         ]
-        for server_id in forgotten:
+        for server_id in purged_ids:
             del self.endpoints[server_id]
-        return forgotten
+        return purged_ids
 
     def ready_in(self, zone: int) -> list[int]:
-        """Return the servers of a zone that are listed as ready."""
+        """Return the ids of a zone's servers that are listed as ready, in ascending order."""
         return [
             server_id
             for server_id, endpoint in sorted(self.endpoints.items())
@@ -86,23 +86,27 @@
         return None if endpoint is None else endpoint.zone
 
     def is_removed(self, server_id: int) -> bool:
-        """Whether a known server was removed from the list."""
+        """Return whether a known server was removed from the list."""
         return self.endpoints[server_id].status == EndpointStatus.REMOVED
 
     def is_warming_up(self, now_s: float, server_id: int) -> bool:
-        """Whether a server has started recently, by the list alone: a director may not know it yet."""
+        """Return whether a server is within its slow start, by its start time in the list.
+
+        The list alone decides, because the director may not know the server yet.
+        """
         started_at_s = self.endpoints[server_id].started_at_s
         return started_at_s > 0 and now_s - started_at_s < self._slow_start_duration_s
 
     def ready_weight(self, zone: int) -> float:
-        """Return the weight of a zone's servers that are listed as ready."""
+        """Return the total weight of a zone's servers that are listed as ready."""
         return sum(self.endpoints[server_id].weight for server_id in self.ready_in(zone))
 
     def missing_weight(self, zone: int) -> float:
-        """Return the weight of a zone's servers that are missing."""
+        """Return the total weight of a zone's missing servers."""
         return sum(self._missing_weights(zone).values())
 
     def _missing_weights(self, zone: int) -> dict[int, float]:
+        """Return the weights of a zone's missing servers, by server id."""
         return {
             server_id: missing.weight
             for server_id, missing in self._missing.items()
@@ -112,7 +116,8 @@
     def available_fraction(self, zone: int, health: Mapping[int, ServerHealth]) -> float:
         """Return the fraction of a zone's usual weight that is ready and responding.
 
-        Servers that drained and were removed are no longer usual. A server without health is taken to respond.
+        Servers that were removed after draining do not count as usual. A server without health counts as
+        responding.
         """
         missing_weight = sum(weight for _, weight in sorted(self._missing_weights(zone).items()))
         usual_weight = self.ready_weight(zone) + missing_weight
--- a/puffintide/zones/usual_load.py
+++ b/puffintide/zones/usual_load.py
@@ -1,4 +1,4 @@
-"""The load of each zone in ordinary times: what it needs for itself when it has to take load of another."""
+"""The usual load of each zone, which it must still serve when it takes over load of another zone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     def __init__(self, servers: ZoneServers, zones: Sequence[int]) -> None:
         self._servers = servers
         self._zones = sorted(zones)
-        self._loads: dict[int, float] = {}
+        self._loads: dict[int, float] = {}  # Usual loads by zone, from 0 to 1.
         self._healthy_since_s = math.inf
 
     def load_of(self, zone: int) -> float:
@@ -24,16 +24,23 @@
         return self._loads.get(zone, 0.0)
 
     def update(self, now_s: float, health: Mapping[int, ServerHealth], all_healthy: bool) -> None:
-        """Take in the loads of this round, if all zones have been healthy for long enough."""
+        """Add the loads of this round, if all zones have been healthy for USUAL_LOAD_MIN_HEALTHY_S.
+
+        Args:
+            now_s: Seconds on the assigner's clock.
+            health: Health of the servers that the director knows, by server id.
+            all_healthy: Whether all zones are healthy and no operator command is in force.
+        """
         if not all_healthy:
             self._healthy_since_s = math.inf
             return
         self._healthy_since_s = min(self._healthy_since_s, now_s)
-        if now_s - self._healthy_since_s >= parameters.USUAL_LOAD_SETTLING_S:
+        if now_s - self._healthy_since_s >= parameters.USUAL_LOAD_MIN_HEALTHY_S:
             for zone in self._zones:
-                self._learn(zone, health)
+                self._update_average(zone, health)
 
-    def _learn(self, zone: int, health: Mapping[int, ServerHealth]) -> None:
+    def _update_average(self, zone: int, health: Mapping[int, ServerHealth]) -> None:
+        """Add the mean load of a zone's ready servers, weighted by their listed weights, to its average."""
         weighted_loads = [
             (self._servers.endpoints[server_id].weight, load)
             for server_id in self._servers.ready_in(zone)
@@ -44,5 +51,5 @@
             return
         mean = sum(server_weight * load for server_weight, load in weighted_loads) / weight
         previous = self._loads.get(zone, mean)
-        gain = 1 - math.exp(-parameters.DECISION_PERIOD_S / parameters.USUAL_LOAD_MEMORY_S)
-        self._loads[zone] = previous + (mean - previous) * gain
+        smoothing_factor = 1 - math.exp(-parameters.DECISION_PERIOD_S / parameters.USUAL_LOAD_TIME_CONSTANT_S)
+        self._loads[zone] = previous + (mean - previous) * smoothing_factor
