--- a/puffintide/bench_adapter/__init__.py
+++ b/puffintide/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter through which the operators' bench plays the decision module. Standard library alone."""
+"""Adapter that lets the operators' bench run the decision module. It needs only the standard library."""
--- a/puffintide/bench_adapter/errors.py
+++ b/puffintide/bench_adapter/errors.py
@@ -4,8 +4,8 @@
 
 
 class BenchAdapterError(Exception):
-    """Base class of the adapter's exceptions."""
+    """Base class of the exceptions of the bench adapter."""
 
 
 class BenchProtocolError(BenchAdapterError):
-    """The input does not follow the bench's protocol; the text says what and where."""
+    """Raised for input that violates the bench's protocol; the text names the violation and its position."""
--- a/puffintide/bench_adapter/host.py
+++ b/puffintide/bench_adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts the instances of the decision module: one Director each; nothing passes between them."""
+"""Host of the instances of the decision module: one Director each, without communication between them."""
 
 from __future__ import annotations
 
@@ -13,54 +13,69 @@
 
 
 class Host:
-    """Feeds batches of events to the instances, and collects their actions."""
+    """Passes batches of events to the instances and collects their actions.
+
+    Attributes:
+        decoder: Decodes the batches.
+        directors: Directors of the running instances, by instance number.
+    """
 
     def __init__(self) -> None:
         self.decoder = EventDecoder()
-        self.directors: dict[int, Director] = {}  # by instance
+        self.directors: dict[int, Director] = {}
+
+    def handle_batch(self, now_s: float, body: bytes) -> bytes:
+        """Process a batch and return the reply.
 
-    def answer(self, now_s: float, body: bytes) -> bytes:
-        """The reply to one batch.
+        Args:
+            now_s: Time of the batch in seconds.
+            body: The bytes that follow the time of the batch.
 
         Raises:
-            BenchProtocolError: The batch is malformed, or is for an instance that was not started.
+            BenchProtocolError: The batch is malformed, or refers to an instance that is not running.
             SettingsError: The settings of an instance are invalid.
         """
         records: list[bytes] = []
         for instance, events in sorted(self._events_by_instance(body).items()):
-            records += self._run(instance, now_s, events)
+            records += self._run_director(instance, now_s, events)
         return encode_reply(records)
 
     def _events_by_instance(self, body: bytes) -> dict[int, list[Event]]:
-        """Start and end instances as the batch says. Returns the events of those that run."""
-        batches: dict[int, list[Event]] = {}
-        for instance, event in self.decoder.events(body):
+        """Start and stop instances as the batch requires, and return the events of the running ones."""
+        events_by_instance: dict[int, list[Event]] = {}
+        for instance, event in self.decoder.decode_batch(body):
             if isinstance(event, Hello):
-                self._start(instance, event)
-                batches[instance] = []
+                self._start_instance(instance, event)
+                events_by_instance[instance] = []
             elif isinstance(event, Exit):
                 self.directors.pop(instance, None)
-                batches.pop(instance, None)
+                events_by_instance.pop(instance, None)
             elif instance in self.directors:
-                batches.setdefault(instance, []).append(event)
+                events_by_instance.setdefault(instance, []).append(event)
             else:
                 name = type(event).__name__
-                raise BenchProtocolError(f"{name} for instance {instance}, which has had no hello")
-        return batches
+                raise BenchProtocolError(
+                    f"cannot handle {name} for instance {instance}: the instance was not started by a hello"
+                )
+        return events_by_instance
 
-    def _start(self, instance: int, hello: Hello) -> None:
+    def _start_instance(self, instance: int, hello: Hello) -> None:
+        """Start an instance with the settings of its hello, in place of a running one of the same number."""
         try:
             settings = parse_settings(hello.settings, hello.seed)
         except SettingsError as error:
-            raise SettingsError(f"hello of instance {instance}: {error}") from error
+            raise SettingsError(f"cannot start instance {instance}: {error}") from error
         self.directors[instance] = Director(settings)
 
-    def _run(self, instance: int, now_s: float, events: list[Event]) -> list[bytes]:
-        """The actions of an instance; a failure within the decision module is reported, not hidden."""
+    def _run_director(self, instance: int, now_s: float, events: list[Event]) -> list[bytes]:
+        """Run an instance on a batch of events and return its actions as records.
+
+        An exception in the decision module is returned to the bench as a fault record.
+        """
         try:
             actions = self.directors[instance].handle(now_s, events)
             return [encode_action(instance, action) for action in actions]
         except Exception as error:
             frames = traceback.extract_tb(error.__traceback__)
-            place = f"{frames[-1].name}:{frames[-1].lineno}" if frames else "?"
-            return [encode_fault(instance, f"{type(error).__name__} in {place}: {error}")]
+            location = f"{frames[-1].name}:{frames[-1].lineno}" if frames else "?"
+            return [encode_fault(instance, f"{type(error).__name__} in {location}: {error}")]
--- a/puffintide/bench_adapter/records.py
+++ b/puffintide/bench_adapter/records.py
@@ -1,4 +1,4 @@
-"""Records of the bench's protocol: codes, and how their fields are read and written. Little-endian throughout."""
+"""Records of the bench's protocol: codes, and the encoding of fields. All fields are little-endian."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 MAX_TEXT_BYTES = 65535
 
-_STRUCTS: dict[str, struct.Struct] = {}
+_STRUCT_CACHE: dict[str, struct.Struct] = {}
 
 
 class EventCode(IntEnum):
-    """First byte of a record from the bench."""
+    """Event code: the first byte of a record from the bench."""
 
     HELLO = 0
     ENDPOINT_LIST = 1
@@ -29,11 +29,11 @@
     SLICE_LOAD_REPORT = 11
     OWNERSHIP_CHANGED = 12
     STORED_WEIGHT = 13
-    SERVER_LIST = 14  # without an instance; later ENDPOINT_LIST events refer to it
+    SERVER_LIST = 14  # Has no instance; later ENDPOINT_LIST events refer to it.
 
 
 class ActionCode(IntEnum):
-    """First byte of a record to the bench."""
+    """Action code: the first byte of a record to the bench."""
 
     SET_TIMER = 64
     SEND_HEALTH_CHECK = 65
@@ -46,56 +46,61 @@
     SEND_CHECKPOINT = 76
 
 
-def compiled(layout: str) -> struct.Struct:
-    """The compiled struct of a layout, little-endian."""
-    result = _STRUCTS.get(layout)
+def compiled_struct(layout: str) -> struct.Struct:
+    """Return the little-endian struct of a layout, compiled once per layout."""
+    result = _STRUCT_CACHE.get(layout)
     if result is None:
-        result = _STRUCTS[layout] = struct.Struct("<" + layout)
+        result = _STRUCT_CACHE[layout] = struct.Struct("<" + layout)
     return result
 
 
 class RecordReader:
-    """Reads fields one after another."""
+    """Reads the fields of records one after another."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.position = 0
 
-    def fields(self, layout: str) -> tuple[int | float | bool, ...]:
-        """The next fields.
+    def read_fields(self, layout: str) -> tuple[int | float | bool, ...]:
+        """Read the next fields.
+
+        Args:
+            layout: Layout of the fields in the notation of the struct module, without byte order.
 
         Raises:
-            BenchProtocolError: The data ends before.
+            BenchProtocolError: The data ends inside the fields.
         """
-        packed = compiled(layout)
-        end = self.position + packed.size
+        field_struct = compiled_struct(layout)
+        end = self.position + field_struct.size
         if end > len(self.data):
             raise BenchProtocolError(
-                f"batch ends inside a record at byte {self.position} of {len(self.data)}"
+                f"cannot read record fields at byte {self.position}: "
+                f"{field_struct.size} bytes expected, {len(self.data) - self.position} left"
             )
-        values: tuple[int | float | bool, ...] = packed.unpack_from(self.data, self.position)
+        values: tuple[int | float | bool, ...] = field_struct.unpack_from(self.data, self.position)
         self.position = end
         return values
 
-    def integers(self, layout: str) -> tuple[int, ...]:
-        """The next fields, all of them integers."""
-        return tuple(int(value) for value in self.fields(layout))
+    def read_integers(self, layout: str) -> tuple[int, ...]:
+        """Read the next fields, all of which are integers."""
+        return tuple(int(value) for value in self.read_fields(layout))
 
-    def bytes_(self, size: int) -> bytes:
-        """The next bytes.
+    def read_bytes(self, size: int) -> bytes:
+        """Read a byte string of a given size.
 
         Raises:
-            BenchProtocolError: The data ends before.
+            BenchProtocolError: The data ends inside the byte string.
         """
         if self.position + size > len(self.data):
             raise BenchProtocolError(
-                f"a length of {size} at byte {self.position} runs past the batch of {len(self.data)}"
+                f"cannot read byte string at byte {self.position}: "
+                f"{size} bytes expected, {len(self.data) - self.position} left"
             )
         start = self.position
         self.position += size
         return self.data[start : self.position]
 
-    def float_list(self) -> tuple[float, ...]:
-        """A count, and as many floats."""
-        (count,) = self.fields("B")
-        return tuple(float(value) for value in self.fields(f"{int(count)}f"))
+    def read_floats(self) -> tuple[float, ...]:
+        """Read a list of floats that is preceded by its length."""
+        (count,) = self.read_fields("B")
+        return tuple(float(value) for value in self.read_fields(f"{int(count)}f"))
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: frames in, frames out, and plain words on bad input."""
+"""Tests of the bench adapter: decoding of events, encoding of actions, and errors on invalid input."""
 
 import io
 import json
@@ -50,31 +50,34 @@
 
 
 def hello(conf: object = CONF) -> bytes:
-    text = json.dumps(conf).encode()
-    return struct.pack("<BHQI", 0, 0, 5, len(text)) + text
+    """Return the hello record of instance 0 with seed 5."""
+    settings_json = json.dumps(conf).encode()
+    return struct.pack("<BHQI", 0, 0, 5, len(settings_json)) + settings_json
 
 
 def batch(body: bytes, now: float = 1.0) -> bytes:
     return struct.pack("<Id", len(body), now) + body
 
 
-def test_documented_events_are_read() -> None:
-    digest = bytes.fromhex("09030000074a12030e000000010000004e62105839b4a83f000000000000f03f010000e040")
-    listed = bytes.fromhex(
+def test_documented_events_are_decoded() -> None:
+    load_report_record = bytes.fromhex(
+        "09030000074a12030e000000010000004e62105839b4a83f000000000000f03f010000e040"
+    )
+    list_records = bytes.fromhex(
         "0e0000000002000000074a1203000000000001"
         "0000803f0000000000000000f211902c0100000100010000c03f6666666666661840"
         "010300000000002900000000000000 01"
     )
-    ((who, event),) = EventDecoder().events(digest)
-    assert who == 3
+    ((instance, event),) = EventDecoder().decode_batch(load_report_record)
+    assert instance == 3
     assert isinstance(event, ServerLoadReport)
     assert (event.attempts, event.failed_attempts, event.load_values) == (14, 1, (7.0,))
-    ((_, news),) = EventDecoder().events(listed)
-    assert isinstance(news, EndpointListUpdate)
-    assert [s.weight for s in news.endpoints] == [1.0, 1.5]
+    ((_, list_update),) = EventDecoder().decode_batch(list_records)
+    assert isinstance(list_update, EndpointListUpdate)
+    assert [s.weight for s in list_update.endpoints] == [1.0, 1.5]
 
 
-def test_documented_actions_are_written() -> None:
+def test_documented_actions_are_encoded() -> None:
     assert encode_action(3, SetWeight(0x75, 0x2C9011F2, 0.75)).hex() == "4703007500f211902c0000403f"
     assert encode_action(3, SetTimer(0.5, 77)).hex() == "400300000000000000e03f4d000000"
     assert encode_action(3, SetAdmission(0x75, 2, 0.75, 1)).hex() == "4b0300750002000000403f01"
@@ -88,33 +91,36 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "word"),
+    ("data", "expected_text"),
     [
-        (b"\x01\x00", "length"),
-        (batch(hello())[:-3], "ends after"),
-        (batch(b"\xc8\x00\x00"), "unknown event code 200"),
-        (batch(b"\x02\x00\x00\x01"), "inside a record"),
-        (batch(struct.pack("<BHQI", 0, 0, 5, 900) + b"{}"), "runs past"),
+        (b"\x01\x00", "cannot read batch length"),
+        (batch(hello())[:-3], "cannot read batch: input ends after"),
+        (batch(b"\xc8\x00\x00"), "cannot decode record at byte 0: unknown event code 200"),
+        (batch(b"\x02\x00\x00\x01"), "cannot read record fields at byte 3: 4 bytes expected, 1 left"),
+        (
+            batch(struct.pack("<BHQI", 0, 0, 5, 900) + b"{}"),
+            "cannot read byte string at byte 15: 900 bytes expected, 2 left",
+        ),
         (batch(struct.pack("<BHQI", 0, 0, 5, 2) + b"{]"), "not JSON"),
-        (batch(struct.pack("<BHI", 2, 4, 1)), "no hello"),
+        (batch(struct.pack("<BHI", 2, 4, 1)), "the instance was not started by a hello"),
     ],
 )
-def test_malformed_input_is_one_plain_line(data: bytes, word: str) -> None:
-    done = subprocess.run(
+def test_malformed_input_is_reported_in_one_line(data: bytes, expected_text: str) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "puffintide.bench_adapter"],
         input=data,
         capture_output=True,
         timeout=20,
         check=False,
     )
-    assert done.returncode != 0
-    text = done.stderr.decode()
-    assert word in text
-    assert len(text.splitlines()) == 1
-    assert "Traceback" not in text
+    assert completed.returncode != 0
+    stderr = completed.stderr.decode()
+    assert expected_text in stderr
+    assert len(stderr.splitlines()) == 1
+    assert "Traceback" not in stderr
 
 
-def test_unknown_keys_are_skipped() -> None:
+def test_unknown_settings_keys_are_ignored() -> None:
     assert parse_settings(json.dumps(CONF).encode(), 1).slice_count == 4
 
 
@@ -129,46 +135,46 @@
         ("me", None),
     ],
 )
-def test_bad_settings_name_the_key(path: str, value: object) -> None:
+def test_invalid_settings_error_names_the_key(path: str, value: object) -> None:
     conf = json.loads(json.dumps(CONF))
     node = conf
-    *parents, last = path.split(".")
+    *parents, key = path.split(".")
     for part in parents:
         node = node[part]
     if value is None:
-        del node[last]
+        del node[key]
     else:
-        node[last] = value
+        node[key] = value
     with pytest.raises(SettingsError, match=path):
         parse_settings(json.dumps(conf).encode(), 1)
 
 
-def test_a_failure_in_the_decision_module_is_reported() -> None:
+def test_exception_in_decision_module_is_sent_as_fault_record() -> None:
     host = Host()
-    host.answer(1.0, hello())
+    host.handle_batch(1.0, hello())
 
     def fail(now_s: float, events: object) -> list[Action]:  # noqa: ARG001
         raise ValueError("no such thing")
 
     host.directors[0].handle = fail  # type: ignore[method-assign]
-    reply = host.answer(2.0, struct.pack("<BHI", 2, 0, 1))
+    reply = host.handle_batch(2.0, struct.pack("<BHI", 2, 0, 1))
     assert reply[8] == 68
     assert b"no such thing" in reply
 
 
-def test_instances_share_nothing() -> None:
-    one, two = Host(), Host()
-    text = hello()
-    other = bytearray(text)
-    other[1:3] = struct.pack("<H", 1)
-    both = one.answer(1.0, text + bytes(other))
-    alone = two.answer(1.0, text)
-    assert both[8:].startswith(alone[8:])
+def test_instances_do_not_affect_each_other() -> None:
+    host_of_two, host_of_one = Host(), Host()
+    first_hello = hello()
+    second_hello = bytearray(first_hello)
+    second_hello[1:3] = struct.pack("<H", 1)
+    reply_of_two = host_of_two.handle_batch(1.0, first_hello + bytes(second_hello))
+    reply_of_one = host_of_one.handle_batch(1.0, first_hello)
+    assert reply_of_two[8:].startswith(reply_of_one[8:])
 
 
-def test_events_after_an_exit_need_a_hello() -> None:
+def test_event_after_exit_without_hello_is_rejected() -> None:
     host = Host()
-    host.answer(1.0, hello())
-    host.answer(2.0, struct.pack("<BH", 5, 0))
+    host.handle_batch(1.0, hello())
+    host.handle_batch(2.0, struct.pack("<BH", 5, 0))
     with pytest.raises(BenchProtocolError):
-        host.answer(3.0, struct.pack("<BHI", 2, 0, 1))
+        host.handle_batch(3.0, struct.pack("<BHI", 2, 0, 1))
--- a/tests/test_runtime_equivalence.py
+++ b/tests/test_runtime_equivalence.py
@@ -85,7 +85,7 @@
 
     def __init__(self, conf: dict[str, object]) -> None:
         self.host = Host()
-        self.host.answer(0.0, hello(conf))
+        self.host.handle_batch(0.0, hello(conf))
         self.runtime = Runtime(parse_settings(json.dumps(conf).encode(), 5), Director)
         self.batches = 0
         self.ordered = 0
@@ -93,7 +93,7 @@
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
         due_timers = {e.timer_id for e in events if isinstance(e, TimerFired)}
         body = b"".join(bench_event(e) for e in events)
-        reply = self.host.answer(now, body)
+        reply = self.host.handle_batch(now, body)
         stored_entries: dict[int, list[m.TableEntry]] = {}
         for e in events:
             if isinstance(e, StoredWeight):
