--- a/puffintide/bench_adapter/action_encoder.py
+++ b/puffintide/bench_adapter/action_encoder.py
@@ -1,4 +1,4 @@
-"""Encoder of the instances' actions into replies to the bench."""
+"""Encoder of the instances' actions into replies to the bench. It makes no decisions."""
 
 from __future__ import annotations
 
--- a/puffintide/bench_adapter/event_decoder.py
+++ b/puffintide/bench_adapter/event_decoder.py
@@ -1,4 +1,4 @@
-"""Decoder of the bench's batches into events for the instances."""
+"""Decoder of the bench's batches into events for the instances. It makes no decisions."""
 
 from __future__ import annotations
 
--- a/tests/test_zoned_director.py
+++ b/tests/test_zoned_director.py
@@ -80,7 +80,7 @@
     assert all(world.admitted_weights(n) for n in world.tables)
 
 
-def test_drain_does_not_overload_the_other_zone() -> None:
+def test_drain_does_not_overload_servers_at_high_load() -> None:
     world = make_eight_server_world(ZonedWorld)
     # The load is 0.85 of the capacity of both zones, too much for one zone.
     world.request_rates = dict.fromkeys(world.request_rates, 3.2)
