--- a/puffintide/assigner/channel.py
+++ b/puffintide/assigner/channel.py
@@ -1,8 +1,9 @@
-"""The channel of updates to the proxies: one queue in order, paced by entries a second. No I/O and no clock.
+"""The rate-limited FIFO queue of updates to the proxies, without I/O and without a clock of its own.
 
-A message leaves when the entries before it have been sent at the given rate. A proxy that does not read delays its
-own messages only. Entries of its backlog count as queued: where all queued entries would exceed the capacity, the
-proxy with the largest backlog is removed, and the caller has to close its stream.
+The rate limit is in entries per second. A message leaves the queue once the entries before it have been sent
+at that rate. A proxy that does not read delays only its own messages, which wait in a backlog. The entries of
+a backlog count as queued. When all queued entries would exceed the capacity, the proxy with the largest
+backlog is removed, and the caller has to close its stream.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(slots=True)
 class _ProxyBacklog:
-    """Messages that have left the queue and wait for their proxy to read."""
+    """Messages of one proxy that have left the queue and wait until the proxy reads again."""
 
     writable: bool = True
     updates: deque[ProxyUpdate] = field(default_factory=deque)
@@ -23,14 +24,14 @@
 
 
 class Channel:
-    """Queue of updates, from enqueue() to dequeue().
+    """A rate-limited queue of updates to all proxies.
 
     Attributes:
-        entries_per_s: Rate at which entries leave, message headers among them.
-        capacity_entries: Entries that may be queued for all proxies together.
-        max_queued_entries: The most entries that were queued at a time.
-        messages_sent: Messages sent to all proxies.
-        max_messages_per_window: The most messages to one proxy within message_window_s.
+        entries_per_s: Rate at which entries leave the queue, including those of message headers.
+        capacity_entries: Maximum number of entries queued for all proxies together.
+        max_queued_entries: Highest number of entries that were queued at one time.
+        messages_sent: Number of messages sent to all proxies.
+        max_messages_per_window: Highest number of messages sent to one proxy within message_window_s.
     """
 
     def __init__(self, entries_per_s: float, capacity_entries: float, message_window_s: float = 10.0) -> None:
@@ -48,17 +49,21 @@
         self._overflowed_proxies: list[int] = []
 
     def add_proxy(self, proxy_id: int) -> None:
-        """Accept updates for a proxy, with nothing queued for it."""
+        """Accept updates for a proxy, starting with an empty backlog."""
         self.remove_proxy(proxy_id)
         self._backlogs[proxy_id] = _ProxyBacklog()
 
     def remove_proxy(self, proxy_id: int) -> None:
-        """Drop all that is queued for a proxy."""
+        """Drop all queued updates of a proxy and accept no more for it."""
         self._backlogs.pop(proxy_id, None)
         self._recent_sends.pop(proxy_id, None)
-        dropped_entries = sum(update.channel_cost for target, update in self._queue if target == proxy_id)
+        dropped_entries = sum(
+            update.channel_cost for queued_for, update in self._queue if queued_for == proxy_id
+        )
         if dropped_entries:
-            self._queue = deque((target, update) for target, update in self._queue if target != proxy_id)
+            self._queue = deque(
+                (queued_for, update) for queued_for, update in self._queue if queued_for != proxy_id
+            )
             self._queue_entries -= dropped_entries
 
     def enqueue(self, proxy_id: int, update: ProxyUpdate) -> None:
@@ -72,15 +77,15 @@
         self.max_queued_entries = max(self.max_queued_entries, self.queued_entries())
 
     def queued_entries(self) -> float:
-        """Entries in the queue or held back by proxies that do not read, message headers among them."""
+        """Return the number of entries in the queue and in all backlogs, including message headers."""
         return self._queue_entries + sum(backlog.entry_count for backlog in self._backlogs.values())
 
     def dequeue(self, now: float) -> tuple[list[tuple[int, ProxyUpdate]], list[int]]:
-        """Take the messages that leave now.
+        """Remove and return the messages that the rate limit allows to be sent by now.
 
         Returns:
-            The messages with their proxies, and the proxies that were removed since the last call as they held back
-            too much.
+            The messages with the ids of their proxies, and the ids of the proxies that were removed since the
+            last call because their backlogs were too large.
         """
         departures: list[tuple[int, ProxyUpdate]] = []
         while self._queue:
@@ -103,7 +108,7 @@
         return departures, overflowed
 
     def set_writable(self, now: float, proxy_id: int, writable: bool) -> list[ProxyUpdate]:
-        """Note whether a proxy reads; returns the messages that it held back and that are to be sent now."""
+        """Record whether a proxy reads, and return the messages of its backlog that can be sent now."""
         backlog = self._backlogs.get(proxy_id)
         if backlog is None:
             return []
@@ -118,16 +123,21 @@
         return updates
 
     def next_departure_at(self) -> float | None:
-        """When the next message leaves the queue; None when the queue is empty."""
+        """Return the time at which the next message leaves the queue, or None when the queue is empty."""
         return self._departure_at(self._queue[0][1]) if self._queue else None
 
     def _departure_at(self, update: ProxyUpdate) -> float:
-        """When the first message of the queue leaves; an idle channel saves up nothing."""
+        """Return the time at which the first message of the queue leaves.
+
+        An idle channel accumulates no credit for a later burst.
+        """
         return max(self._last_departure_at, update.ordered_at_s) + update.channel_cost / self.entries_per_s
 
     def _remove_largest_backlog(self) -> bool:
-        """Remove the proxy that holds back most; False if none holds back anything."""
-        largest = max(sorted(self._backlogs), key=lambda p: self._backlogs[p].entry_count, default=None)
+        """Remove the proxy with the largest backlog, and return False if all backlogs are empty."""
+        largest = max(
+            sorted(self._backlogs), key=lambda proxy_id: self._backlogs[proxy_id].entry_count, default=None
+        )
         if largest is None or not self._backlogs[largest].entry_count:
             return False
         self.remove_proxy(largest)
@@ -135,6 +145,7 @@
         return True
 
     def _count_message(self, proxy_id: int, now: float) -> None:
+        """Update the message counters for a message that is sent to a proxy now."""
         recent = self._recent_sends.setdefault(proxy_id, deque())
         recent.append(now)
         while recent[0] < now - self._message_window_s:
--- a/puffintide/assigner/decision_loop.py
+++ b/puffintide/assigner/decision_loop.py
@@ -1,4 +1,4 @@
-"""Runs the rounds of the decision module: when the next one is due, what it cost, and a log of its decisions."""
+"""Schedules the rounds of the decision module, measures their processor time and logs their decisions."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from puffintide.decisions.actions import Action, SetAdmission, SetWeight, SetWithdrawn
 from puffintide.protocol.clock import Clock, Timer
 
+# Minimum delay before a round that handles a timer of the decision module, in seconds.
 MIN_TIMER_DELAY_S = 0.001
-RESTART_DELAY_S = 0.25  # of the rounds after one that failed
-MAX_LOGGED_ACTIONS = 200  # of one round
+RESTART_DELAY_S = 0.25  # Delay before rounds are restarted after a failed round, in seconds.
+MAX_LOGGED_ACTIONS = 200  # Maximum number of actions of one round in the log.
 MS_PER_S = 1000
 
 
 class DecisionLoop:
-    """The rounds of one assigner.
+    """Runs the rounds of one assigner.
 
     Attributes:
-        module_cpu_s: Processor time of all rounds.
-        round_count: Rounds that had events.
-        decision_count: Rounds that changed something at the proxies.
+        module_cpu_s: Processor time of all rounds, in seconds.
+        round_count: Number of rounds that handed events to the decision module.
+        decision_count: Number of rounds that changed weights, withdrawals or admission levels at the proxies.
     """
 
     def __init__(
@@ -37,11 +38,11 @@
         """Create the loop without scheduling a round.
 
         Args:
-            clock: For timers.
-            runtime: Holds pending events and timers.
-            tick_s: Time for which events are collected into one batch.
-            log: Structured logger.
-            apply_effects: Carries out what a round decided.
+            clock: The clock that runs the timers.
+            runtime: The runtime that holds pending events and timers.
+            tick_s: Time during which events are collected into one batch, in seconds.
+            log: The structured logger.
+            apply_effects: Called with the current time and the effects of a round, which it carries out.
         """
         self.clock = clock
         self.runtime = runtime
@@ -55,7 +56,7 @@
         self._next_round_at = 0.0
 
     def schedule(self, delay_s: float | None = None) -> None:
-        """Have a round after a delay, by default a tick, unless one is due earlier."""
+        """Schedule a round after a delay, by default one tick, unless one is already due earlier."""
         if delay_s is None:
             delay_s = self.tick_s
         round_at = self.clock.seconds() + delay_s
@@ -67,7 +68,7 @@
         self._timer = self.clock.callLater(delay_s, self._run_round)
 
     def log_decision(self, effects: Effects, update_count: int, queued_entries: float) -> None:
-        """Log a round that changed something at the proxies."""
+        """Log the decisions of a round, unless it changed nothing at the proxies."""
         decisions = [
             action
             for action in effects.actions
@@ -88,6 +89,7 @@
         )
 
     def _run_round(self) -> None:
+        """Run a round, then schedule the next one if events or timers are pending."""
         self._timer = None
         started_at = self.clock.seconds()
         cpu_before_s = _cpu_s()
@@ -96,7 +98,7 @@
             if effects is not None:
                 self.round_count += 1
                 self.apply_effects(started_at, effects)
-        except Exception as error:  # a round that failed must not be the last one
+        except Exception as error:  # A failed round must not end the rounds for good.
             self.log.error("round_failed", error=f"{type(error).__name__}: {error}")
             self.clock.callLater(RESTART_DELAY_S, self._restart)
         self.module_cpu_s += _cpu_s() - cpu_before_s
@@ -112,9 +114,11 @@
 
 
 def _cpu_s() -> float:
-    times = os.times()
-    return times.user + times.system
+    """Return the processor time of this process, in seconds."""
+    cpu_times = os.times()
+    return cpu_times.user + cpu_times.system
 
 
 def _logged_action(action: Action) -> dict[str, list[Any]]:
+    """Return an action in the form in which it is logged: its class name and its field values."""
     return {type(action).__name__: [getattr(action, name) for name in action.__slots__]}
--- a/puffintide/assigner/endpoint_directory.py
+++ b/puffintide/assigner/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that an assigner knows from its endpoint list, and when each server was started."""
+"""The endpoints that an assigner knows from its endpoint list, with the start time of each server."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 from puffintide.protocol.messages import EndpointEntry, TableEntry, WatchEvent
 from puffintide.protocol.validation import split_valid_endpoints
 
-MAX_UNLISTED_SERVERS = 64  # remembered in addition to as many as are listed
+# Number of removed servers whose data is retained, in addition to as many servers as are listed.
+MAX_UNLISTED_SERVERS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class _ServerStart:
+    """The start of one incarnation of a server, in seconds of the assigner's own clock."""
+
     incarnation: int
     started_at_s: float
 
 
 class EndpointDirectory:
-    """Endpoints as last listed, with addresses and zones also of servers that were removed recently.
+    """The listed endpoints, and the addresses and zones of listed and recently removed servers.
 
     Attributes:
-        listed: The last valid entry of each listed server.
-        addresses: HOST:PORT by server, empty if unknown.
-        zones: Zone by server.
-        starts: Start of each server's current incarnation.
+        listed: The last valid entry of each listed server, by server id.
+        addresses: The address of each server as HOST:PORT, by server id; empty if unknown.
+        zones: The zone of each server, by server id.
+        starts: The start of each server's current incarnation, by server id.
     """
 
     def __init__(self, zone_count: int) -> None:
@@ -41,7 +44,7 @@
         A server whose entry is invalid keeps its previous entry.
 
         Returns:
-            The endpoints of the valid entries, and for each invalid entry why it was rejected.
+            The endpoints of the valid entries, and the reason for the rejection of each invalid entry.
         """
         if event.update_type == ListUpdateType.FAILED:
             return [], []
@@ -59,10 +62,11 @@
         return endpoints, [problems[server] for server in sorted(problems)]
 
     def add_addresses(self, entries: Iterable[TableEntry]) -> None:
-        """Remember the addresses that a stored table names."""
+        """Add the addresses that the entries of a stored table contain."""
         self.addresses |= {entry.server_id: entry.address for entry in entries if entry.address}
 
     def _endpoint(self, now: float, entry: EndpointEntry) -> Endpoint:
+        """Record the address and the zone of an entry, and return its endpoint for the decision module."""
         self.addresses[entry.server_id] = entry.address or self.addresses.get(entry.server_id, "")
         self.zones[entry.server_id] = entry.zone
         return Endpoint(
@@ -76,9 +80,11 @@
         )
 
     def _started_at(self, now: float, entry: EndpointEntry) -> float:
-        """When the server was started, on our own clock.
+        """Return when the server was started, in seconds of the assigner's own clock.
 
-        It is fixed once an incarnation, so that a delayed event does not look like a restart.
+        Returns:
+            The start time, or 0 if the age of the server is unknown. The time is computed once per
+            incarnation, so that a delayed event does not look like a restart.
         """
         if entry.age_s < 0:
             return 0.0
@@ -89,7 +95,10 @@
         return start.started_at_s
 
     def _forget_unlisted(self) -> None:
-        """Bound the memory of removed servers: a replaced machine has a new id."""
+        """Remove the data of servers that are no longer listed if there are too many of them.
+
+        The data would otherwise grow without bound, as a replaced machine has a new id.
+        """
         for by_server in (self.addresses, self.zones, self.starts):
             if len(by_server) > 2 * len(self.listed) + MAX_UNLISTED_SERVERS:
                 for server in by_server.keys() - self.listed.keys():
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -2,16 +2,16 @@
 
 No I/O; time is passed in. Migrations happen one at a time, in three stages:
 
-1. Draining: every proxy clears the tables of the slices, and answers a checkpoint once none of its writes is in
-   flight there.
+1. Draining: every proxy clears the tables of the slices, and answers a checkpoint once none of its writes is
+   in flight there.
 2. Storing: the weights are written to the store, so that whoever takes over the slices knows the new servers.
 3. The proxies receive the new weights.
 
 A proxy that disconnects stops writing by itself after its write lease, and its writes in flight end with the
-longest deadline: it is waited for that long. A proxy that connects takes writes only after its first update, which
-it gets when no migration is in progress. Writes that outlast max_drain_s are not waited for, as a slice may not be
-without a server for longer; a server may then still execute a write for a client that has given up. Withdrawals and
-admission levels are never delayed.
+longest deadline: it is waited for that long. A proxy that connects takes writes only after its first update,
+which it gets when no migration is in progress. Writes that outlast max_drain_s are not waited for, as a slice
+may not be without a server for longer; a server may then still execute a write for a client that has given
+up. Withdrawals and admission levels are never delayed.
 """
 
 from __future__ import annotations
@@ -25,44 +25,68 @@
 from puffintide.decisions.settings import RepeatSafety, Settings
 from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
-FIRST_CHECKPOINT_ID = 1 << 20  # the decision module's own are below 2^16
-MAX_DRAIN_FRACTION = 0.8  # of the time for which a slice may be without a server
-MESSAGES_PER_BATCH = 2  # to each proxy, where the decision module counts one
+# Checkpoint ids of handovers are larger than this. Those of the decision module itself are below 2^16.
+FIRST_CHECKPOINT_ID = 1 << 20
+# Maximum duration of draining, as a fraction of the time for which a slice may be without a server.
+MAX_DRAIN_FRACTION = 0.8
+# Messages that a batch sends to each proxy, where the decision module counts one.
+MESSAGES_PER_BATCH = 2
 
-AddressedUpdates = list[tuple[int, ProxyUpdate]]  # with the proxy's id
+# Updates with the ids of the proxies that receive them.
+AddressedUpdates = list[tuple[int, ProxyUpdate]]
 
 
 @dataclass(slots=True)
 class HandoverSteps:
-    """What the service does now: updates for the channel, and weights for the store by batch."""
+    """The next steps of the service.
+
+    Attributes:
+        proxy_updates: Updates to send to the proxies.
+        writes: Weights to write to the store, with the number of their batch.
+    """
 
     proxy_updates: AddressedUpdates = field(default_factory=list)
     writes: list[tuple[int, list[WeightEntry]]] = field(default_factory=list)
 
 
 class _Stage(Enum):
+    """The stage of a migration; sending the new weights completes it and needs no stage of its own."""
+
     DRAINING = auto()
     STORING = auto()
 
 
 @dataclass(slots=True)
 class _Migration:
+    """The migration of the slices of one batch, or of several merged batches.
+
+    Attributes:
+        batch: Number of the batch, the last one of merged batches.
+        weights: The new weights of the slices.
+        deferred_updates: Updates that are sent once the weights are stored.
+        checkpoint_id: The checkpoint that proxies acknowledge when they have drained the slices.
+        unacknowledged: Ids of the proxies that have not acknowledged the checkpoint.
+        drain_deadline: When draining ends even if it is not complete.
+        disconnected_drained_at: When proxies that disconnected have no writes in flight any more.
+        stage: The current stage.
+    """
+
     batch: int
     weights: list[WeightEntry]
-    deferred_updates: AddressedUpdates  # sent once the weights are stored
+    deferred_updates: AddressedUpdates
     checkpoint_id: int = 0
-    unacknowledged: set[int] = field(default_factory=set)  # proxies that have not answered the checkpoint
+    unacknowledged: set[int] = field(default_factory=set)
     drain_deadline: float = 0.0
-    disconnected_drained_at: float = 0.0  # when proxies that disconnected have no more writes in flight
+    disconnected_drained_at: float = 0.0
     stage: _Stage = _Stage.DRAINING
 
     @property
     def slice_ids(self) -> list[int]:
-        """The slices that migrate, in order."""
+        """Return the ids of the slices that migrate, in ascending order."""
         return sorted({entry.slice_id for entry in self.weights})
 
     def merged_with(self, later: _Migration) -> _Migration:
-        """Both as one: of a slice that both migrate the later weights count."""
+        """Return one migration for both; the later weights replace those of a slice that both migrate."""
         replaced = set(later.slice_ids)
         remaining = [entry for entry in self.weights if entry.slice_id not in replaced]
         updates = sorted((dict(self.deferred_updates) | dict(later.deferred_updates)).items())
@@ -70,15 +94,15 @@
 
 
 class Handover:
-    """The migrations of one assigner.
+    """Runs the migrations of one assigner.
 
     Attributes:
-        write_lease_s: Time after which a proxy without its assigner takes no writes.
-        max_write_deadline_s: Deadline of the longest write.
-        max_drain_s: Time for which writes in flight are waited for.
-        header_entries: Entries that a message costs on the channel beside its content.
-        proxies: Connected proxies.
-        migrations: Batches in order; only the first is in progress.
+        write_lease_s: Time after which a proxy that lost its assigner takes no writes, in seconds.
+        max_write_deadline_s: Longest deadline of a write, in seconds.
+        max_drain_s: Maximum time to wait for writes in flight, in seconds.
+        header_entries: Entries that a message costs on the channel in addition to its content.
+        proxies: Ids of the connected proxies.
+        migrations: Migrations in the order of their batches; only the first is in progress.
     """
 
     def __init__(
@@ -96,7 +120,10 @@
     # Input ----------------------------------------------------------------------------------------
 
     def on_proxy_connected(self, now: float, proxy_id: int) -> HandoverSteps:
-        """Let a proxy take writes: at once, or with the weights of the migration in progress."""
+        """Add a proxy, which takes writes after its first update.
+
+        The update is sent at once, or with the new weights if a migration is in progress.
+        """
         self.proxies.add(proxy_id)
         self._disconnected_at.pop(proxy_id, None)
         if self.migrations:
@@ -104,7 +131,7 @@
         return HandoverSteps(proxy_updates=[(proxy_id, ProxyUpdate(0, now, self.header_entries))])
 
     def on_proxy_disconnected(self, now: float, proxy_id: int) -> HandoverSteps:
-        """Wait out the writes that a disconnected proxy may have in flight."""
+        """Remove a proxy, and wait until the writes that it may have in flight have ended."""
         self.proxies.discard(proxy_id)
         self._disconnected_at[proxy_id] = now
         if self.migrations and proxy_id in self.migrations[0].unacknowledged:
@@ -118,7 +145,14 @@
     def add_batch(
         self, now: float, batch: int, weights: list[WeightEntry], updates: AddressedUpdates
     ) -> HandoverSteps:
-        """Add a batch of the decision module; updates without weights are sent at once."""
+        """Add a batch of the decision module.
+
+        Args:
+            now: The current time, in seconds.
+            batch: The number of the batch.
+            weights: The weights that the batch changes; without any, the updates are sent at once.
+            updates: The updates of the batch, with the ids of their proxies.
+        """
         if not weights:
             return HandoverSteps(proxy_updates=updates)
         immediate: dict[int, ProxyUpdate] = {}
@@ -133,15 +167,15 @@
         return HandoverSteps(proxy_updates=sorted(immediate.items()))
 
     def on_checkpoint_reply(self, now: float, proxy_id: int, checkpoint_id: int) -> HandoverSteps:
-        """Note that a proxy has none of the migration's writes in flight."""
+        """Handle the acknowledgement of a checkpoint by a proxy, which has drained the migrating slices."""
         if self.migrations and self.migrations[0].checkpoint_id == checkpoint_id:
             self.migrations[0].unacknowledged.discard(proxy_id)
         return self.advance(now)
 
     def on_write_acknowledged(self, now: float, batch: int) -> HandoverSteps:
-        """Complete the migrations that the store has committed, up to a batch.
+        """Complete the migrations whose weights the store has committed, up to a batch.
 
-        Weights that the store rejected have to be removed before (drop_slice).
+        The caller has to remove weights that the store rejected first, with drop_slice.
         """
         steps = HandoverSteps()
         while self.migrations and self._is_stored(self.migrations[0], batch):
@@ -152,25 +186,28 @@
         return steps
 
     def drop_slice(self, slice_id: int) -> None:
-        """Discard the weights of a slice that another assigner owns by now."""
+        """Remove the weights of a slice, for example when another assigner owns it."""
         for migration in self.migrations:
             migration.weights = [entry for entry in migration.weights if entry.slice_id != slice_id]
 
     def unacknowledged_writes(self) -> list[tuple[int, list[WeightEntry]]]:
-        """Weights by batch that the store has not committed yet, to be written again after it was unreachable."""
+        """Return the weights that the store has not committed yet, with the number of their batch.
+
+        They are written again after the store was unreachable.
+        """
         if self.migrations and self.migrations[0].stage is _Stage.STORING:
             return [(self.migrations[0].batch, self.migrations[0].weights)]
         return []
 
     def on_token_renewed(self, slice_id: int, fencing_token: int) -> None:
-        """Use a new token for a slice, in an unbroken tenure."""
+        """Replace the fencing token in the weights of a slice whose tenure is unbroken."""
         for migration in self.migrations:
             migration.weights = [_with_token(entry, slice_id, fencing_token) for entry in migration.weights]
 
     # Time -----------------------------------------------------------------------------------------
 
     def advance(self, now: float) -> HandoverSteps:
-        """End the draining that is complete or out of time; to be called regularly during a migration."""
+        """End draining if it is complete or its deadline has passed; called regularly during a migration."""
         steps = HandoverSteps()
         if self.migrations and self.migrations[0].stage is _Stage.DRAINING:
             migration = self.migrations[0]
@@ -184,18 +221,27 @@
 
     @property
     def _disconnected_drain_s(self) -> float:
+        """Return how long a disconnected proxy may have writes in flight, in seconds."""
         return self.write_lease_s + self.max_write_deadline_s
 
     def _begin_draining(self, now: float, immediate: dict[int, ProxyUpdate]) -> AddressedUpdates:
-        """Begin with all pending batches as one; the immediate parts go along with the request to drain."""
+        """Merge all pending migrations into one, and begin to drain its slices.
+
+        Returns:
+            The requests to drain, each together with the part of its proxy's update that is not delayed.
+        """
         migration = self._merge_pending()
         self._last_checkpoint_id += 1
         migration.checkpoint_id = self._last_checkpoint_id
         migration.unacknowledged = set(self.proxies)
         migration.drain_deadline = now + self.max_drain_s
-        recent = [at for at in self._disconnected_at.values() if now - at < self._disconnected_drain_s]
+        recent = [
+            disconnected_at
+            for disconnected_at in self._disconnected_at.values()
+            if now - disconnected_at < self._disconnected_drain_s
+        ]
         migration.disconnected_drained_at = max(
-            (at + self._disconnected_drain_s for at in recent), default=0.0
+            (disconnected_at + self._disconnected_drain_s for disconnected_at in recent), default=0.0
         )
         slice_ids = migration.slice_ids
         updates: AddressedUpdates = []
@@ -211,6 +257,7 @@
         return updates
 
     def _merge_pending(self) -> _Migration:
+        """Replace all migrations by a merged one, and return it."""
         migration = self.migrations.popleft()
         while self.migrations:
             migration = migration.merged_with(self.migrations.popleft())
@@ -219,10 +266,11 @@
 
     @staticmethod
     def _is_stored(migration: _Migration, acknowledged_batch: int) -> bool:
+        """Return whether the store has committed a migration, given the last batch that it acknowledged."""
         return migration.stage is _Stage.STORING and migration.batch <= acknowledged_batch
 
     def _final_updates(self, now: float, migration: _Migration) -> AddressedUpdates:
-        """The new weights, also for proxies that connected during the migration."""
+        """Return updates with the new weights, also for the proxies that connected during the migration."""
         deferred = dict(migration.deferred_updates)
         cost = self.header_entries + len(migration.weights)
         updates: AddressedUpdates = []
@@ -249,6 +297,7 @@
 
 
 def _with_token(entry: WeightEntry, slice_id: int, fencing_token: int) -> WeightEntry:
+    """Return an entry with a new fencing token if it belongs to the slice, or else unchanged."""
     if entry.slice_id != slice_id:
         return entry
     return msgspec.structs.replace(entry, fencing_token=fencing_token)
@@ -259,8 +308,8 @@
     return msgspec.structs.replace(update, withdrawn_servers=[], readmitted_servers=[], admission_levels=[])
 
 
-def handover_for(settings: Settings, write_lease_s: float) -> Handover | None:
-    """Return the handover of an assigner; None where slices may have several writers."""
+def create_handover(settings: Settings, write_lease_s: float) -> Handover | None:
+    """Return the handover of an assigner, or None if slices may have several writers."""
     if not settings.single_writer:
         return None
     max_write_deadline_s = max(
@@ -276,7 +325,11 @@
 
 
 def with_handover_budget(settings: Settings) -> Settings:
-    """Return settings for the decision module so that all of a batch's messages stay within the limit."""
+    """Return settings for the decision module that limit its messages to what a handover permits.
+
+    A handover sends more messages to each proxy than the decision module counts, and all of them have to stay
+    within the limit of messages per window.
+    """
     if not settings.max_messages_per_window:
         return settings
     budget = (settings.max_messages_per_window - 1) // MESSAGES_PER_BATCH
--- a/puffintide/assigner/handover_runner.py
+++ b/puffintide/assigner/handover_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of the handover of slices with a single writer."""
+"""Carries out the steps of the handover of slices that have a single writer."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from puffintide.assigner.store_client import StoreClient
 from puffintide.protocol.clock import Clock, Timer
 
-ADVANCE_INTERVAL_S = 0.02  # during a migration
+ADVANCE_INTERVAL_S = 0.02  # Interval between checks of the draining of a migration, in seconds.
 
 
 class HandoverRunner:
-    """Sends the handover's updates and writes, and advances it while a migration is in progress."""
+    """Sends the updates and writes of a handover, and advances it while a migration is in progress."""
 
     def __init__(
         self, clock: Clock, handover: Handover, store_client: StoreClient, proxy_updates: ProxyUpdateSender
@@ -23,7 +23,11 @@
         self._timer: Timer | None = None
 
     def run(self, steps: HandoverSteps) -> None:
-        """Carry out steps. Without a store writes wait in the handover, which repeats them on its return."""
+        """Carry out the steps of the handover.
+
+        Writes are skipped while the store is not connected. The handover retains them, and they are written
+        when the store is connected again.
+        """
         if self.store_client.stream is not None:
             for batch, weights in steps.writes:
                 self.store_client.write(batch, weights)
--- a/puffintide/assigner/health_checks.py
+++ b/puffintide/assigner/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of servers on sockets. When one is made is for the decision module to say."""
+"""Health checks of servers over sockets, which the decision module requests."""
 
 from __future__ import annotations
 
@@ -13,24 +13,27 @@
 from puffintide.protocol.stream import Stream
 from puffintide.tls.context import TlsContextFactory
 
-HEARTBEAT_INTERVAL_S = 30.0  # between checks a stream to a server only has to stay open
-HEARTBEAT_TIMEOUT_S = 60.0
+# Heartbeat interval of a stream to a server, in seconds. Between checks the stream only has to stay open.
+HEARTBEAT_INTERVAL_S = 30.0
+HEARTBEAT_TIMEOUT_S = 60.0  # Time without a message after which a stream to a server is closed, in seconds.
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingCheck:
+    """A health check that is in progress."""
+
     check_id: int
     started_at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckOptions:
-    """How health checks are made.
+    """Options of the health checks.
 
     Attributes:
-        greeting_factory: Returns the Hello of a connection.
-        timeout_s: After which a check has failed.
-        tls: Certificates; None for plain TCP.
+        greeting_factory: Returns the Hello of a new connection.
+        timeout_s: Time after which a check has failed, in seconds.
+        tls: The factory of TLS contexts; None for plain TCP.
     """
 
     greeting_factory: Callable[[], m.Hello]
@@ -39,7 +42,7 @@
 
 
 class HealthChecker:
-    """Checks one server over a stream that stays open; one check is in progress at a time."""
+    """Checks one server over a persistent stream, with one check in progress at a time."""
 
     def __init__(
         self,
@@ -48,7 +51,14 @@
         options: HealthCheckOptions,
         on_result: Callable[[int, float, tuple[float, ...]], None],
     ) -> None:
-        """Connect to HOST:PORT; on_result is called with status, seconds and load values of each check."""
+        """Connect to a server.
+
+        Args:
+            reactor: The reactor that opens connections and runs timers.
+            address: The address of the server, as HOST:PORT.
+            options: The options of the checks.
+            on_result: Called with the status, the duration in seconds and the load values of each check.
+        """
         self.reactor = reactor
         self.address = address
         self.options = options
@@ -60,7 +70,7 @@
         self._client = self._connect()
 
     def check(self, now: float) -> None:
-        """Begin a check, unless one is in progress."""
+        """Start a check, unless one is already in progress."""
         if self._pending is not None:
             return
         self._last_check_id += 1
@@ -111,6 +121,7 @@
         self._finish(m.AttemptStatus.TIMEOUT, ())
 
     def _finish(self, status: int, load_values: tuple[float, ...]) -> None:
+        """End the check in progress, if there is one, and report its result."""
         if self._pending is None:
             return
         elapsed_s = self.reactor.seconds() - self._pending.started_at_s
@@ -127,7 +138,7 @@
     """The health checkers of all servers.
 
     Attributes:
-        by_server: Each server that was checked and is listed.
+        by_server: The health checkers of the listed servers that were checked, by server id.
     """
 
     def __init__(
@@ -142,7 +153,7 @@
         self.by_server: dict[int, HealthChecker] = {}
 
     def check(self, now: float, server_id: int, address: str) -> None:
-        """Begin a check of a server at HOST:PORT; does nothing without an address."""
+        """Start a check of a server at an address of the form HOST:PORT; do nothing if it is empty."""
         if not address:
             return
         checker = self.by_server.get(server_id)
@@ -154,14 +165,14 @@
         checker.check(now)
 
     def retain(self, server_ids: Container[int]) -> None:
-        """Stop the checkers of all other servers."""
+        """Stop and remove the checkers of all servers that are not in server_ids."""
         for server_id in sorted(self.by_server):
             if server_id not in server_ids:
                 self.by_server.pop(server_id).stop()
 
     def _create_checker(self, server_id: int, address: str) -> HealthChecker:
         def on_result(status: int, elapsed_s: float, load_values: tuple[float, ...]) -> None:
-            """Add the server to a result."""
+            """Add the server id to a result and forward it."""
             self.on_result(HealthCheckResult(server_id, HealthCheckStatus(status), elapsed_s, load_values))
 
         return HealthChecker(self.reactor, address, self.options, on_result)
--- a/puffintide/assigner/inbound_streams.py
+++ b/puffintide/assigner/inbound_streams.py
@@ -1,4 +1,4 @@
-"""Connections from other processes: who is accepted, and whose messages go where."""
+"""Accepts connections from other processes and routes their messages to the handlers."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class InboundStreams:
-    """Streams of proxies, operators and other assigners that connected to this assigner.
+    """Handles the streams of proxies, operators and other assigners that connect to this assigner.
 
     Args:
-        clock: Gives the time of answers.
-        assigner_id: Of this assigner.
-        deployment: Name that peers have to give.
-        proxy_sessions: Handles proxies.
-        peer_sessions: Handles other assigners; None if they are not accepted.
-        zone_director: Answers operators; None without a zone plan.
+        clock: The clock that supplies the time of answers.
+        assigner_id: The id of this assigner.
+        deployment: The deployment name that a Hello has to contain.
+        proxy_sessions: The handler of proxies.
+        peer_sessions: The handler of other assigners; None if they are not accepted.
+        zone_director: The source of the answers to operators; None without a zone plan.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.zone_director = zone_director
 
     def rejection_reason(self, hello: Greeting) -> str | None:
-        """Return why a peer is rejected, or None."""
+        """Return the reason to reject a peer, or None if it is accepted."""
         assert isinstance(hello, m.Hello)
         is_peer = hello.role == ASSIGNER and self.peer_sessions is not None
         if hello.role not in (PROXY, OPERATOR) and not is_peer:
@@ -59,7 +59,10 @@
         return None
 
     def on_message(self, stream: Stream, message: AnyMessage) -> None:
-        """Handle a message, the greeting first; one that its sender may not send is rejected."""
+        """Handle a message from a peer, the first of which is its Hello.
+
+        A message that a peer of its role may not send is rejected.
+        """
         match message:
             case m.Hello():
                 self._on_hello(stream, message)
@@ -78,10 +81,11 @@
                 stream.reject(f"a {type(message).__name__} is not for an assigner")
 
     def on_lost(self, stream: Stream, _reason: AnyMessage) -> None:
-        """Note that a stream was lost; those of other assigners are noticed by their sessions."""
+        """Handle the loss of a proxy's stream; the sessions of other assigners detect the loss of theirs."""
         self.proxy_sessions.on_lost(stream)
 
     def _on_hello(self, stream: Stream, hello: m.Hello) -> None:
+        """Register an accepted peer with the sessions of its role."""
         if hello.role == PROXY:
             self.proxy_sessions.on_connected(stream, hello)
         elif hello.role == ASSIGNER and self.peer_sessions is not None:
--- a/puffintide/assigner/load_reports.py
+++ b/puffintide/assigner/load_reports.py
@@ -1,7 +1,8 @@
 """Aggregates the usage reports of proxies into load reports for the decision module. No I/O and no clock.
 
-Usage adds up by zone and server, and by slice and request class. Reports are limited to a number of entries a
-second: what exceeds it stays and adds up, and the oldest goes first, so that nothing is left unreported for ever.
+Usage is summed by proxy zone and server, and by slice and request class. Load reports are limited to a number
+of entries per second. Totals that exceed the limit are retained and keep accumulating. The oldest totals are
+reported first, so that each of them is reported eventually.
 """
 
 from __future__ import annotations
@@ -13,38 +14,47 @@
 from puffintide.decisions.events import Event, ServerLoadReport, SliceLoadReport
 from puffintide.protocol.messages import ServerUsage, SliceUsage, UsageReport
 
-MAX_COVERED_INTERVALS = 4  # a report covers at most so many intervals of the usage reports
-REPORT_TIMES_RETAINED_S = 60.0  # longer than any interval that a report covers
-FIRST_CREDIT_S = 0.5  # before the first call, as no period has passed yet
+MAX_COVERED_INTERVALS = 4  # Maximum number of usage report intervals that one load report covers.
+# Time for which the times of load reports are retained, in seconds.
+# It is longer than any interval that a report covers.
+REPORT_TIMES_RETENTION_S = 60.0
+# Interval whose entries the first call may report, in seconds, as no earlier call measures one.
+FIRST_CREDIT_S = 0.5
 
 
 class _ServerKey(msgspec.Struct, frozen=True):
+    """A server as used by the proxies of one zone."""
+
     proxy_zone: int
     server_id: int
 
 
 class _SliceKey(msgspec.Struct, frozen=True):
+    """A slice and a request class."""
+
     slice_id: int
     class_index: int
 
 
 @dataclass(slots=True)
 class _ServerTotals:
-    since_s: float  # when counting began
+    """Usage of a server by the proxies of one zone since its last load report."""
+
+    counting_since: float  # Time at which counting started, in seconds.
     attempts: int = 0
     failed_attempts: int = 0
     success_latency_total_s: float = 0.0
     load_values: tuple[float, ...] = ()
 
     def add(self, usage: ServerUsage) -> None:
-        """Add what one proxy counted at the server."""
+        """Add the usage of the server by one proxy."""
         self.attempts += usage.attempts
         self.failed_attempts += usage.failed_attempts
         self.success_latency_total_s += usage.success_latency_total_s
         self.load_values = tuple(usage.load_values) or self.load_values
 
     def report(self, now: float, key: _ServerKey) -> ServerLoadReport | None:
-        """Return the load report, None without attempts."""
+        """Return the load report, or None if there were no attempts."""
         if not self.attempts:
             return None
         successes = self.attempts - self.failed_attempts
@@ -55,48 +65,54 @@
             self.attempts,
             self.failed_attempts,
             mean_latency_s,
-            now - self.since_s,
+            now - self.counting_since,
             self.load_values,
         )
 
 
 @dataclass(slots=True)
 class _SliceTotals:
-    since_s: float  # when counting began
+    """Usage of a slice by one request class since its last load report."""
+
+    counting_since: float  # Time at which counting started, in seconds.
     requests: int = 0
     unanswered: int = 0
 
     def add(self, usage: SliceUsage) -> None:
-        """Add what one proxy counted for the slice."""
+        """Add the usage of the slice by one proxy."""
         self.requests += usage.requests
         self.unanswered += usage.unanswered
 
     def report(self, now: float, key: _SliceKey) -> SliceLoadReport | None:
-        """Return the load report, None without requests."""
+        """Return the load report, or None if there were no requests."""
         if not self.requests:
             return None
         return SliceLoadReport(
-            key.slice_id, key.class_index, self.requests, self.unanswered, now - self.since_s
+            key.slice_id, key.class_index, self.requests, self.unanswered, now - self.counting_since
         )
 
 
 class LoadReportAggregator:
-    """Totals since the last report of each pair; entries_per_s limits the reports."""
+    """Aggregates usage by key, which is a zone and server, or a slice and request class.
+
+    Attributes:
+        entries_per_s: Maximum rate of load reports, in entries per second.
+    """
 
     def __init__(self, entries_per_s: float) -> None:
         self.entries_per_s = entries_per_s
-        self._totals: dict[_ServerKey | _SliceKey, _ServerTotals | _SliceTotals] = {}  # the oldest first
+        self._totals: dict[_ServerKey | _SliceKey, _ServerTotals | _SliceTotals] = {}  # Ordered oldest first.
         self._reported_at: dict[_ServerKey | _SliceKey, float] = {}
         self._credit = 0.0
         self._last_call_at: float | None = None
 
     def add_usage(self, now: float, proxy_zone: int, usage: UsageReport) -> None:
-        """Add what one proxy counted."""
+        """Add a usage report of one proxy in a zone."""
         for server_usage in usage.servers:
             server_key = _ServerKey(proxy_zone, server_usage.server_id)
             server_totals = self._totals.get(server_key)
             if server_totals is None:
-                server_totals = _ServerTotals(self._counting_since(now, server_key, usage.interval_s))
+                server_totals = _ServerTotals(self._counting_start(now, server_key, usage.interval_s))
                 self._totals[server_key] = server_totals
             assert isinstance(server_totals, _ServerTotals)
             server_totals.add(server_usage)
@@ -104,17 +120,19 @@
             slice_key = _SliceKey(slice_usage.slice_id, slice_usage.class_index)
             slice_totals = self._totals.get(slice_key)
             if slice_totals is None:
-                slice_totals = _SliceTotals(self._counting_since(now, slice_key, usage.interval_s))
+                slice_totals = _SliceTotals(self._counting_start(now, slice_key, usage.interval_s))
                 self._totals[slice_key] = slice_totals
             assert isinstance(slice_totals, _SliceTotals)
             slice_totals.add(slice_usage)
 
     def drain_reports(self, now: float) -> list[Event]:
-        """Return the load reports that fit into the limit, the oldest first, and begin their counting anew."""
+        """Return the load reports that the rate limit allows, oldest first, and remove their totals."""
         elapsed_s = now - self._last_call_at if self._last_call_at is not None else FIRST_CREDIT_S
         self._last_call_at = now
         self._reported_at = {
-            key: at for key, at in self._reported_at.items() if now - at < REPORT_TIMES_RETAINED_S
+            key: reported_at
+            for key, reported_at in self._reported_at.items()
+            if now - reported_at < REPORT_TIMES_RETENTION_S
         }
         self._credit = min(self._credit + elapsed_s * self.entries_per_s, self.entries_per_s)
         reports: list[Event] = []
@@ -128,11 +146,12 @@
         return reports
 
     def forget_slice(self, slice_id: int) -> None:
-        """Drop the usage of a slice that is no longer owned."""
+        """Remove the totals of a slice that this assigner no longer owns."""
         for key in [key for key in self._totals if isinstance(key, _SliceKey) and key.slice_id == slice_id]:
             del self._totals[key]
 
     def _pop_report(self, now: float, key: _ServerKey | _SliceKey) -> Event | None:
+        """Remove the totals of a key, and return their load report or None if they are empty."""
         totals = self._totals.pop(key)
         if isinstance(key, _ServerKey):
             assert isinstance(totals, _ServerTotals)
@@ -140,8 +159,13 @@
         assert isinstance(totals, _SliceTotals)
         return totals.report(now, key)
 
-    def _counting_since(self, now: float, key: _ServerKey | _SliceKey, interval_s: float) -> float:
-        """The last report of the pair, or if that was long ago as far back as the usage reaches."""
+    def _counting_start(self, now: float, key: _ServerKey | _SliceKey, interval_s: float) -> float:
+        """Return the time at which counting for new totals started.
+
+        This is the time of the key's last load report, but at most MAX_COVERED_INTERVALS usage report
+        intervals ago. Without an earlier report it is one interval ago. It is always at least half an
+        interval ago.
+        """
         reported_at = self._reported_at.get(key, now - interval_s)
-        since = max(reported_at, now - MAX_COVERED_INTERVALS * interval_s)
-        return min(since, now - interval_s / 2)
+        start = max(reported_at, now - MAX_COVERED_INTERVALS * interval_s)
+        return min(start, now - interval_s / 2)
--- a/puffintide/assigner/operator_requests.py
+++ b/puffintide/assigner/operator_requests.py
@@ -1,4 +1,4 @@
-"""Answers to operators: how the zones are judged, and what is replicated here."""
+"""Answers to requests of operators: the states of the zones, and the rows of the replica."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from puffintide.replication.replica import Replica
 from puffintide.zones.director import ZonedDirector
 
-MAX_ROWS_SHOWN = 200_000
-DECIMALS = 4  # of fractions
+MAX_REPLICA_ROWS = 200_000  # Maximum number of rows sent in answer to one request.
+FRACTION_DECIMALS = 4
 SECONDS_DECIMALS = 3
 
 
 def zone_status_report(now: float, assigner_id: int, director: ZonedDirector | None) -> m.ZoneStatusReport:
-    """Return the state of the zone plan; director is None without one."""
+    """Return the states of the zones; director is None without a zone plan."""
     states = director.plan.states() if director is not None else []
     statuses = [
         m.ZoneStatus(
             state.zone,
             state.phase.value,
             state.cause,
-            round(state.available_fraction, DECIMALS),
-            round(state.min_capacity_fraction, DECIMALS),
-            round(state.max_capacity_fraction, DECIMALS),
+            round(state.available_fraction, FRACTION_DECIMALS),
+            round(state.min_capacity_fraction, FRACTION_DECIMALS),
+            round(state.max_capacity_fraction, FRACTION_DECIMALS),
             round(max(0.0, state.held_until_s - now), SECONDS_DECIMALS),
             state.flap_count,
             list(state.spillover),
-            round(state.unplaced_fraction, DECIMALS),
+            round(state.unplaced_fraction, FRACTION_DECIMALS),
         )
         for state in states
     ]
@@ -34,7 +34,7 @@
 
 
 def send_replica(now: float, stream: Stream, replica: Replica) -> None:
-    """Send all rows that are held, and a digest to end with."""
-    for delta in replica.deltas_for(now, [], MAX_ROWS_SHOWN):
+    """Send all rows of the replica, followed by its digest, which marks the end."""
+    for delta in replica.deltas_for(now, [], MAX_REPLICA_ROWS):
         stream.send(delta)
     stream.send(m.VersionDigest(replica.digest()))
--- a/puffintide/assigner/proxy_sessions.py
+++ b/puffintide/assigner/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""The proxies that are connected: their greeting, usage reports and checkpoint replies."""
+"""Sessions of connected proxies, which handle their greetings, usage reports and checkpoint replies."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from puffintide.protocol.stream import UNIDENTIFIED_PEER, Stream
 from puffintide.protocol.validation import usage_report_problem
 
-MAX_PROXY_ID = 65534
+MAX_PROXY_ID = 65534  # Largest id of a proxy; larger ones are rejected.
 
 
 class ProxySessions:
-    """Sessions with the proxies; a proxy that connects anew replaces its earlier stream."""
+    """Handles the sessions of all proxies; a new connection of a proxy replaces its previous stream."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         """Create the sessions.
 
         Args:
-            clock: Gives the time of events.
-            runtime: Receives events.
-            proxy_updates: Sends on the streams.
-            load_reports: Receives usage reports.
-            handover_runner: Of slices with a single writer; None without.
-            log: Structured logger.
-            on_events: Called when the runtime was given events.
+            clock: The clock that supplies the time of events.
+            runtime: The runtime that receives events.
+            proxy_updates: The sender of updates, which owns the streams.
+            load_reports: The aggregator that receives usage reports.
+            handover_runner: The runner of handovers; None if slices may have several writers.
+            log: The structured logger.
+            on_events: Called after events were added to the runtime.
         """
         self.clock = clock
         self.runtime = runtime
@@ -53,12 +53,12 @@
         self.on_events = on_events
 
     def on_connected(self, stream: Stream, hello: m.Hello) -> None:
-        """Add a proxy."""
+        """Add a proxy that connected, and close its previous stream if there is one."""
         now = self.clock.seconds()
-        earlier = self.proxy_updates.streams.get(hello.id)
-        if earlier is not None:
-            earlier.peer = UNIDENTIFIED_PEER
-            earlier.abort("the proxy connected anew")
+        previous_stream = self.proxy_updates.streams.get(hello.id)
+        if previous_stream is not None:
+            previous_stream.peer = UNIDENTIFIED_PEER
+            previous_stream.abort(f"proxy {hello.id} opened a new connection")
             self._remove(now, hello.id)
         self.proxy_updates.add_proxy(hello.id, stream)
         if self.handover_runner is not None:
@@ -71,7 +71,7 @@
         self.on_events()
 
     def on_message(self, stream: Stream, message: AnyMessage) -> None:
-        """Handle a message of a proxy; one that is not for an assigner is rejected."""
+        """Handle a message from a proxy; a type of message that assigners do not accept is rejected."""
         match message:
             case m.UsageReport():
                 self._on_usage_report(stream, message)
@@ -81,7 +81,7 @@
                 stream.reject(f"a {type(message).__name__} is not for an assigner")
 
     def on_lost(self, stream: Stream) -> None:
-        """Remove the proxy whose stream was lost, unless it has another one by now."""
+        """Remove the proxy whose stream was lost, unless it has connected again."""
         proxy_id = stream.peer.id
         if stream.peer.role == PROXY and self.proxy_updates.streams.get(proxy_id) is stream:
             self._remove(self.clock.seconds(), proxy_id)
@@ -89,6 +89,7 @@
             self.on_events()
 
     def _remove(self, now: float, proxy_id: int) -> None:
+        """Remove a proxy from the sender of updates, the handover and the runtime."""
         self.proxy_updates.remove_proxy(proxy_id)
         if self.handover_runner is not None:
             handover = self.handover_runner.handover
@@ -96,6 +97,7 @@
         self.runtime.on_proxy_disconnected(now, proxy_id)
 
     def _on_usage_report(self, stream: Stream, report: m.UsageReport) -> None:
+        """Add a usage report to the load reports, or reject it if a value is out of range."""
         settings = self.runtime.settings
         problem = usage_report_problem(report, settings.slice_count, len(settings.request_classes))
         if problem is not None:
@@ -106,6 +108,7 @@
             self.load_reports.add_usage(self.clock.seconds(), zone, report)
 
     def _on_checkpoint_reply(self, proxy_id: int, checkpoint_id: int) -> None:
+        """Pass a checkpoint reply to the handover or the decision module, whichever sent the checkpoint."""
         now = self.clock.seconds()
         if checkpoint_id >= FIRST_CHECKPOINT_ID:
             if self.handover_runner is not None:
--- a/puffintide/assigner/proxy_updates.py
+++ b/puffintide/assigner/proxy_updates.py
@@ -1,4 +1,4 @@
-"""Sends updates to the connected proxies, through the paced channel."""
+"""Sends updates to the connected proxies through the rate-limited channel."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from puffintide.protocol.stream import PeerIdentity, Stream
 
 PROXY = "proxy"
-CHECKPOINT_RETENTION_S = 120.0  # after which an unanswered checkpoint is forgotten
-MIN_FLUSH_DELAY_S = 0.002
-BACKLOG_POLL_INTERVAL_S = 0.05  # while only proxies that do not read have messages
+CHECKPOINT_RETENTION_S = 120.0  # Time for which an unanswered checkpoint is retained, in seconds.
+MIN_FLUSH_DELAY_S = 0.002  # Minimum delay before queued messages are sent, in seconds.
+# Interval between checks of the streams while only proxies that do not read have messages, in seconds.
+BACKLOG_POLL_INTERVAL_S = 0.05
 
 
 class ProxyUpdateSender:
-    """Streams to the proxies, and what is queued for them.
+    """Sends queued updates on the streams of the proxies.
 
     Attributes:
-        streams: By proxy.
-        max_checkpoint_delay_s: The longest time from a checkpoint to its acknowledgement.
+        streams: The stream of each connected proxy, by proxy id.
+        max_checkpoint_delay_s: Longest time between a checkpoint and its acknowledgement, in seconds.
     """
 
     def __init__(self, clock: Clock, channel: Channel) -> None:
@@ -30,18 +31,18 @@
         self._flush_timer: Timer | None = None
 
     def add_proxy(self, proxy_id: int, stream: Stream) -> None:
-        """Send updates of a proxy on a stream."""
+        """Add a proxy, whose updates are sent on the stream."""
         stream.peer = PeerIdentity(PROXY, proxy_id)
         self.streams[proxy_id] = stream
         self.channel.add_proxy(proxy_id)
 
     def remove_proxy(self, proxy_id: int) -> None:
-        """Drop what is queued for a proxy that disconnected."""
+        """Remove a proxy, and drop its queued updates."""
         self.streams.pop(proxy_id, None)
         self.channel.remove_proxy(proxy_id)
 
     def send(self, updates: AddressedUpdates) -> None:
-        """Queue updates, and send what may leave now."""
+        """Queue updates, and send the messages that the rate limit allows."""
         now = self.clock.seconds()
         for proxy_id, update in updates:
             self.channel.enqueue(proxy_id, update)
@@ -51,7 +52,7 @@
         self._flush()
 
     def on_checkpoint_reply(self, checkpoint_id: int) -> float:
-        """Return the seconds since a checkpoint was sent, 0 if it is not known any more."""
+        """Return the time since a checkpoint was sent in seconds, or 0 if the checkpoint is unknown."""
         now = self.clock.seconds()
         delay_s = now - self._checkpoints_sent_at.get(checkpoint_id, now)
         self.max_checkpoint_delay_s = max(self.max_checkpoint_delay_s, delay_s)
@@ -65,6 +66,7 @@
         }
 
     def _flush(self) -> None:
+        """Send backlogs and due messages, and abort the streams whose backlogs are too large."""
         now = self.clock.seconds()
         for proxy_id, stream in sorted(self.streams.items()):
             for update in self.channel.set_writable(now, proxy_id, stream.writable):
@@ -73,7 +75,9 @@
         for proxy_id, update in departures:
             self.streams[proxy_id].send(update)
         for proxy_id in overflowed:
-            self.streams[proxy_id].abort("the proxy does not read its updates")
+            self.streams[proxy_id].abort(
+                f"proxy {proxy_id} does not read its updates and has the largest backlog on a full channel"
+            )
         self._schedule_flush(now)
 
     def _on_flush_timer(self) -> None:
@@ -81,6 +85,7 @@
         self._flush()
 
     def _schedule_flush(self, now: float) -> None:
+        """Schedule the next flush, unless one is scheduled or nothing is queued."""
         if self._flush_timer is not None:
             return
         departs_at = self.channel.next_departure_at()
--- a/puffintide/assigner/replica_exchange.py
+++ b/puffintide/assigner/replica_exchange.py
@@ -1,4 +1,4 @@
-"""Connects the replication between assigners with the runtime and the store of this one."""
+"""Connects the replication between assigners with the runtime and the store client of this assigner."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ReplicaExchange:
-    """Publishes at regular intervals what this assigner knows, and adds what others observed as events."""
+    """Publishes the findings of this assigner periodically, and adds the observations of others as events."""
 
     def __init__(
         self,
@@ -28,16 +28,16 @@
         on_events: Callable[[], None],
         on_tables_changed: Callable[[set[int]], None],
     ) -> None:
-        """Create the exchange without timers.
+        """Create the exchange without starting its timer.
 
         Args:
-            clock: For timers.
-            peer_sessions: Streams to the other assigners.
-            runtime: Receives events, and knows tokens and endpoints.
-            owned_tables: Published when they change.
-            endpoint_list: When each endpoint was received.
-            on_events: Called when the runtime was given events.
-            on_tables_changed: Called at each interval with the slices whose tables changed.
+            clock: The clock that runs the timers.
+            peer_sessions: The sessions of the other assigners.
+            runtime: The runtime that receives events, and supplies fencing tokens and endpoints.
+            owned_tables: The tables that are published when they change.
+            endpoint_list: The list that supplies the time at which each endpoint was received.
+            on_events: Called after events were added to the runtime.
+            on_tables_changed: Called at each interval with the ids of the slices whose tables changed.
         """
         self.clock = clock
         self.peer_sessions = peer_sessions
@@ -48,21 +48,27 @@
         self.on_tables_changed = on_tables_changed
 
     def start(self) -> None:
-        """Begin to publish."""
+        """Start to publish periodically."""
         self.clock.callLater(self.peer_sessions.section.every_s, self._publish)
 
     def tables(self, slice_ids: set[int] | None) -> Iterator[ReplicationDelta]:
-        """Return the current tables of slices, or of all, as every assigner knows them."""
+        """Return the latest tables of slices, as known to all assigners, in deltas.
+
+        Args:
+            slice_ids: The ids of the slices to return; None for all slices.
+        """
         self._exchange()
         return latest_tables(self.peer_sessions.replica, self.clock.seconds, slice_ids)
 
     def _publish(self) -> None:
+        """Exchange findings and observations, report the changed slices, and schedule the next interval."""
         changed_slices = set(self.owned_tables.changed_slices)
         self._exchange()
         self.on_tables_changed(changed_slices)
         self.clock.callLater(self.peer_sessions.section.every_s, self._publish)
 
     def _exchange(self) -> None:
+        """Publish the findings of this assigner, and add the observations of others to the runtime."""
         findings = LocalFindings(*self.runtime.director.findings())
         observations = self.peer_sessions.exchange(
             self.runtime.fencing_tokens, self.owned_tables, findings, self._endpoint_list_state()
@@ -72,6 +78,7 @@
             self.on_events()
 
     def _endpoint_list_state(self) -> EndpointListState:
+        """Return the state of the endpoint list, without times of receipt until the source was reached."""
         endpoints = self.runtime.endpoints
         received_at_s: dict[int, float] = {}
         if self.endpoint_list.received_from_source:
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -1,7 +1,7 @@
 """Turns input into events of the decision module, and its actions into effects. No I/O and no clock of its own.
 
-All events between two ticks form one batch; what the module answers becomes one update for each proxy. The runtime
-itself decides nothing.
+All events between two ticks form one batch; what the module answers becomes one update for each proxy. The
+runtime itself decides nothing.
 """
 
 from __future__ import annotations
@@ -44,28 +44,41 @@
     WeightEntry,
 )
 
-MAX_EARLY_EVENTS = 1_000_000  # retained before the first endpoint list
+MAX_EARLY_EVENTS = 1_000_000  # Maximum number of events retained before the first endpoint list.
+# Types of events that are retained before the first endpoint list.
 EARLY_EVENT_TYPES = (OwnershipChanged, StoredWeight, ProxyConnected, ProxyDisconnected)
 
 
 class DecisionModule(Protocol):
-    """What the runtime needs of the decision module."""
+    """The interface of the decision module that the runtime uses."""
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        """Return the actions for a batch of events; now is in seconds."""
+        """Return the actions for a batch of events, given the current time in seconds."""
 
     def findings(self) -> tuple[float | None, dict[int, int]]:
-        """Return the learned capacity, if any, and the recovery level of each server that is not at its top one."""
+        """Return the learned capacity, if any, and the level of each server that is still recovering."""
 
 
 @dataclass(slots=True)
 class Effects:
-    """What a tick asks the service to do, in this order."""
+    """The effects of a tick, which the service carries out in this order.
 
-    weight_writes: list[WeightEntry] = field(default_factory=list)  # to the store
-    proxy_updates: list[tuple[int, ProxyUpdate]] = field(default_factory=list)  # with the proxy's id
-    health_checks: list[int] = field(default_factory=list)  # by server
-    watch_requests: list[bool] = field(default_factory=list)  # whether to follow the endpoint list
+    Attributes:
+        weight_writes: Weights to write to the store.
+        proxy_updates: Updates to send to the proxies, with the ids of the proxies.
+        health_checks: Ids of the servers to check.
+        watch_requests: Requests to start (True) or stop (False) watching the endpoint list.
+        log_messages: Texts of the decision module to log.
+        batch: Number of the batch.
+        events: Events that were handed to the decision module.
+        actions: Actions that the decision module returned.
+        first_event_at_s: Time at which the first event of the batch was added, in seconds.
+    """
+
+    weight_writes: list[WeightEntry] = field(default_factory=list)
+    proxy_updates: list[tuple[int, ProxyUpdate]] = field(default_factory=list)
+    health_checks: list[int] = field(default_factory=list)
+    watch_requests: list[bool] = field(default_factory=list)
     log_messages: list[str] = field(default_factory=list)
     batch: int = 0
     events: tuple[Event, ...] = ()
@@ -75,33 +88,39 @@
 
 @dataclass(slots=True)
 class _UpdateContent:
-    """What a batch changes at the proxies beside weights."""
+    """The content of a batch's update other than weights.
+
+    Attributes:
+        withdrawn: Whether each server was withdrawn (True) or readmitted (False), by server id.
+        admission_levels: Admission levels that change.
+        checkpoint_id: The checkpoint to acknowledge, if any.
+    """
 
-    withdrawn: dict[int, bool] = field(default_factory=dict)  # by server; False: readmitted
+    withdrawn: dict[int, bool] = field(default_factory=dict)
     admission_levels: list[AdmissionLevel] = field(default_factory=list)
     checkpoint_id: int | None = None
 
     def withdrawn_servers(self) -> list[int]:
-        """Servers that proxies no longer use, in order."""
+        """Return the ids of the servers that proxies may no longer use, in ascending order."""
         return [server for server, withdrawn in sorted(self.withdrawn.items()) if withdrawn]
 
     def readmitted_servers(self) -> list[int]:
-        """Servers that proxies use again, in order."""
+        """Return the ids of the servers that proxies may use again, in ascending order."""
         return [server for server, withdrawn in sorted(self.withdrawn.items()) if not withdrawn]
 
 
 class Runtime:
-    """The state of one assigner process; nothing of it outlives the process.
+    """The state of one assigner process, which is lost when the process ends.
 
     Attributes:
         director: The decision module.
-        directory: Endpoints as listed.
+        directory: The endpoints as listed.
         batch: Number of the last batch.
-        proxy_zones: Zone of each connected proxy.
-        fencing_tokens: Current token of each owned slice.
-        tenure_tokens: First token of the unbroken tenure of each slice.
-        has_endpoint_list: Whether a first list was received. Before it the module is given nothing, as it would
-            take all servers for removed.
+        proxy_zones: The zone of each connected proxy, by proxy id.
+        fencing_tokens: The current fencing token of each owned slice, by slice id.
+        tenure_tokens: The first fencing token of the unbroken tenure of each slice, by slice id.
+        has_endpoint_list: Whether a first endpoint list was received. Until then no events are handed to the
+            decision module, as it would regard all servers as removed.
     """
 
     def __init__(
@@ -120,17 +139,17 @@
         self.has_endpoint_list = False
         self._events: list[Event] = []
         self._first_event_at_s = 0.0
-        self._timers: list[tuple[float, int, int]] = []  # due time, order of setting, timer id
+        self._timers: list[tuple[float, int, int]] = []  # Heap of due time, sequence number and timer id.
         self._timer_count = 0
 
     @property
     def endpoints(self) -> dict[int, EndpointEntry]:
-        """The last valid entry of each listed server."""
+        """Return the last valid entry of each listed server, by server id."""
         return self.directory.listed
 
     @property
     def server_addresses(self) -> dict[int, str]:
-        """HOST:PORT by server, also of servers that were removed recently."""
+        """Return the addresses (HOST:PORT) of listed and recently removed servers, by server id."""
         return self.directory.addresses
 
     # Input ----------------------------------------------------------------------------------------
@@ -164,8 +183,8 @@
         """Take over a slice with its stored table.
 
         Returns:
-            Whether the tenure is unbroken. The slice was then owned all the time, whatever the store missed, and
-            the module goes on with the table that it knows.
+            Whether the tenure is unbroken. In that case the slice was owned continuously, whatever writes the
+            store missed, and the decision module continues with the table that it knows.
         """
         slice_id = ownership.slice_id
         continues = (
@@ -183,46 +202,59 @@
         return False
 
     def on_ownership_revoked(self, now: float, slice_id: int) -> None:
-        """Give up a slice; nothing happens if it was not owned."""
+        """Give up a slice; do nothing if it was not owned."""
         if self.fencing_tokens.pop(slice_id, None) is not None:
             self.add_events(now, OwnershipChanged(slice_id, False))
 
     def on_proxy_connected(
         self, now: float, proxy_id: int, zone: int, request_rate: float, first_connection: bool
     ) -> None:
-        """Add a proxy; request_rate is in requests a second, first_connection since the proxy was started."""
+        """Add a proxy that connected.
+
+        Args:
+            now: The current time, in seconds.
+            proxy_id: The id of the proxy.
+            zone: The zone of the proxy.
+            request_rate: The rate of requests at the proxy, in requests per second.
+            first_connection: Whether this is the first connection since the proxy was started.
+        """
         self.proxy_zones[proxy_id] = zone
         self.add_events(now, ProxyConnected(proxy_id, zone, request_rate, first_connection))
 
     def on_proxy_disconnected(self, now: float, proxy_id: int) -> None:
-        """Remove a proxy; nothing happens if it is not connected."""
+        """Remove a proxy that disconnected; do nothing if it is not connected."""
         if self.proxy_zones.pop(proxy_id, None) is not None:
             self.add_events(now, ProxyDisconnected(proxy_id))
 
     # Ticks ----------------------------------------------------------------------------------------
 
     def next_timer_at(self) -> float | None:
-        """When the next timer is due, in seconds of the caller's clock; None without timers."""
+        """Return when the next timer is due, in seconds of the caller's clock, or None without timers."""
         return self._timers[0][0] if self._timers else None
 
     def restart_rounds(self, now: float) -> None:
-        """Resume the module's rounds after one that failed and lost its timer.
+        """Restart the module's rounds after a failed round in which its timer was not set.
 
-        Where a timer is set the module itself did not fail, and a second one would double its rounds for good.
+        If a timer is set, the decision module itself did not fail, and a second timer would permanently
+        double its rounds.
         """
         if self.next_timer_at() is None:
             self.add_events(now, TimerFired(0))
 
     def has_pending_events(self) -> bool:
-        """Whether the next tick hands events to the module."""
+        """Return whether the next tick hands pending events to the decision module."""
         return self.has_endpoint_list and bool(self._events)
 
     def pending_server_ids(self) -> set[int]:
-        """Servers named by stored weights that the module has not received yet."""
+        """Return the ids of the servers in stored weights that the decision module has not received yet."""
         return {event.server_id for event in self._events if isinstance(event, StoredWeight)}
 
     def tick(self, now: float) -> Effects | None:
-        """Hand pending events and due timers to the module; None when there are none."""
+        """Hand pending events and due timers to the decision module.
+
+        Returns:
+            The effects of its actions, or None if there was nothing to hand over or no endpoint list yet.
+        """
         while self._timers and self._timers[0][0] <= now:
             _, _, timer_id = heapq.heappop(self._timers)
             self.add_events(now, TimerFired(timer_id))
@@ -243,6 +275,7 @@
         return effects
 
     def _apply_actions(self, now: float, actions: tuple[Action, ...], effects: Effects) -> None:
+        """Add the effects of all actions, with one update for each connected proxy if anything changes."""
         content = _UpdateContent()
         for action in actions:
             self._apply_action(now, action, effects, content)
@@ -251,6 +284,7 @@
             effects.proxy_updates = [(proxy_id, update) for proxy_id in sorted(self.proxy_zones)]
 
     def _apply_action(self, now: float, action: Action, effects: Effects, content: _UpdateContent) -> None:
+        """Add the effect of an action; weights of slices that are not owned are dropped."""
         match action:
             case SetTimer(delay_s, timer_id):
                 self._timer_count += 1
@@ -290,6 +324,7 @@
         )
 
     def _weight_entry(self, slice_id: int, server_id: int, weight: float) -> WeightEntry:
+        """Return a weight entry with the address and zone of its server and the token of its slice."""
         address = self.directory.addresses.get(server_id, "")
         zone = self.directory.zones.get(server_id, -1)
         return WeightEntry(slice_id, server_id, weight, self.fencing_tokens[slice_id], address, zone)
--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -1,6 +1,6 @@
-"""The assigner on sockets: makes its parts and connects them.
+"""The assigner as a network service, which creates its components and connects them.
 
-What it decides comes from the decision module alone.
+All decisions are made by the decision module.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from puffintide.assigner.decision_loop import DecisionLoop
 from puffintide.assigner.endpoint_list import EndpointList
 from puffintide.assigner.endpoint_watch import EndpointWatch
-from puffintide.assigner.handover import Handover, HandoverSteps, handover_for, with_handover_budget
+from puffintide.assigner.handover import Handover, HandoverSteps, create_handover, with_handover_budget
 from puffintide.assigner.handover_runner import HandoverRunner
 from puffintide.assigner.health_checks import HealthCheckers, HealthCheckOptions
 from puffintide.assigner.inbound_streams import InboundStreams
@@ -42,18 +42,18 @@
 from puffintide.zones.director import ZonedDirector
 from puffintide.zones.state import ZoneLimits
 
-STATS_INTERVAL_S = 5.0
+STATS_INTERVAL_S = 5.0  # Interval between log events "stats", in seconds.
 
 
 class AssignerService:
-    """One assigner process.
+    """The service of one assigner process.
 
     Args:
-        reactor: For connections and timers.
-        config: With a section for this assigner.
-        log: Structured logger.
-        incarnation: Number of this start of the assigner; rises with each.
-        tls: Certificates; None for plain TCP.
+        reactor: The reactor that opens connections and runs timers.
+        config: The configuration, which has a section for this assigner.
+        log: The structured logger.
+        incarnation: The number of this start of the assigner, which increases with each start.
+        tls: The factory of TLS contexts; None for plain TCP.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.tls = tls
         self._jitter = random.Random(f"{self.process.seed}:{self.process.id}:{incarnation}").random
         self.settings = decision_settings(config, self.process.id, self.process.zone, self.process.seed)
-        handover = handover_for(self.settings, config.charge.write_lease_s)
+        handover = create_handover(self.settings, config.charge.write_lease_s)
         if handover is not None:
             self.settings = with_handover_budget(self.settings)
         self.zone_director = self._create_zone_director()
@@ -95,7 +95,7 @@
         self.inbound_streams = self._create_inbound_streams()
 
     def factory(self) -> StreamServerFactory:
-        """Return the factory for the listening port."""
+        """Return the protocol factory for the listening port."""
         return StreamServerFactory(
             self.reactor,
             lambda: m.Welcome(m.PROTOCOL_VERSION, ASSIGNER, self.process.id, self.incarnation),
@@ -105,9 +105,10 @@
         )
 
     def start(self) -> None:
-        """Connect to the other processes, and begin rounds, reports and statistics.
+        """Connect to the other processes, and start rounds, load reports and statistics.
 
-        With other assigners the store is connected once their tables are replicated here, or that takes too long.
+        If there are other assigners, the store is connected only once their tables are replicated to this
+        assigner, or after a maximum wait.
         """
         self.endpoint_watch.load_cache(self.reactor.seconds())
         if self.peer_sessions is None or self.replica_exchange is None:
@@ -120,7 +121,7 @@
         self.reactor.callLater(self.settings.report_period_s, self._report_load)
         self.reactor.callLater(STATS_INTERVAL_S, self._log_stats)
 
-    # Parts ----------------------------------------------------------------------------------------
+    # Components -----------------------------------------------------------------------------------
 
     def _create_zone_director(self) -> ZonedDirector | None:
         if not self.config.zones.plan:
@@ -242,6 +243,7 @@
         )
 
     def _store_hello(self) -> m.Hello:
+        """Return a Hello with the highest fencing token that this assigner knows."""
         highest_token = max(self.runtime.fencing_tokens.values(), default=0)
         return msgspec.structs.replace(self._hello(), highest_token=highest_token)
 
@@ -269,6 +271,7 @@
         self.handover_runner.run(steps)
 
     def _report_load(self) -> None:
+        """Add the due load reports to the runtime, and schedule the next call."""
         now = self.reactor.seconds()
         self.runtime.add_events(now, *self.load_reports.drain_reports(now))
         if self.runtime.has_pending_events():
@@ -276,6 +279,7 @@
         self.reactor.callLater(self.settings.report_period_s, self._report_load)
 
     def _apply_effects(self, now: float, effects: Effects) -> None:
+        """Carry out and log the effects of a round."""
         self.owned_tables.apply_writes(effects.batch, effects.weight_writes)
         updates = effects.proxy_updates
         if self.handover_runner is not None:
@@ -289,7 +293,7 @@
             for server_id in effects.health_checks:
                 address = self.runtime.server_addresses.get(server_id, "")
                 self.health_checkers.check(now, server_id, address)
-        self.endpoint_watch.request(now, effects.watch_requests)
+        self.endpoint_watch.send_watch_requests(now, effects.watch_requests)
         for text in effects.log_messages:
             self.log.info("decision_module", text=text)
         self.decision_loop.log_decision(effects, len(updates), self.channel.queued_entries())
--- a/puffintide/assigner/store_client.py
+++ b/puffintide/assigner/store_client.py
@@ -1,4 +1,8 @@
-"""The stream to the store: ownership comes in, weights go out, and tables where the store has lost its own."""
+"""Exchanges messages with the store.
+
+The client receives the ownership of slices and writes their weights. It also sends the tables of slices to
+a store that has lost its own.
+"""
 
 from __future__ import annotations
 
@@ -17,32 +21,32 @@
 from puffintide.protocol.stream import Stream
 from puffintide.protocol.validation import weights_problem
 
-DELTA_INTERVAL_S = (
-    0.01  # between deltas to a store that is being restored, so that the event loop is not blocked
-)
+# Interval between deltas to a store that is being restored, in seconds. Sending them all at once would block
+# the event loop.
+DELTA_INTERVAL_S = 0.01
 
 ReplicatedTables = Callable[[set[int] | None], Iterator[m.ReplicationDelta]]
 
 
 class StoreClient:
-    """What this assigner exchanges with the store; the caller connects it (on_message, on_lost).
+    """Handles the messages of the store; the caller forwards its stream's events to on_message and on_lost.
 
     Args:
-        clock: For timers.
-        assigner_id: Of this assigner.
-        runtime: Receives events.
-        owned_tables: Receives granted and revoked tables.
-        load_reports: Forgets revoked slices.
-        handover: Of slices with a single writer; None without.
-        log: Structured logger.
-        on_events: Called after each message, as the runtime may have events.
-        on_handover_steps: Called with what the handover does next.
-        replicated_tables: Returns the tables of the given slices, or of all; None without replication.
+        clock: The clock that runs the timers.
+        assigner_id: The id of this assigner.
+        runtime: The runtime that receives events.
+        owned_tables: The tables of the owned slices, which are updated when slices are granted or revoked.
+        load_reports: The aggregator of load reports, which drops the usage of revoked slices.
+        handover: The handover; None if slices may have several writers.
+        log: The structured logger.
+        on_events: Called after each message, as it may have added events to the runtime.
+        on_handover_steps: Called with the next steps of the handover.
+        replicated_tables: Returns the tables of the given slices, or of all slices; None without replication.
 
     Attributes:
-        stream: None while the store is not connected.
-        is_restoring: Whether the store has requested all tables, and grants no ownership yet.
-        zone_command_sequences: The last command applied, by zone.
+        stream: The stream to the store; None while it is not connected.
+        is_restoring: Whether the store has requested all tables and has not granted ownership since.
+        zone_command_sequences: The sequence number of the last command that was applied, by zone.
     """
 
     def __init__(
@@ -74,7 +78,7 @@
         self._pending_deltas: Iterator[m.ReplicationDelta] = iter(())
 
     def on_message(self, stream: Stream, message: AnyMessage) -> None:
-        """Handle a message of the store, its greeting first."""
+        """Handle a message from the store, the first of which is its Welcome."""
         match message:
             case m.Welcome():
                 self.stream = stream
@@ -97,14 +101,17 @@
         self.on_events()
 
     def on_lost(self, reason: str) -> None:
-        """Note that the stream was lost, or a connection failed."""
+        """Handle the loss of the stream or a failed connection attempt."""
         if self.stream is not None:
             self.log.warning("store_disconnected", reason=reason)
         self.stream = None
         self.is_restoring = False
 
     def write(self, batch: int, weights: list[m.WeightEntry]) -> None:
-        """Write weights. While the store is not connected nothing is lost: they are written on its return."""
+        """Write weights.
+
+        While the store is not connected, the write is deferred until it is connected again.
+        """
         if self.stream is not None:
             self.stream.send(m.WriteRequest(batch, weights))
         else:
@@ -113,16 +120,19 @@
     # Ownership ------------------------------------------------------------------------------------
 
     def _on_ownerships(self, stream: Stream, message: m.SliceOwnerships) -> bool:
-        """Apply granted slices; False if the message was rejected."""
+        """Apply the ownership of granted slices, and return False if the message was rejected."""
         for ownership in message.ownerships:
             problem = weights_problem(ownership.entries)
             if problem is not None:
                 stream.reject(f"ownerships: {problem}")
                 return False
-        self._on_granted([o for o in message.ownerships if o.owner_id == self.assigner_id])
+        self._on_granted(
+            [ownership for ownership in message.ownerships if ownership.owner_id == self.assigner_id]
+        )
         return True
 
     def _on_granted(self, ownerships: list[m.SliceOwnership]) -> None:
+        """Take over granted slices, and repeat missing writes to those whose tenure is unbroken."""
         self.is_restoring = False
         now = self.clock.seconds()
         continued: list[m.SliceOwnership] = []
@@ -138,7 +148,7 @@
         self._repeat_writes(continued)
 
     def _repeat_writes(self, ownerships: list[m.SliceOwnership]) -> None:
-        """Write again what the store has not committed, or has lost, under the current tokens."""
+        """Repeat the writes that the store has not committed or has lost, with the current tokens."""
         if self.handover is not None:
             for ownership in ownerships:
                 self.handover.on_token_renewed(ownership.slice_id, ownership.fencing_token)
@@ -151,6 +161,7 @@
             self.log.info("writes_repeated", batch=batch, weights=len(weights))
 
     def _on_ownership_revoked(self, slice_id: int) -> None:
+        """Give up a slice, and drop its pending weights and its usage."""
         if self.handover is not None:
             self.handover.drop_slice(slice_id)
         self.runtime.on_ownership_revoked(self.clock.seconds(), slice_id)
@@ -164,6 +175,7 @@
             self.on_handover_steps(steps)
 
     def _on_write_rejected(self, message: m.WriteRejected) -> None:
+        """Drop the rejected weights of a slice from the handover, and log the rejection."""
         if self.handover is not None:
             self.handover.drop_slice(message.slice_id)
         self.log.warning("write_rejected", slice_id=message.slice_id, reason=message.reason)
@@ -171,15 +183,16 @@
     # Deployment -----------------------------------------------------------------------------------
 
     def _on_membership(self, message: m.AssignerMembership) -> None:
+        """Pass the number of assigners to the decision module if this assigner is one of them."""
         self.log.info("membership_changed", assigner_ids=message.assigner_ids)
         if self.assigner_id in message.assigner_ids:
             self.runtime.add_events(self.clock.seconds(), AssignerCountChanged(len(message.assigner_ids)))
 
     def _on_zone_commands(self, message: m.ZoneCommands) -> None:
-        """Apply the commands that are new, and whose operation is known."""
+        """Apply the commands that are new and whose operation is known."""
         for command in message.commands:
-            is_applied = command.sequence == self.zone_command_sequences.get(command.zone)
-            if not is_applied and command.operation in tuple(ZoneOperation):
+            already_applied = command.sequence == self.zone_command_sequences.get(command.zone)
+            if not already_applied and command.operation in tuple(ZoneOperation):
                 self._apply_zone_command(command)
 
     def _apply_zone_command(self, command: m.ZoneCommand) -> None:
@@ -190,30 +203,32 @@
             "zone_command", zone=command.zone, operation=command.operation, operator=command.operator
         )
 
-    # A store that lost everything -----------------------------------------------------------------
+    # Restoring the store --------------------------------------------------------------------------
 
     def send_changed_tables(self, slice_ids: set[int]) -> None:
-        """Send tables that changed, to a store that waits for the tables of other assigners."""
+        """Send changed tables to a store that is being restored, as it still waits for other assigners."""
         if self.is_restoring and slice_ids and self.stream is not None and self.replicated_tables is not None:
             self._send_deltas(self.stream, self.replicated_tables(slice_ids))
 
     def _on_replica_request(self, stream: Stream) -> None:
+        """Send all tables to a store that has lost its own."""
         if self.replicated_tables is not None:
             self.is_restoring = True
             self._pending_deltas = iter(())
             self._send_deltas(stream, self.replicated_tables(None))
 
     def _send_deltas(self, stream: Stream, deltas: Iterator[m.ReplicationDelta]) -> None:
-        """Send deltas, after those that are still pending."""
-        earlier = self._pending_deltas
-        next_earlier = next(earlier, None)
-        if next_earlier is None:
+        """Send deltas after those that are still pending."""
+        pending = self._pending_deltas
+        next_pending = next(pending, None)
+        if next_pending is None:
             self._pending_deltas = deltas
             self._send_next_delta(stream)
         else:
-            self._pending_deltas = chain([next_earlier], earlier, deltas)
+            self._pending_deltas = chain([next_pending], pending, deltas)
 
     def _send_next_delta(self, stream: Stream) -> None:
+        """Send a pending delta and schedule the next one; do nothing if the stream is no longer in use."""
         delta = next(self._pending_deltas, None) if stream is self.stream else None
         if delta is not None:
             stream.send(delta)
--- a/puffintide/owned_tables.py
+++ b/puffintide/owned_tables.py
@@ -1,8 +1,8 @@
-"""The tables of the slices that an assigner owns, as it has last written them. No I/O.
+"""The tables of the slices that an assigner owns, as it last wrote them. This module does no I/O.
 
-In an unbroken tenure these are the current tables, whatever the store missed: it was unreachable, lost its last
-commits, or was restored from a backup. Where another assigner has owned the slice in between, earlier writes are
-void, as they were based on a table that no longer exists.
+In an unbroken tenure these tables are current, even if the store missed writes: it may have been unreachable,
+have lost its last commits, or have been restored from a backup. If another assigner owned the slice in
+between, earlier writes are void, as they were based on a table that no longer exists.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class OwnedTables:
-    """Tables by slice.
+    """The tables of the owned slices.
 
     Attributes:
-        entries: Table entries by slice, then by server.
-        batches: Batch of the last write to each slice.
-        changed_slices: Slices that changed since a reader last emptied this set.
+        entries: The table entries, by slice id and then by server id.
+        batches: The batch of the last write to each slice, by slice id.
+        changed_slices: Ids of the slices that changed since a reader last cleared this set.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self.changed_slices: set[int] = set()
 
     def on_ownership_granted(self, ownership: SliceOwnership, tenure_continues: bool) -> None:
-        """Take over the stored table, unless the tenure is unbroken."""
+        """Replace the table by the stored one, unless the tenure is unbroken."""
         slice_id = ownership.slice_id
         if not tenure_continues:
             self.entries[slice_id] = {entry.server_id: entry for entry in ownership.entries}
@@ -35,13 +35,13 @@
         self.changed_slices.add(slice_id)
 
     def on_ownership_revoked(self, slice_id: int) -> None:
-        """Forget a slice."""
+        """Remove the table of a slice."""
         self.entries.pop(slice_id, None)
         self.batches.pop(slice_id, None)
         self.changed_slices.discard(slice_id)
 
     def apply_writes(self, batch: int, weights: Iterable[WeightEntry]) -> None:
-        """Set the weights of a batch; weight 0 removes an entry."""
+        """Apply the weights of a batch; weight 0 removes an entry."""
         for weight_entry in weights:
             table = self.entries.setdefault(weight_entry.slice_id, {})
             if weight_entry.weight > 0:
@@ -54,21 +54,25 @@
             self.changed_slices.add(weight_entry.slice_id)
 
     def missing_writes(self, ownerships: Iterable[SliceOwnership]) -> tuple[int, list[WeightEntry]]:
-        """Find what the stored tables lack.
+        """Return the writes that the stored tables lack.
+
+        Args:
+            ownerships: The granted slices with their stored tables.
 
         Returns:
-            The batch, and the weights to write again under the tokens that were granted.
+            The batch, and the weights to write again with the fencing tokens that were granted.
         """
         missing: list[WeightEntry] = []
         batch = 0
         for ownership in ownerships:
-            of_slice = self._missing_in(ownership)
-            if of_slice:
-                missing += of_slice
+            slice_weights = self._missing_slice_weights(ownership)
+            if slice_weights:
+                missing += slice_weights
                 batch = max(batch, self.batches.get(ownership.slice_id, 0))
         return batch, missing
 
-    def _missing_in(self, ownership: SliceOwnership) -> list[WeightEntry]:
+    def _missing_slice_weights(self, ownership: SliceOwnership) -> list[WeightEntry]:
+        """Return the weights that turn the stored table of one slice into the owned one."""
         slice_id = ownership.slice_id
         token = ownership.fencing_token
         owned = self.entries.get(slice_id, {})
@@ -79,6 +83,12 @@
             if server_id not in stored or stored[server_id].weight != entry.weight
         ]
         return [
-            *(WeightEntry(slice_id, e.server_id, e.weight, token, e.address, e.zone) for e in changed),
-            *(WeightEntry(slice_id, s, 0.0, token) for s in sorted(stored.keys() - owned.keys())),
+            *(
+                WeightEntry(slice_id, entry.server_id, entry.weight, token, entry.address, entry.zone)
+                for entry in changed
+            ),
+            *(
+                WeightEntry(slice_id, server_id, 0.0, token)
+                for server_id in sorted(stored.keys() - owned.keys())
+            ),
         ]
