--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,7 +1,7 @@
 """A whole deployment in one process on a virtual clock.
 
-The program's real services and emulators, joined by connections in memory through the recording proxy, whose
-records `puffintide.audit` evaluates. Seeded; nothing sleeps.
+It consists of the program's real services and emulators. They are connected in memory through the recording
+proxy, whose records `puffintide.audit` evaluates. Runs are seeded, and nothing sleeps.
 """
 
 from __future__ import annotations
@@ -69,21 +69,28 @@
 
 
 class Log:
-    """Events of one process, as the program logs them."""
+    """A logger that records the events of one process, except for the frequent ones."""
 
     def __init__(self) -> None:
         self.rows: list[tuple[str, dict[str, Any]]] = []
 
-    def _add(self, event: str, **what: Any) -> None:
+    def _add(self, event: str, **fields: Any) -> None:
         if event not in ("stats", "decision", "endpoint_list"):
-            self.rows.append((event, what))
+            self.rows.append((event, fields))
 
     info = warning = error = critical = _add
 
 
 class Deployment:
-    """faults: as in a day's file. steps: (when, call with this deployment) beside them; times since the first
-    request. changes: keys of sections."""
+    """A deployment that plays one day.
+
+    Args:
+        out: The folder for the configuration and the records.
+        faults: The sections of faults by name, as in a day's file.
+        steps: Additional steps, each with its time in seconds since the first request and a function that is
+            called with this deployment.
+        changes: The keys that differ from SECTIONS, by section.
+    """
 
     def __init__(
         self,
@@ -94,17 +101,19 @@
     ) -> None:
         out.mkdir(parents=True, exist_ok=True)
         self.out, self.steps = out, steps or []
-        named = {f"fault {n}": f for n, f in (faults or {}).items()}
-        made = configparser.ConfigParser(interpolation=None)
+        fault_sections = {f"fault {name}": fault for name, fault in (faults or {}).items()}
+        parser = configparser.ConfigParser(interpolation=None)
         names = dict.fromkeys([*SECTIONS, *changes])
-        made.read_dict({n: SECTIONS.get(n, {}) | changes.get(n, {}) for n in names} | named)
+        sections = {name: SECTIONS.get(name, {}) | changes.get(name, {}) for name in names}
+        parser.read_dict(sections | fault_sections)
         with (out / "day.ini").open("w", encoding="utf-8") as file:
-            made.write(file)
+            parser.write(file)
         self.config: Config = read_config(str(out / "day.ini"), ("day", "fleet", "load"))
         assert self.config.day is not None
         assert self.config.fleet is not None
         self.day = self.config.day
-        self.net, self.engine, self.notes = VirtualNetwork(), SurvivingStoreEngine(), list[dict[str, Any]]()
+        self.net, self.engine = VirtualNetwork(), SurvivingStoreEngine()
+        self.control_records = list[dict[str, Any]]()
         self.log: dict[str, Log] = {}
         self.reactors: dict[str, ProcessReactor] = {}
         self.incarnations: dict[str, int] = {}
@@ -114,62 +123,72 @@
         self._store_initial_tables()
         self._start_processes()
 
-    # Parties --------------------------------------------------------------------------------------
+    # Processes ------------------------------------------------------------------------------------
 
     def _place_processes(self) -> Place:
-        d, f = self.config.deployment, self.config.fleet
-        assert f is not None
-        zones, count = len(d.zones), f.servers + f.spare
+        deployment, fleet = self.config.deployment, self.config.fleet
+        assert fleet is not None
+        zones, server_count = len(deployment.zones), fleet.servers + fleet.spare
         place = Place(
             1,
             2,
-            [10 + k for k in range(d.assigners)],
-            [100 + s for s in range(count)],
-            [1000 + p for p in range(d.proxies)],
+            [10 + assigner for assigner in range(deployment.assigners)],
+            [100 + server for server in range(server_count)],
+            [1000 + proxy for proxy in range(deployment.proxies)],
         )
         place.links = [Link("store", "store", 5001, at(1)), Link("list", "list", 5002, at(2))]
         place.links += [
-            Link(f"order:{k}", "order", 5010 + k, at(p), k % zones, k) for k, p in enumerate(place.assigners)
+            Link(f"order:{assigner}", "order", 5010 + assigner, at(port), assigner % zones, assigner)
+            for assigner, port in enumerate(place.assigners)
         ]
         if self.config.peers is not None:
             place.links += [
                 Link(f"peer:{a}:{b}", "peer", 5500 + 32 * a + b, at(place.assigners[b]), b % zones, b)
-                for a, b in permutations(range(d.assigners), 2)
+                for a, b in permutations(range(deployment.assigners), 2)
             ]
         place.links += [
-            Link(f"try:{s}", "try", 5100 + s, at(p), s % zones, s) for s, p in enumerate(place.servers)
+            Link(f"try:{server}", "try", 5100 + server, at(port), server % zones, server)
+            for server, port in enumerate(place.servers)
         ]
         return place
 
     def _store_initial_tables(self) -> None:
-        d, f = self.config.deployment, self.config.fleet
-        assert f is not None
-        rows = {
-            n: [TableEntry(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))]
-            for n in range(d.slices)
+        deployment, fleet = self.config.deployment, self.config.fleet
+        assert fleet is not None
+        tables = {
+            slice_id: [
+                TableEntry(
+                    slice_id % fleet.servers, 1.0, self.place.tapped(f"try:{slice_id % fleet.servers}")
+                )
+            ]
+            for slice_id in range(deployment.slices)
         }
-        book = OwnershipLedger(d.slices, d.assigners, 1.0, d.single_writer)
-        book.load_tables(rows)
-        self.engine.commit(Commit(1, 0, book.pop_changed()))
+        ledger = OwnershipLedger(deployment.slices, deployment.assigners, 1.0, deployment.single_writer)
+        ledger.load_tables(tables)
+        self.engine.commit(Commit(1, 0, ledger.pop_changed()))
 
     def _start_processes(self) -> None:
         config, out, place = self.config, self.out, self.place
-        self.sink = (out / "tap.jsonl").open("wb")
+        self.tap_file = (out / "tap.jsonl").open("wb")
         self.tap = RecordingProxy(
-            self._new_reactor("tap"), place.links, config.net.model_dump(), self.day.seed, self.sink
+            self._new_reactor("tap"), place.links, config.net.model_dump(), self.day.seed, self.tap_file
         )
         self.tap.listen()
-        self.files = [(out / f"{n}.jsonl").open("w", encoding="utf-8") for n in ("fleet", "clients")]
-        addresses = [place.tapped(f"try:{s}") for s in range(len(place.servers))]
-        self.fleet = FleetService(self._new_reactor("fleet"), config, place.servers, addresses, self.files[0])
+        self.record_files = [
+            (out / f"{name}.jsonl").open("w", encoding="utf-8") for name in ("fleet", "clients")
+        ]
+        addresses = [place.tapped(f"try:{server}") for server in range(len(place.servers))]
+        self.fleet = FleetService(
+            self._new_reactor("fleet"), config, place.servers, addresses, self.record_files[0]
+        )
         self.fleet.start(place.news)
         self.start("store")
-        for k in range(config.deployment.assigners):
-            self.start(f"assigner:{k}")
-        for p in range(config.deployment.proxies):
-            self.start(f"proxy:{p}")
-        fronts = [at(port) for port in place.fronts]
-        self.clients = Clients(self._new_reactor("clients"), config, fronts, self.files[1])
+        for assigner in range(config.deployment.assigners):
+            self.start(f"assigner:{assigner}")
+        for proxy in range(config.deployment.proxies):
+            self.start(f"proxy:{proxy}")
+        proxy_addresses = [at(port) for port in place.fronts]
+        self.clients = Clients(self._new_reactor("clients"), config, proxy_addresses, self.record_files[1])
 
     def _new_reactor(self, name: str) -> ProcessReactor:
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
@@ -178,58 +197,72 @@
         return self.reactors[name]
 
     def start(self, name: str) -> None:
-        party, kind, number = self._new_reactor(name), name.split(":")[0], int(name.partition(":")[2] or -1)
-        d, zones = self.config.deployment, len(self.config.deployment.zones)
-        store, news = self.place.tapped("store"), self.place.tapped("list")
-        log, life = self.log[name], self.incarnations[name]
-        if kind == "store":
+        """Start a process, named by its role and number, such as "assigner:0"."""
+        reactor, role, number = self._new_reactor(name), name.split(":")[0], int(name.partition(":")[2] or -1)
+        deployment, zones = self.config.deployment, len(self.config.deployment.zones)
+        slices, assigners = deployment.slices, deployment.assigners
+        store_address, list_address = self.place.tapped("store"), self.place.tapped("list")
+        log, incarnation = self.log[name], self.incarnations[name]
+        if role == "store":
             image = copied(self.engine.image)
-            charge, now = self.config.charge, party.seconds()
-            book = OwnershipLedger(d.slices, d.assigners, charge.takeover_s, d.single_writer, opened_at_s=now)
-            book.restore(image)
-            refill = TableRestore(d.slices, d.assigners, 5.0) if self.config.peers is not None else None
+            takeover_s, now = self.config.charge.takeover_s, reactor.seconds()
+            ledger = OwnershipLedger(slices, assigners, takeover_s, deployment.single_writer, opened_at_s=now)
+            ledger.restore(image)
+            table_restore = TableRestore(slices, assigners, 5.0) if self.config.peers is not None else None
             self.store = StoreService(
-                party, book, d.name, log, self.engine, image, zones, table_restore=refill
+                reactor, ledger, deployment.name, log, self.engine, image, zones, table_restore=table_restore
             )
-            party.listenTCP(self.place.store, self.store.factory())
+            reactor.listenTCP(self.place.store, self.store.factory())
             self.store.start()
-        elif kind == "assigner":
-            me = AssignerProcess(id=number, zone=number % zones, listen=at(1), store=store, list=news)
+        elif role == "assigner":
+            assigner_section = AssignerProcess(
+                id=number, zone=number % zones, listen=at(1), store=store_address, list=list_address
+            )
             peers = self.config.peers
             if peers is not None:
                 peers = peers.model_copy(update={"addresses": self.place.peers(number)})
-            service = AssignerService(party, replace(self.config, assigner=me, peers=peers), log, life)
-            party.listenTCP(self.place.assigners[number], service.factory())
+            config = replace(self.config, assigner=assigner_section, peers=peers)
+            service = AssignerService(reactor, config, log, incarnation)
+            reactor.listenTCP(self.place.assigners[number], service.factory())
             service.start()
             self.assigners[number] = service
         else:
-            orders = [self.place.tapped(f"order:{k}") for k in range(d.assigners)]
-            mine = ProxyProcess(id=number, zone=number % zones, listen=at(1), assigners=orders, store=store)
-            proxy = ProxyService(cast(Any, party), self.config, mine, log)
-            party.listenTCP(self.place.fronts[number], proxy.factory())
+            assigner_addresses = [self.place.tapped(f"order:{k}") for k in range(assigners)]
+            proxy_section = ProxyProcess(
+                id=number,
+                zone=number % zones,
+                listen=at(1),
+                assigners=assigner_addresses,
+                store=store_address,
+            )
+            proxy = ProxyService(cast(Any, reactor), self.config, proxy_section, log)
+            reactor.listenTCP(self.place.fronts[number], proxy.factory())
             proxy.start()
             self.proxies[number] = proxy
 
-    def control_process(self, what: str, name: str) -> None:
-        """kill, start, stop or wake, as the runner of days does to processes."""
+    def control_process(self, operation: str, name: str) -> None:
+        """Apply an operation to a process, as the runner of days does.
+
+        The operations are kill, start, stop, wake, and for the store lose, backup and restore.
+        """
         number = int(name.partition(":")[2] or -1)
-        if name.startswith("assigner") and what != "start":
-            self.notes.append({"t": self.net.seconds(), "what": what, "assigner": number})
-        match what:
+        if name.startswith("assigner") and operation != "start":
+            self.control_records.append({"t": self.net.seconds(), "what": operation, "assigner": number})
+        match operation:
             case "kill":
                 self.reactors[name].kill()
             case "lose":
                 self.reactors[name].kill()
                 self.engine = SurvivingStoreEngine("u")
             case "backup":
-                self.saved = copied(self.engine.image)
-            case "restore":  # as the command does it
+                self.backup = copied(self.engine.image)
+            case "restore":  # Does the same as the command "store restore".
                 self.reactors[name].kill()
                 self.engine = SurvivingStoreEngine()
                 self.engine.image = replace(
-                    copied(self.saved),
+                    copied(self.backup),
                     store_id="r",
-                    highest_token=self.saved.highest_token + FENCING_TOKEN_GAP,
+                    highest_token=self.backup.highest_token + FENCING_TOKEN_GAP,
                 )
             case "start":
                 self.start(name)
@@ -238,10 +271,10 @@
             case "wake":
                 self.reactors[name].resume()
 
-    def set_link_fault(self, name: str, **how: Any) -> None:
-        """A fault of the links, or its end."""
-        if how.get("kinds"):
-            self.tap.set_fault(name, parse_link_fault(how))
+    def set_link_fault(self, name: str, **arguments: Any) -> None:
+        """Set a fault of the links, or clear it if the arguments name no kinds of links."""
+        if arguments.get("kinds"):
+            self.tap.set_fault(name, parse_link_fault(arguments))
         else:
             self.tap.clear_fault(name)
 
@@ -253,49 +286,63 @@
                 self.control_process(step.operation, name)
         else:
             self.set_link_fault(
-                **({k: v for k, v in step.arguments.items() if step.operation == "bend" or k == "name"})
+                **(
+                    {
+                        key: value
+                        for key, value in step.arguments.items()
+                        if step.operation == "bend" or key == "name"
+                    }
+                )
             )
 
     # The day --------------------------------------------------------------------------------------
 
-    def play(self, more_s: float = 6.0) -> ScenarioResult:
-        """All of the day, and a while for what is under way to end; judged by the audit."""
-        begun = START + self.day.settle_s
-        self.net.run_until(begun)
+    def play(self, drain_s: float = 6.0) -> ScenarioResult:
+        """Play the whole day and return the result of the audit.
+
+        Args:
+            drain_s: Time after the day in which requests and updates in flight can complete, in seconds.
+        """
+        started_at = START + self.day.settle_s
+        self.net.run_until(started_at)
         self.clients.start()
         for step in plan(self.config, self.day.seed):
             self.net.callLater(step.at_s, self._apply_step, step)
-        for when, call in self.steps:
-            self.net.callLater(when, call, self)
-        self.net.run_until(begun + self.day.length_s + more_s)
-        for _ in range(30):  # an order may be on its way
+        for at_s, call in self.steps:
+            self.net.callLater(at_s, call, self)
+        self.net.run_until(started_at + self.day.length_s + drain_s)
+        for _ in range(30):  # An update may still be in flight.
             if not self.inconsistencies():
                 break
             self.net.run_until(self.net.seconds() + 0.1)
         self.tap.close()
-        for file in [self.sink, *self.files]:
+        for file in [self.tap_file, *self.record_files]:
             file.close()
-        rows = "".join(json.dumps(row) + "\n" for row in self.notes)
+        rows = "".join(json.dumps(row) + "\n" for row in self.control_records)
         (self.out / "day.jsonl").write_text(rows, encoding="utf-8")
         return evaluate(self.out)
 
     def inconsistencies(self) -> list[str]:
-        """Slices whose table or level differs between the module in charge, the store and a proxy."""
+        """Describe the slices whose table or level differs between owner, store and proxies."""
         found = []
-        for number, record in sorted(self.store.ledger.slices.items()):
-            kept = {s: h.weight for s, h in record.entries.items()}
-            decider: Any = self.assigners[record.owner_id].runtime.director
-            director = getattr(decider, "director", decider)
-            module = director.slices[number].weights
-            if module != kept:
-                found.append(f"slice {number}: module {module}, store {kept}")
-            meant = (
-                {s: w for s, w in module.items() if s not in director.fleet.withdrawn_servers},
+        for slice_id, record in sorted(self.store.ledger.slices.items()):
+            stored = {server: entry.weight for server, entry in record.entries.items()}
+            module: Any = self.assigners[record.owner_id].runtime.director
+            director = getattr(module, "director", module)
+            decided = director.slices[slice_id].weights
+            if decided != stored:
+                found.append(f"slice {slice_id}: module has {decided}, store has {stored}")
+            expected = (
+                {
+                    server: weight
+                    for server, weight in decided.items()
+                    if server not in director.fleet.withdrawn_servers
+                },
                 director.fleet.admission_fractions.get(0, 1.0),
             )
-            for p, proxy in sorted(self.proxies.items()):
+            for proxy_id, proxy in sorted(self.proxies.items()):
                 tables = proxy.engine.tables
-                held = tables.available_weights(number), tables.admission_fraction(number, 0)
-                if held != meant:
-                    found.append(f"slice {number}: proxy {p} {held}, module {meant}")
+                actual = tables.available_weights(slice_id), tables.admission_fraction(slice_id, 0)
+                if actual != expected:
+                    found.append(f"slice {slice_id}: proxy {proxy_id} has {actual}, module has {expected}")
         return found
--- a/tests/virtual_network.py
+++ b/tests/virtual_network.py
@@ -11,13 +11,13 @@
 from twisted.python.failure import Failure
 
 START = 1000.0
-WINDOW_BYTES = 64 << 10  # in flight to a reader before its writer is asked to pause
+WINDOW_BYTES = 64 << 10  # Bytes in flight to a reader above which its writer is paused.
 CONNECT_DELAY_S = 0.0002
 
 
-def _failure(kind: Any) -> Any:
-    made: Any = Failure  # both untyped in Twisted
-    return made(kind())
+def _failure(error_type: Any) -> Any:
+    failure_type: Any = Failure  # Failure and the errors are untyped in Twisted.
+    return failure_type(error_type())
 
 
 class VirtualNetwork(Clock):
@@ -28,22 +28,22 @@
         self.rightNow = START
         self.ports: dict[int, tuple[Any, ProcessReactor]] = {}
 
-    def run_until(self, when: float) -> None:
-        while self.calls and self.calls[0].getTime() <= when:
+    def run_until(self, end: float) -> None:
+        while self.calls and self.calls[0].getTime() <= end:
             self.advance(max(0.0, self.calls[0].getTime() - self.rightNow))
-        self.rightNow = max(self.rightNow, when)
+        self.rightNow = max(self.rightNow, end)
 
 
 class ProcessTimer:
-    """A timer of a process; one that is due while the process is suspended may still be cancelled."""
+    """A timer of a process, which can still be cancelled after it is due while the process is suspended."""
 
     def __init__(
         self, reactor: ProcessReactor, delay: float, call: Callable[..., Any], args: tuple[Any, ...]
     ) -> None:
         self.reactor, self.call, self.args, self.pending = reactor, call, args, True
-        self.timer: Any = reactor.network.callLater(delay, reactor.run, self._go)
+        self.timer: Any = reactor.network.callLater(delay, reactor.run, self._fire)
 
-    def _go(self) -> None:
+    def _fire(self) -> None:
         if self.pending:
             self.pending = False
             self.call(*self.args)
@@ -62,7 +62,7 @@
 
 
 class ProcessReactor:
-    """The reactor of one process: it ends with the process, and is suspended with it."""
+    """The reactor of one process, which can be killed and suspended as the process can."""
 
     def __init__(self, network: VirtualNetwork) -> None:
         self.network, self.alive, self.suspended = network, True, False
@@ -109,7 +109,7 @@
 
     def kill(self) -> None:
         self.alive = False
-        self.network.ports = {p: row for p, row in self.network.ports.items() if row[1] is not self}
+        self.network.ports = {port: row for port, row in self.network.ports.items() if row[1] is not self}
         for transport in self.transports:
             transport.abortConnection()
 
@@ -132,32 +132,32 @@
     def __init__(self, reactor: ProcessReactor, port: int, factory: Any) -> None:
         self.reactor, self.port, self.factory = reactor, port, factory
         self.transport: MemoryTransport | None = None
-        self.call: Any = reactor.callLater(CONNECT_DELAY_S, self._connect)
+        self.connect_call: Any = reactor.callLater(CONNECT_DELAY_S, self._connect)
 
     def _connect(self) -> None:
-        factory, other = self.reactor.network.ports.get(self.port, (None, None))
-        if factory is None or other is None:
+        factory, peer_reactor = self.reactor.network.ports.get(self.port, (None, None))
+        if factory is None or peer_reactor is None:
             self.factory.clientConnectionFailed(self, _failure(ConnectionRefusedError))
             return
-        near, far = MemoryTransport(self.reactor), MemoryTransport(other)
-        near.peer, far.peer, self.transport = far, near, near
-        far.accept(factory)
-        near.connected(self.factory.buildProtocol(None))
+        local, remote = MemoryTransport(self.reactor), MemoryTransport(peer_reactor)
+        local.peer, remote.peer, self.transport = remote, local, local
+        remote.accept(factory)
+        local.connected(self.factory.buildProtocol(None))
 
     def disconnect(self) -> None:
         if self.transport is not None:
             self.transport.loseConnection()
-        elif self.call.active():
-            self.call.cancel()
+        elif self.connect_call.active():
+            self.connect_call.cancel()
 
 
 class MemoryTransport:
-    """One end of a connection in memory, as a transport."""
+    """The transport at one end of a connection in memory."""
 
     def __init__(self, reactor: ProcessReactor) -> None:
         self.reactor = reactor
         reactor.transports.append(self)
-        self.peer: MemoryTransport = self  # until it is connected
+        self.peer: MemoryTransport = self  # Replaced when it is connected.
         self.protocol: Any = None
         self.received: deque[bytes | None] = deque()
         self.received_bytes = 0
