--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -1,4 +1,4 @@
-"""The assigner's service on a reactor in memory: back-pressure, and messages step by step."""
+"""The assigner service on an in-memory reactor: backpressure, the endpoint cache and failed rounds."""
 
 from __future__ import annotations
 
@@ -17,53 +17,54 @@
 from tests.peers import SECTIONS, charges, servers
 
 ADDRESS = "127.0.0.1:1"
+STORE, ENDPOINT_LIST = 0, 1  # The order in which the service connects to them.
 
 
-class Wire(StringTransport):
-    """A transport in memory that may not be read."""
+class RecordingTransport(StringTransport):
+    """An in-memory transport that records the messages sent to a peer."""
 
     def setTcpNoDelay(self, on: bool) -> None:
         pass
 
     def messages(self) -> list[m.AnyMessage]:
-        found = [decode(line) for line in self.value().splitlines()]
+        received = [decode(line) for line in self.value().splitlines()]
         self.clear()
-        return [x for x in found if not isinstance(x, m.Ping)]
+        return [message for message in received if not isinstance(message, m.Ping)]
 
 
 class Assigner:
     def __init__(self, **changes: dict[str, str]) -> None:
-        sections = {k: v | changes.get(k, {}) for k, v in SECTIONS.items()}
-        section = {"id": "0", "listen": ADDRESS, "store": ADDRESS, "list": ADDRESS}
+        sections = {name: section | changes.get(name, {}) for name, section in SECTIONS.items()}
+        assigner_section = {"id": "0", "listen": ADDRESS, "store": ADDRESS, "list": ADDRESS}
         self.reactor: Any = MemoryReactorClock()
         self.service = AssignerService(
             self.reactor,
-            parse_config("test", {**sections, "assigner": section}),
+            parse_config("test", {**sections, "assigner": assigner_section}),
             structlog.wrap_logger(structlog.testing.CapturingLogger()),
             1,
         )
         self.service.start()
         self.factory = self.service.factory()
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.01)):
             self.reactor.advance(0.01)
 
-    def proxy(self, number: int) -> tuple[Stream, Wire]:
-        stream, wire = self.factory.buildProtocol(None), Wire()
-        stream.makeConnection(wire)
-        stream.dataReceived(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", number, 0, "t")) + b"\n")
-        return stream, wire
+    def connect_proxy(self, proxy_id: int) -> tuple[Stream, RecordingTransport]:
+        stream, transport = self.factory.buildProtocol(None), RecordingTransport()
+        stream.makeConnection(transport)
+        stream.dataReceived(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", proxy_id, 0, "t")) + b"\n")
+        return stream, transport
 
-    def dialled(self, which: int, message: m.Message) -> None:
-        """What the store (0) or the list (1) says, over the stream that the service dialled."""
-        factory = self.reactor.tcpClients[which][2]
-        if not hasattr(self, f"line{which}"):
+    def receive(self, source: int, message: m.Message) -> None:
+        """Deliver a message from STORE or ENDPOINT_LIST on the stream that the service opened to it."""
+        factory = self.reactor.tcpClients[source][2]
+        if not hasattr(self, f"stream{source}"):
             stream = factory.buildProtocol(None)
-            stream.makeConnection(Wire())
-            setattr(self, f"line{which}", stream)
+            stream.makeConnection(RecordingTransport())
+            setattr(self, f"stream{source}", stream)
             stream.dataReceived(encode(m.Welcome(m.PROTOCOL_VERSION, "store", 0)) + b"\n")
-        getattr(self, f"line{which}").dataReceived(encode(message) + b"\n")
+        getattr(self, f"stream{source}").dataReceived(encode(message) + b"\n")
 
 
 def keep_alive(*streams: Stream) -> None:
@@ -71,62 +72,73 @@
         stream.dataReceived(encode(m.Pong()) + b"\n")
 
 
-def orders(wire: Wire) -> list[m.ProxyUpdate]:
-    return [x for x in wire.messages() if isinstance(x, m.ProxyUpdate)]
-
-
-def test_proxy_that_does_not_read_delays_no_other_and_gets_its_updates_once_it_reads() -> None:
-    a = Assigner(deployment={"slices": "50"})
-    a.dialled(1, m.WatchEvent("full", 1, servers(1, 1, 1)))
-    (unread, unread_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
-    unread_wire.messages()
-    good_wire.messages()
-    unread_wire.producer.pauseProducing()  # type: ignore[union-attr]
-    a.dialled(0, charges(50))
-    a.pass_time(1)
-    keep_alive(unread, good)
-    a.dialled(1, m.WatchEvent("delta", 2, servers(2)))
-    a.pass_time(1)
-    received = orders(good_wire)
-    assert any(x.server_id == 0 and x.weight == 0 for order in received for x in order.weights)
-    assert orders(unread_wire) == []
-    assert a.service.channel.queued_entries() > 0
-    unread_wire.producer.resumeProducing()  # type: ignore[union-attr]
-    a.pass_time(0.2)
-    assert orders(unread_wire) == received
-    assert a.service.channel.queued_entries() == 0
-
-
-def test_proxy_that_never_reads_is_closed_before_the_channel_overflows() -> None:
-    a = Assigner(deployment={"slices": "120"}, channel={"limit": "700"})
-    a.dialled(1, m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
-    (unread, unread_wire), (good, good_wire) = a.proxy(0), a.proxy(1)
-    unread_wire.producer.pauseProducing()  # type: ignore[union-attr]
-    a.dialled(0, charges(120))
+def received_updates(transport: RecordingTransport) -> list[m.ProxyUpdate]:
+    return [message for message in transport.messages() if isinstance(message, m.ProxyUpdate)]
+
+
+def test_blocked_proxy_delays_no_other_and_receives_its_updates_once_it_reads() -> None:
+    assigner = Assigner(deployment={"slices": "50"})
+    assigner.receive(ENDPOINT_LIST, m.WatchEvent("full", 1, servers(1, 1, 1)))
+    (blocked, blocked_transport), (reading, reading_transport) = (
+        assigner.connect_proxy(0),
+        assigner.connect_proxy(1),
+    )
+    blocked_transport.messages()
+    reading_transport.messages()
+    blocked_transport.producer.pauseProducing()  # type: ignore[union-attr]
+    assigner.receive(STORE, charges(50))
+    assigner.advance(1)
+    keep_alive(blocked, reading)
+    assigner.receive(ENDPOINT_LIST, m.WatchEvent("delta", 2, servers(2)))
+    assigner.advance(1)
+    received = received_updates(reading_transport)
+    assert any(entry.server_id == 0 and entry.weight == 0 for update in received for entry in update.weights)
+    assert received_updates(blocked_transport) == []
+    assert assigner.service.channel.queued_entries() > 0
+    blocked_transport.producer.resumeProducing()  # type: ignore[union-attr]
+    assigner.advance(0.2)
+    assert received_updates(blocked_transport) == received
+    assert assigner.service.channel.queued_entries() == 0
+
+
+def test_blocked_proxy_is_disconnected_before_the_channel_exceeds_its_capacity() -> None:
+    assigner = Assigner(deployment={"slices": "120"}, channel={"limit": "700"})
+    assigner.receive(ENDPOINT_LIST, m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
+    (blocked, blocked_transport), (reading, reading_transport) = (
+        assigner.connect_proxy(0),
+        assigner.connect_proxy(1),
+    )
+    blocked_transport.producer.pauseProducing()  # type: ignore[union-attr]
+    assigner.receive(STORE, charges(120))
     max_queued = 0.0
     for version in range(2, 40):
-        a.dialled(
-            1, m.WatchEvent("delta", version, servers(*[2 if s == version % 4 else 1 for s in range(4)]))
+        assigner.receive(
+            ENDPOINT_LIST,
+            m.WatchEvent("delta", version, servers(*[2 if s == version % 4 else 1 for s in range(4)])),
         )
-        a.pass_time(1)
-        keep_alive(unread, good)
-        max_queued = max(max_queued, a.service.channel.queued_entries())
-        if unread_wire.disconnected or unread_wire.disconnecting or 0 not in a.service.proxy_updates.streams:
+        assigner.advance(1)
+        keep_alive(blocked, reading)
+        max_queued = max(max_queued, assigner.service.channel.queued_entries())
+        if (
+            blocked_transport.disconnected
+            or blocked_transport.disconnecting
+            or 0 not in assigner.service.proxy_updates.streams
+        ):
             break
     assert 0 < max_queued <= 700
-    assert unread_wire.disconnected
-    assert not good_wire.disconnected
-    assert orders(good_wire)
+    assert blocked_transport.disconnected
+    assert not reading_transport.disconnected
+    assert received_updates(reading_transport)
 
 
 def test_reactor_uses_the_monotonic_clock(monkeypatch: Any) -> None:
     reactor = monotonic_reactor()
     before = reactor.seconds()
-    monkeypatch.setattr("time.time", lambda: 0.0)  # the wall clock steps back by decades
+    monkeypatch.setattr("time.time", lambda: 0.0)  # The wall clock is set back by decades.
     assert 0 <= reactor.seconds() - before < 60
 
 
-def test_endpoint_cache_survives_a_partly_written_file_beside_it(tmp_path: Path) -> None:
+def test_endpoint_cache_is_loaded_beside_a_partially_written_temporary_file(tmp_path: Path) -> None:
     from puffintide.assigner.endpoint_list import load_cache, save_cache
 
     path = tmp_path / "list.json"
@@ -136,33 +148,34 @@
         [m.EndpointEntry(1, 0, 0, 0, 1, 2.0, 4, 5.0, ADDRESS), m.EndpointEntry(2, 0, 0, 0, 1, 2.0, 1, -1.0)],
     )
     save_cache(str(path), 100.0, event)
-    (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # its writer was killed
+    (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # As left by a writer that was killed.
     loaded = load_cache(str(path), 107.5)
     assert loaded.update_type == "cached"
     assert loaded.version == 3
-    assert [e.age_s for e in loaded.servers] == [12.5, -1.0]
-    assert [e.age_s for e in load_cache(str(path), 50.0).servers] == [5.0, -1.0]  # the clock was set back
+    assert [entry.age_s for entry in loaded.servers] == [12.5, -1.0]
+    # Ages do not decrease when the wall clock was set back.
+    assert [entry.age_s for entry in load_cache(str(path), 50.0).servers] == [5.0, -1.0]
 
 
 def test_failed_round_is_logged_and_rounds_continue() -> None:
     assigner = Assigner()
-    assigner.dialled(0, charges(8))
-    assigner.dialled(1, m.WatchEvent("full", 1, servers(1, 1)))
-    stream, wire = assigner.proxy(0)
-    all_: list[Any] = [stream, assigner.line0, assigner.line1]  # type: ignore[attr-defined]
-    keep_alive(*all_)
-    assigner.pass_time(1.0)
-    keep_alive(*all_)
-    decider: Any = assigner.service.runtime.director
-    real, decider.handle = decider.handle, lambda *_: 1 / 0
-    assigner.pass_time(1.0)
-    decider.handle = real
-    keep_alive(*all_)
+    assigner.receive(STORE, charges(8))
+    assigner.receive(ENDPOINT_LIST, m.WatchEvent("full", 1, servers(1, 1)))
+    stream, transport = assigner.connect_proxy(0)
+    streams: list[Any] = [stream, assigner.stream0, assigner.stream1]  # type: ignore[attr-defined]
+    keep_alive(*streams)
+    assigner.advance(1.0)
+    keep_alive(*streams)
+    module: Any = assigner.service.runtime.director
+    original_handle, module.handle = module.handle, lambda *_: 1 / 0
+    assigner.advance(1.0)
+    module.handle = original_handle
+    keep_alive(*streams)
     assert any("ZeroDivisionError" in str(call) for call in assigner.service.log._logger.calls)
-    assigner.pass_time(1.0)
-    assert len(assigner.service.runtime._timers) == 1  # one round follows the other, as before
-    keep_alive(*all_)
-    wire.clear()
-    assigner.dialled(1, m.WatchEvent("delta", 2, servers(2)))  # the first drains
-    assigner.pass_time(1.0)
-    assert orders(wire)
+    assigner.advance(1.0)
+    assert len(assigner.service.runtime._timers) == 1  # Only one round is scheduled, as before the failure.
+    keep_alive(*streams)
+    transport.clear()
+    assigner.receive(ENDPOINT_LIST, m.WatchEvent("delta", 2, servers(2)))  # The first server is draining.
+    assigner.advance(1.0)
+    assert received_updates(transport)
--- a/tests/test_assigner_processes.py
+++ b/tests/test_assigner_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on sockets, against scripted peers: what a deployment does to them on a bad day."""
+"""Real assigner and store processes on sockets against scripted peers, with faults of peers and processes."""
 
 from __future__ import annotations
 
@@ -26,33 +26,35 @@
     return Around(tmp_path)
 
 
-def moved(order: m.AnyMessage, server: int) -> bool:
-    return isinstance(order, m.ProxyUpdate) and any(
-        x.server_id == server and x.weight == 0 for x in order.weights
+def removes_weight(message: m.AnyMessage, server: int) -> bool:
+    return isinstance(message, m.ProxyUpdate) and any(
+        entry.server_id == server and entry.weight == 0 for entry in message.weights
     )
 
 
-def shut(order: m.AnyMessage, server: int) -> bool:
-    return moved(order, server) or (isinstance(order, m.ProxyUpdate) and server in order.withdrawn_servers)
+def stops_traffic(message: m.AnyMessage, server: int) -> bool:
+    return removes_weight(message, server) or (
+        isinstance(message, m.ProxyUpdate) and server in message.withdrawn_servers
+    )
 
 
-def test_draining_server_of_the_list_reaches_store_and_proxies(around: Around) -> None:
+def test_draining_of_a_listed_server_reaches_store_and_proxies(around: Around) -> None:
     with around.assigner():
-        store, listed = around.store.accept("store"), around.list.accept("list")
-        listed.until(lambda x: isinstance(x, m.WatchRequest))
-        listed.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
-        proxies = [around.proxy(p) for p in range(2)]
+        store, list_stream = around.store.accept("store"), around.list.accept("list")
+        list_stream.until(lambda message: isinstance(message, m.WatchRequest))
+        list_stream.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
+        proxies = [around.proxy(proxy_id) for proxy_id in range(2)]
         store.send(charges())
         time.sleep(0.5)
-        listed.send(m.WatchEvent("delta", 2, servers(2)[:1]))
-        orders = [proxy.until(lambda x: shut(x, 0)) for proxy in proxies]
-        assert orders[0] == orders[1]  # one order, one message a proxy
-        targets = {x.server_id for x in orders[0].weights if x.weight > 0}
+        list_stream.send(m.WatchEvent("delta", 2, servers(2)[:1]))
+        updates = [proxy.until(lambda message: stops_traffic(message, 0)) for proxy in proxies]
+        assert updates[0] == updates[1]  # Every proxy receives the same update in one message.
+        targets = {entry.server_id for entry in updates[0].weights if entry.weight > 0}
         assert targets
         assert targets <= {1, 2}
-        assert all(x.address for x in orders[0].weights if x.weight > 0)
-        write = store.until(lambda x: isinstance(x, m.WriteRequest))
-        assert {x.slice_id for x in write.weights} <= set(range(8))
+        assert all(entry.address for entry in updates[0].weights if entry.weight > 0)
+        write = store.until(lambda message: isinstance(message, m.WriteRequest))
+        assert {entry.slice_id for entry in write.weights} <= set(range(8))
         assert write.weights[0].fencing_token >= 1
 
 
@@ -62,37 +64,40 @@
         proxy = around.proxy(0)
         store.send(charges())
         with pytest.raises(TimeoutError):
-            proxy.read(1.5)  # no list, no order
-        listed = around.list.accept("list")
-        listed.send(m.WatchEvent("full", 1, servers(1, 1)))
+            proxy.read(1.5)  # Without a list there are no updates.
+        list_stream = around.list.accept("list")
+        list_stream.send(m.WatchEvent("full", 1, servers(1, 1)))
         with pytest.raises(TimeoutError):
             proxy.until(
-                lambda x: isinstance(x, m.ProxyUpdate) and any(ln.weight == 0 for ln in x.weights), 1.5
+                lambda message: (
+                    isinstance(message, m.ProxyUpdate) and any(entry.weight == 0 for entry in message.weights)
+                ),
+                1.5,
             )
 
 
 def test_cached_list_is_used_while_its_source_is_down_at_start(around: Around) -> None:
     with around.assigner():
         around.store.accept("store")
-        listed = around.list.accept("list")
-        listed.send(m.WatchEvent("full", 7, servers(1, 2, 1)))
+        list_stream = around.list.accept("list")
+        list_stream.send(m.WatchEvent("full", 7, servers(1, 2, 1)))
         end = time.monotonic() + 10
         while not Path(around.section["list_cache"]).exists():
             assert time.monotonic() < end
             time.sleep(0.05)
-        listed.close()
+        list_stream.close()
         around.list.close()
-    with around.assigner():  # the old list says that server 1 drains
+    with around.assigner():  # In the cached list server 1 is draining.
         store, proxy = around.store.accept("store"), around.proxy(0)
         store.send(charges(server=1))
-        assert proxy.until(lambda x: shut(x, 1))
+        assert proxy.until(lambda message: stops_traffic(message, 1))
         around.list.open()
-        listed = around.list.accept("list")
-        assert (
-            listed.until(lambda x: isinstance(x, m.WatchRequest)).since_version == 7
-        )  # what was missed is asked for
-        listed.send(m.WatchEvent("delta", 8, servers(2, 1, 2)))
-        assert proxy.until(lambda x: shut(x, 0) or shut(x, 2))
+        list_stream = around.list.accept("list")
+        # The assigner requests what it missed since the cached version.
+        watch_request = list_stream.until(lambda message: isinstance(message, m.WatchRequest))
+        assert watch_request.since_version == 7
+        list_stream.send(m.WatchEvent("delta", 8, servers(2, 1, 2)))
+        assert proxy.until(lambda message: stops_traffic(message, 0) or stops_traffic(message, 2))
 
 
 def test_unreadable_cache_is_logged_and_ignored(around: Around) -> None:
@@ -103,7 +108,8 @@
     assert any(row["event"] == "endpoint_cache_unreadable" for row in around.log())
 
 
-DAMAGE = [
+# Malformed or unacceptable input, and a part of the reason with which it is rejected.
+INVALID_INPUT = [
     (b"GET / HTTP/1.1\r\n", "not a message"),
     (encode(m.Hello(9, "proxy", 1, 0, "t")) + b"\n", "version 9"),
     (encode(m.Hello(1, "proxy", 1, 0, "other")) + b"\n", "deployment 'other'"),
@@ -119,25 +125,25 @@
 ]
 
 
-def test_malformed_message_closes_its_own_stream_with_a_reason(around: Around) -> None:
+def test_invalid_input_closes_only_its_own_stream_with_a_reason(around: Around) -> None:
     with around.assigner():
         around.list.accept("list").send(m.WatchEvent("full", 1, servers(1, 1)))
-        good = around.proxy(0)
-        for data, words in DAMAGE:
-            line = dial(around.port)
+        valid_stream = around.proxy(0)
+        for data, expected_reason in INVALID_INPUT:
+            stream = dial(around.port)
             try:
-                line.raw(data)
+                stream.raw(data)
             except OSError:
                 continue
-            refusal = line.until(lambda x: isinstance(x, m.ConnectionRejected))
-            assert words in refusal.reason
-            assert line.read() is None
-        half = dial(around.port)
-        half.raw(encode(m.Hello(1, "proxy", 5, 0, "t"))[:20])
-        half.close()
-        good.send(m.CheckpointReply(1))
+            rejection = stream.until(lambda message: isinstance(message, m.ConnectionRejected))
+            assert expected_reason in rejection.reason
+            assert stream.read() is None
+        partial_stream = dial(around.port)
+        partial_stream.raw(encode(m.Hello(1, "proxy", 5, 0, "t"))[:20])
+        partial_stream.close()
+        valid_stream.send(m.CheckpointReply(1))
         with pytest.raises(TimeoutError):
-            good.read(0.3)  # the good stream stands
+            valid_stream.read(0.3)  # The valid stream stays open.
 
 
 def test_two_thousand_connections_at_once_are_all_accepted(around: Around) -> None:
@@ -148,39 +154,42 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, count + 200)), hard))
     with around.assigner(deployment={"proxies": "2000"}):
         around.list.accept("list").send(m.WatchEvent("full", 1, servers(1, 1)))
-        lines = [dial(around.port, m.Hello(m.PROTOCOL_VERSION, "proxy", p, 0, "t")) for p in range(count)]
-        greeted = sum(isinstance(line.read(), m.Welcome) for line in lines)
-        for line in lines:
-            line.close()
-        assert greeted == count
+        streams = [
+            dial(around.port, m.Hello(m.PROTOCOL_VERSION, "proxy", proxy_id, 0, "t"))
+            for proxy_id in range(count)
+        ]
+        accepted = sum(isinstance(stream.read(), m.Welcome) for stream in streams)
+        for stream in streams:
+            stream.close()
+        assert accepted == count
 
 
 def test_port_in_use_is_reported_in_one_line(around: Around, tmp_path: Path) -> None:
     with around.assigner():
         path = tmp_path / "assigner.ini"
-        words = [sys.executable, "-m", "puffintide", "assigner", "--config", str(path)]
-        again = subprocess.run(words, capture_output=True, text=True, timeout=20)
-    assert again.returncode == 2
-    assert str(around.port) in again.stderr
-    assert len(again.stderr.splitlines()) == 1
+        command = [sys.executable, "-m", "puffintide", "assigner", "--config", str(path)]
+        second = subprocess.run(command, capture_output=True, text=True, timeout=20)
+    assert second.returncode == 2
+    assert str(around.port) in second.stderr
+    assert len(second.stderr.splitlines()) == 1
 
 
 def test_restarted_assigner_is_granted_its_slices_again(around: Around) -> None:
     with around.assigner() as running:
         around.store.accept("store").send(charges())
-        listed = around.list.accept("list")
-        listed.send(m.WatchEvent("full", 1, servers(1, 1)))
+        list_stream = around.list.accept("list")
+        list_stream.send(m.WatchEvent("full", 1, servers(1, 1)))
         proxy = around.proxy(0)
         time.sleep(0.4)
         running.kill()
-        assert proxy.read() is None or proxy.until(lambda x: x is None)
+        assert proxy.read() is None or proxy.until(lambda message: message is None)
     with around.assigner():
         around.store.accept("store").send(charges(server=1, token=100))
-        listed = around.list.accept("list")
-        listed.send(m.WatchEvent("full", 2, servers(1, 2)))
+        list_stream = around.list.accept("list")
+        list_stream.send(m.WatchEvent("full", 2, servers(1, 2)))
         proxy = around.proxy(0, fresh=False)
-        order = proxy.until(lambda x: shut(x, 1))
-        assert all(x.fencing_token >= 100 for x in order.weights if x.server_id == 1)
+        update = proxy.until(lambda message: stops_traffic(message, 1))
+        assert all(entry.fencing_token >= 100 for entry in update.weights if entry.server_id == 1)
 
 
 @pytest.fixture
@@ -188,38 +197,43 @@
     port = PORTS.take()
     tables = tmp_path / "tables.jsonl"
     tables.write_text(
-        "".join(json.dumps({"slice": n, "server": n % 3, "address": "127.0.0.1:1"}) + "\n" for n in range(8))
+        "".join(
+            json.dumps({"slice": slice_id, "server": slice_id % 3, "address": "127.0.0.1:1"}) + "\n"
+            for slice_id in range(8)
+        )
     )
     section = {"listen": f"127.0.0.1:{port}", "start_tables": str(tables)}
     with process(tmp_path, "store", section) as running:
         yield running, port
 
 
-def assigner_at(port: int, number: int) -> Line:
-    line = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", number, 0, "t"))
-    line.until(lambda x: isinstance(x, m.Welcome))
-    return line
+def connect_assigner(port: int, assigner_id: int) -> Line:
+    stream = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", assigner_id, 0, "t"))
+    stream.until(lambda message: isinstance(message, m.Welcome))
+    return stream
 
 
-def given(line: Line, count: int) -> dict[int, m.SliceOwnership]:
-    found: dict[int, m.SliceOwnership] = {}
-    while len(found) < count:
-        for charge in line.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships:
-            found[charge.slice_id] = charge
-    return found
+def receive_ownerships(stream: Line, count: int) -> dict[int, m.SliceOwnership]:
+    """Read until the ownerships of count slices have been received, and return them by slice id."""
+    received: dict[int, m.SliceOwnership] = {}
+    while len(received) < count:
+        for ownership in stream.until(lambda message: isinstance(message, m.SliceOwnerships)).ownerships:
+            received[ownership.slice_id] = ownership
+    return received
 
 
 def test_suspended_assigner_loses_ownership_and_its_late_writes_are_rejected(store: Any) -> None:
     _, port = store
-    first, second = assigner_at(port, 0), assigner_at(port, 1)
-    mine = given(first, 4)
-    assert set(mine) == {0, 2, 4, 6}
-    assert set(given(second, 4)) == {1, 3, 5, 7}
+    first, second = connect_assigner(port, 0), connect_assigner(port, 1)
+    granted = receive_ownerships(first, 4)
+    assert set(granted) == {0, 2, 4, 6}
+    assert set(receive_ownerships(second, 4)) == {1, 3, 5, 7}
     proxy = dial(port, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
     proxy.send(m.ReadRequest())
-    assert set(given(proxy, 8)) == set(range(8))
+    assert set(receive_ownerships(proxy, 8)) == set(range(8))
     first.mute = True
-    # It is silent, as a stopped process is: the store gives its slices to the other, and tells the proxies.
+    # The first assigner is silent like a suspended process, so the store grants its slices to the second one
+    # and notifies the proxies.
     deadline = time.monotonic() + 10
     taken: dict[int, m.SliceOwnership] = {}
     while set(taken) != {0, 2, 4, 6}:
@@ -229,68 +243,76 @@
         except TimeoutError:
             continue
         if isinstance(message, m.SliceOwnerships):
-            taken.update({c.slice_id: c for c in message.ownerships})
+            taken.update({ownership.slice_id: ownership for ownership in message.ownerships})
     assert all(
-        taken[n].fencing_token > mine[n].fencing_token and taken[n].entries == mine[n].entries for n in taken
+        taken[slice_id].fencing_token > granted[slice_id].fencing_token
+        and taken[slice_id].entries == granted[slice_id].entries
+        for slice_id in taken
     )
-    news = {c.slice_id: c for c in proxy.until(lambda x: isinstance(x, m.SliceOwnerships)).ownerships}
-    assert {n: c.owner_id for n, c in news.items()} == dict.fromkeys((0, 2, 4, 6), 1)
-    # Awake again, it dials; its slices are given back, and a write with its old token changes nothing.
-    again = assigner_at(port, 0)
-    back = given(again, 4)
-    again.send(
+    notification = proxy.until(lambda message: isinstance(message, m.SliceOwnerships))
+    owners = {ownership.slice_id: ownership.owner_id for ownership in notification.ownerships}
+    assert owners == dict.fromkeys((0, 2, 4, 6), 1)
+    # After it has reconnected, its slices are granted again. Writes with the old token are rejected.
+    reconnected = connect_assigner(port, 0)
+    granted_again = receive_ownerships(reconnected, 4)
+    reconnected.send(
         m.WriteRequest(
             1,
             [
-                m.WeightEntry(0, 9, 1.0, mine[0].fencing_token),
+                m.WeightEntry(0, 9, 1.0, granted[0].fencing_token),
                 m.WeightEntry(1, 9, 1.0, 0),
-                m.WeightEntry(2, 8, 1.0, back[2].fencing_token),
+                m.WeightEntry(2, 8, 1.0, granted_again[2].fencing_token),
             ],
         )
     )
-    refused = {again.until(lambda x: isinstance(x, m.WriteRejected)).slice_id for _ in range(2)}
-    assert refused == {0, 1}
-    proxy.until(lambda x: isinstance(x, m.SliceOwnerships))  # that it was given back
+    rejected = {
+        reconnected.until(lambda message: isinstance(message, m.WriteRejected)).slice_id for _ in range(2)
+    }
+    assert rejected == {0, 1}
+    proxy.until(lambda message: isinstance(message, m.SliceOwnerships))  # The slices were granted again.
     proxy.send(m.ReadRequest())
-    tables = given(proxy, 8)
-    assert [h.server_id for h in tables[0].entries] == [0]
-    assert sorted(h.server_id for h in tables[2].entries) == [2, 8]
+    tables = receive_ownerships(proxy, 8)
+    assert [entry.server_id for entry in tables[0].entries] == [0]
+    assert sorted(entry.server_id for entry in tables[2].entries) == [2, 8]
 
 
-def test_suspended_store_is_noticed_and_written_to_after_its_return(around: Around, store: Any) -> None:
+def test_suspended_store_is_detected_and_written_to_after_it_resumes(around: Around, store: Any) -> None:
     running, port = store
     around.section["store"] = f"127.0.0.1:{port}"
     with around.assigner():
-        listed = around.list.accept("list")
-        listed.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
+        list_stream = around.list.accept("list")
+        list_stream.send(m.WatchEvent("full", 1, servers(1, 1, 1)))
         proxy = around.proxy(0)
         time.sleep(0.5)
         running.send_signal(signal.SIGSTOP)
-        listed.send(m.WatchEvent("delta", 2, servers(2)[:1]))
-        assert proxy.until(lambda x: shut(x, 0))  # proxies are told though the store is not there
+        list_stream.send(m.WatchEvent("delta", 2, servers(2)[:1]))
+        # Proxies are updated although the store does not respond.
+        assert proxy.until(lambda message: stops_traffic(message, 0))
         time.sleep(2.6)
         running.send_signal(signal.SIGCONT)
         reader = dial(port, m.Hello(m.PROTOCOL_VERSION, "proxy", 1, 0, "t"))
         end = time.monotonic() + 10
         while True:
             reader.send(m.ReadRequest())
-            tables = given(reader, 8)
-            if all(any(h.server_id != 0 for h in tables[n].entries) for n in (0, 3, 6)):
+            tables = receive_ownerships(reader, 8)
+            if all(any(entry.server_id != 0 for entry in tables[slice_id].entries) for slice_id in (0, 3, 6)):
                 break
-            assert time.monotonic() < end, "the store never heard what was ordered while it was away"
+            assert time.monotonic() < end, "the store did not receive the weights set while it was suspended"
             time.sleep(0.3)
     events = {row["event"] for row in around.log()}
     assert "store_disconnected" in events
 
 
-def zone(tmp: Path, words: list[str], store: int, assigners: str = "") -> subprocess.CompletedProcess[str]:
-    path = tmp / "operator.ini"
+def run_zone_command(
+    folder: Path, arguments: list[str], store_port: int, assigners: str = ""
+) -> subprocess.CompletedProcess[str]:
+    path = folder / "operator.ini"
     path.write_text(
         "[deployment]\nname = t\nzones = a, b\nproxies = 3\nslices = 8\nassigners = 2\n"
         "[class read]\naim_s = 1\ndeadline_s = 4\n"
-        f"[operator]\nstore = 127.0.0.1:{store}\nassigners = {assigners}\n"
+        f"[operator]\nstore = 127.0.0.1:{store_port}\nassigners = {assigners}\n"
     )
-    command = [sys.executable, "-m", "puffintide", "zone", *words, "--config", str(path)]
+    command = [sys.executable, "-m", "puffintide", "zone", *arguments, "--config", str(path)]
     return subprocess.run(
         command, capture_output=True, text=True, timeout=30, env=os.environ | {"COLUMNS": "200"}
     )
@@ -299,58 +321,61 @@
 def test_zone_command_is_stored_for_assigners_that_connect_later(tmp_path: Path) -> None:
     port = PORTS.take()
     with process(tmp_path, "store", {"listen": f"127.0.0.1:{port}"}):
-        here = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 0, 0, "t"))
-        here.until(lambda x: isinstance(x, m.Welcome))
-        done = zone(tmp_path, ["drain", "b", "--pace", "2"], port)
-        assert (done.returncode, "zone b: drain, pace 2" in done.stdout) == (0, True), done.stderr
-        told = here.until(lambda x: isinstance(x, m.ZoneCommands)).commands
+        connected = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 0, 0, "t"))
+        connected.until(lambda message: isinstance(message, m.Welcome))
+        command = run_zone_command(tmp_path, ["drain", "b", "--pace", "2"], port)
+        assert (command.returncode, "zone b: drain, pace 2" in command.stdout) == (0, True), command.stderr
+        received = connected.until(lambda message: isinstance(message, m.ZoneCommands)).commands
         later = dial(port, m.Hello(m.PROTOCOL_VERSION, "assigner", 1, 1, "t"))
-        assert later.until(lambda x: isinstance(x, m.ZoneCommands)).commands == told
-        assert [(h.zone, h.operation, h.pace, h.sequence) for h in told] == [(1, "drain", 2.0, 1)]
-        assert "zone 'c' is unknown; allowed: a, b" in zone(tmp_path, ["hold", "c"], port).stderr
-        # The wire is not trusted to have been checked by the command, and a proxy has no hand.
-        for role, hand in (
+        assert later.until(lambda message: isinstance(message, m.ZoneCommands)).commands == received
+        assert [
+            (command.zone, command.operation, command.pace, command.sequence) for command in received
+        ] == [(1, "drain", 2.0, 1)]
+        assert "zone 'c' is unknown; allowed: a, b" in run_zone_command(tmp_path, ["hold", "c"], port).stderr
+        # The store validates commands itself, and rejects commands of proxies.
+        for role, zone_command in (
             ("operator", m.ZoneCommand(7, "hold")),
             ("operator", m.ZoneCommand(0, "hold", 99.0)),
             ("proxy", m.ZoneCommand(0, "hold")),
         ):
-            stranger = dial(port, m.Hello(m.PROTOCOL_VERSION, role, 0, 0, "t"))
-            stranger.until(lambda x: isinstance(x, m.Welcome))
-            stranger.send(hand)
-            assert stranger.until(lambda x: isinstance(x, m.ConnectionRejected)).reason
-        zone(tmp_path, ["return", "b"], port)
-        assert [h.operation for h in here.until(lambda x: isinstance(x, m.ZoneCommands)).commands] == [
-            "return"
-        ]
+            sender = dial(port, m.Hello(m.PROTOCOL_VERSION, role, 0, 0, "t"))
+            sender.until(lambda message: isinstance(message, m.Welcome))
+            sender.send(zone_command)
+            assert sender.until(lambda message: isinstance(message, m.ConnectionRejected)).reason
+        run_zone_command(tmp_path, ["return", "b"], port)
+        latest = connected.until(lambda message: isinstance(message, m.ZoneCommands)).commands
+        assert [command.operation for command in latest] == ["return"]
 
 
 def test_zone_on_hold_is_emptied_and_the_command_outlives_the_assigner(
     around: Around, tmp_path: Path
 ) -> None:
-    for _ in range(2):  # the second life has it from the store
+    for _ in range(2):  # The restarted assigner receives the command from the store.
         with around.assigner(reports={"names": "busy"}):
-            store, listed = around.store.accept("store"), around.list.accept("list")
-            listed.until(lambda x: isinstance(x, m.WatchRequest))
-            listed.send(m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
+            store, list_stream = around.store.accept("store"), around.list.accept("list")
+            list_stream.until(lambda message: isinstance(message, m.WatchRequest))
+            list_stream.send(m.WatchEvent("full", 1, servers(1, 1, 1, 1)))
             proxy = around.proxy(0)
             store.send(charges(server=0))
             store.send(m.ZoneCommands([m.ZoneCommand(0, "hold", 1.0, "me", 1)]))
-            heat = [m.SliceUsage(n, 0, 5, 0) for n in range(8)]
-            gone: set[int] = set()
+            slice_usages = [m.SliceUsage(slice_id, 0, 5, 0) for slice_id in range(8)]
+            emptied_slices: set[int] = set()
             end = time.monotonic() + 15
-            while len(gone) < 8:
+            while len(emptied_slices) < 8:
                 assert time.monotonic() < end
-                proxy.send(m.UsageReport(0.5, [m.ServerUsage(0, 40, 0, 2.0, [0.2])], heat))
+                proxy.send(m.UsageReport(0.5, [m.ServerUsage(0, 40, 0, 2.0, [0.2])], slice_usages))
                 with contextlib.suppress(TimeoutError):
-                    order = proxy.until(lambda x: isinstance(x, m.ProxyUpdate), 0.5)
-                    assert all(line.server_id % 2 for line in order.weights if line.weight >= 1)
-                    gone |= {
-                        line.slice_id for line in order.weights if line.server_id == 0 and line.weight == 0
+                    update = proxy.until(lambda message: isinstance(message, m.ProxyUpdate), 0.5)
+                    assert all(entry.server_id % 2 for entry in update.weights if entry.weight >= 1)
+                    emptied_slices |= {
+                        entry.slice_id
+                        for entry in update.weights
+                        if entry.server_id == 0 and entry.weight == 0
                     }
-            shown = zone(tmp_path, ["show"], around.store.port, f"127.0.0.1:{around.port}")
-            assert shown.returncode == 0
-            assert "drained" in shown.stdout
-            assert "by hand: hold" in shown.stdout
-    nobody = zone(tmp_path, ["show"], around.store.port, f"127.0.0.1:{around.port}")
-    assert nobody.returncode == 1
-    assert "refused" in nobody.stdout
+            status = run_zone_command(tmp_path, ["show"], around.store.port, f"127.0.0.1:{around.port}")
+            assert status.returncode == 0
+            assert "drained" in status.stdout
+            assert "by hand: hold" in status.stdout
+    unreachable = run_zone_command(tmp_path, ["show"], around.store.port, f"127.0.0.1:{around.port}")
+    assert unreachable.returncode == 1
+    assert "refused" in unreachable.stdout
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,7 @@
-"""Slices with a single writer: no two servers execute writes at once, whatever proxies, store and time do."""
+"""Handover of slices with a single writer: no two servers execute writes of a slice at the same time.
+
+This holds although proxies reconnect, messages are delayed and the store is slow or unreachable.
+"""
 
 from __future__ import annotations
 
@@ -10,245 +13,287 @@
 from puffintide.assigner.handover import FIRST_CHECKPOINT_ID, Handover, HandoverSteps
 from puffintide.protocol.messages import ProxyUpdate, WeightEntry
 
-LEASE, LONGEST = 1.0, 2.0
+WRITE_LEASE_S, MAX_WRITE_DEADLINE_S = 1.0, 2.0
 
 
-def line(number: int, server: int, token: int = 1) -> WeightEntry:
-    return WeightEntry(number, server, 1.0, token)
+def weight_entry(slice_id: int, server: int, token: int = 1) -> WeightEntry:
+    return WeightEntry(slice_id, server, 1.0, token)
 
 
 def batch(
-    number: int, lines: list[WeightEntry], proxies: list[int], withdrawn: list[int] | None = None
+    number: int, weights: list[WeightEntry], proxies: list[int], withdrawn: list[int] | None = None
 ) -> tuple[int, list[WeightEntry], list[tuple[int, ProxyUpdate]]]:
     return (
         number,
-        lines,
+        weights,
         [
-            (p, ProxyUpdate(number, 0.0, 9.0, lines, withdrawn_servers=withdrawn or [], checkpoint_id=7))
-            for p in proxies
+            (
+                proxy,
+                ProxyUpdate(number, 0.0, 9.0, weights, withdrawn_servers=withdrawn or [], checkpoint_id=7),
+            )
+            for proxy in proxies
         ],
     )
 
 
-def made(patience_s: float = 10.0) -> Handover:
-    found = Handover(LEASE, LONGEST, patience_s, 2.0)
+def connected_handover(max_drain_s: float = 10.0) -> Handover:
+    handover = Handover(WRITE_LEASE_S, MAX_WRITE_DEADLINE_S, max_drain_s, 2.0)
     for proxy in (0, 1):
-        found.on_proxy_connected(0.0, proxy)
-    return found
+        handover.on_proxy_connected(0.0, proxy)
+    return handover
 
 
-def lines_of(steps: HandoverSteps) -> dict[int, list[int]]:
-    return {p: [x.server_id for x in o.weights] for p, o in steps.proxy_updates if o.weights}
+def servers_by_proxy(steps: HandoverSteps) -> dict[int, list[int]]:
+    return {
+        proxy: [entry.server_id for entry in update.weights]
+        for proxy, update in steps.proxy_updates
+        if update.weights
+    }
 
 
 def test_migration_drains_then_stores_then_sends_new_weights() -> None:
-    handover = made()
-    steps = handover.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1], withdrawn=[4]))
-    stops = {p: o for p, o in steps.proxy_updates if o.cleared_slices}
-    assert set(stops) == {0, 1}
-    assert all(o.cleared_slices == [3] and not o.weights for o in stops.values())
+    handover = connected_handover()
+    steps = handover.add_batch(1.0, *batch(5, [weight_entry(3, 8)], [0, 1], withdrawn=[4]))
+    drain_requests = {proxy: update for proxy, update in steps.proxy_updates if update.cleared_slices}
+    assert set(drain_requests) == {0, 1}
+    assert all(update.cleared_slices == [3] and not update.weights for update in drain_requests.values())
     assert len(steps.proxy_updates) == 2
-    assert all(o.withdrawn_servers == [4] for o in stops.values())
+    assert all(update.withdrawn_servers == [4] for update in drain_requests.values())
     assert steps.writes == []
-    mark = stops[0].checkpoint_id
-    assert mark is not None
-    assert mark >= FIRST_CHECKPOINT_ID
-    assert handover.on_checkpoint_reply(1.2, 0, mark) == HandoverSteps()
-    stored = handover.on_checkpoint_reply(1.4, 1, mark)
-    assert stored.writes == [(5, [line(3, 8)])]
+    checkpoint_id = drain_requests[0].checkpoint_id
+    assert checkpoint_id is not None
+    assert checkpoint_id >= FIRST_CHECKPOINT_ID
+    assert handover.on_checkpoint_reply(1.2, 0, checkpoint_id) == HandoverSteps()
+    stored = handover.on_checkpoint_reply(1.4, 1, checkpoint_id)
+    assert stored.writes == [(5, [weight_entry(3, 8)])]
     assert stored.proxy_updates == []
     assert handover.on_write_acknowledged(1.5, 4) == HandoverSteps()
-    assert lines_of(handover.on_write_acknowledged(1.6, 5)) == {0: [8], 1: [8]}
+    assert servers_by_proxy(handover.on_write_acknowledged(1.6, 5)) == {0: [8], 1: [8]}
     assert not handover.migrations
 
 
 def test_pending_batches_are_merged_into_the_next_migration() -> None:
-    handover = made()
-    first = handover.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1]))
-    assert handover.add_batch(1.1, *batch(6, [line(3, 7), line(4, 9)], [0, 1])).proxy_updates == []
+    handover = connected_handover()
+    first = handover.add_batch(1.0, *batch(5, [weight_entry(3, 8)], [0, 1]))
+    assert (
+        handover.add_batch(1.1, *batch(6, [weight_entry(3, 7), weight_entry(4, 9)], [0, 1])).proxy_updates
+        == []
+    )
+    # Withdrawals are sent at once to both proxies.
     assert (
-        len(handover.add_batch(1.1, *batch(7, [line(3, 9)], [0, 1], withdrawn=[2])).proxy_updates) == 2
-    )  # updates without weights are sent at once
+        len(handover.add_batch(1.1, *batch(7, [weight_entry(3, 9)], [0, 1], withdrawn=[2])).proxy_updates)
+        == 2
+    )
     for proxy in (0, 1):
         handover.on_checkpoint_reply(1.2, proxy, first.proxy_updates[0][1].checkpoint_id or 0)
     after = handover.on_write_acknowledged(1.3, 5)
-    assert lines_of(after) == {0: [8], 1: [8]}
-    stops = [o for _, o in after.proxy_updates if o.cleared_slices]
-    assert [o.cleared_slices for o in stops] == [[3, 4], [3, 4]]
+    assert servers_by_proxy(after) == {0: [8], 1: [8]}
+    drain_requests = [update for _, update in after.proxy_updates if update.cleared_slices]
+    assert [update.cleared_slices for update in drain_requests] == [[3, 4], [3, 4]]
     for proxy in (0, 1):
-        handover.on_checkpoint_reply(1.4, proxy, stops[0].checkpoint_id or 0)
+        handover.on_checkpoint_reply(1.4, proxy, drain_requests[0].checkpoint_id or 0)
     final = handover.on_write_acknowledged(1.5, 7)
-    assert [sorted((x.slice_id, x.server_id) for x in o.weights) for _, o in final.proxy_updates] == [
-        [(3, 9), (4, 9)]
-    ] * 2
+    assert [
+        sorted((entry.slice_id, entry.server_id) for entry in update.weights)
+        for _, update in final.proxy_updates
+    ] == [[(3, 9), (4, 9)]] * 2
 
 
-def test_weights_of_a_slice_owned_by_another_are_dropped() -> None:
-    handover = made()
-    steps = handover.add_batch(1.0, *batch(5, [line(3, 8), line(4, 8)], [0, 1]))
+def test_weights_of_a_dropped_slice_are_not_sent() -> None:
+    handover = connected_handover()
+    steps = handover.add_batch(1.0, *batch(5, [weight_entry(3, 8), weight_entry(4, 8)], [0, 1]))
     for proxy in (0, 1):
         handover.on_checkpoint_reply(1.2, proxy, steps.proxy_updates[0][1].checkpoint_id or 0)
     handover.drop_slice(3)
     assert all(
-        [x.slice_id for x in o.weights] == [4]
-        for _, o in handover.on_write_acknowledged(1.3, 5).proxy_updates
+        [entry.slice_id for entry in update.weights] == [4]
+        for _, update in handover.on_write_acknowledged(1.3, 5).proxy_updates
     )
 
 
-def test_disconnected_proxy_is_waited_for_and_new_proxy_receives_weights_first() -> None:
-    handover = made()
-    steps = handover.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1]))
+def test_migration_waits_for_disconnected_proxy_and_new_proxy_receives_weights_first() -> None:
+    handover = connected_handover()
+    steps = handover.add_batch(1.0, *batch(5, [weight_entry(3, 8)], [0, 1]))
     handover.on_checkpoint_reply(1.1, 0, steps.proxy_updates[0][1].checkpoint_id or 0)
     assert handover.on_proxy_disconnected(1.2, 1).writes == []
-    assert handover.on_proxy_connected(1.5, 1).proxy_updates == []  # its first update comes with the weights
-    assert handover.advance(1.2 + LEASE + LONGEST - 0.01).writes == []
-    assert handover.advance(1.2 + LEASE + LONGEST).writes != []
-    assert lines_of(handover.on_write_acknowledged(4.5, 5)) == {0: [8], 1: [8]}
-    assert [p for p, _ in handover.on_proxy_connected(5.0, 2).proxy_updates] == [2]  # no migration: at once
+    assert handover.on_proxy_connected(1.5, 1).proxy_updates == []  # It receives the weights later.
+    assert handover.advance(1.2 + WRITE_LEASE_S + MAX_WRITE_DEADLINE_S - 0.01).writes == []
+    assert handover.advance(1.2 + WRITE_LEASE_S + MAX_WRITE_DEADLINE_S).writes != []
+    assert servers_by_proxy(handover.on_write_acknowledged(4.5, 5)) == {0: [8], 1: [8]}
+    # No migration is in progress, so a new proxy is updated at once.
+    assert [proxy for proxy, _ in handover.on_proxy_connected(5.0, 2).proxy_updates] == [2]
 
 
-def test_draining_is_limited_and_unreachable_store_is_waited_for() -> None:
-    handover = made(patience_s=1.5)
-    handover.add_batch(1.0, *batch(5, [line(3, 8)], [0, 1]))
+def test_draining_ends_at_its_deadline_and_weights_wait_for_an_unreachable_store() -> None:
+    handover = connected_handover(max_drain_s=1.5)
+    handover.add_batch(1.0, *batch(5, [weight_entry(3, 8)], [0, 1]))
     assert handover.advance(2.4).writes == []
     assert handover.advance(2.5).writes != []
     assert handover.advance(900.0) == HandoverSteps()
-    assert handover.unacknowledged_writes() == [(5, [line(3, 8)])]
+    assert handover.unacknowledged_writes() == [(5, [weight_entry(3, 8)])]
     handover.on_token_renewed(3, 44)
-    assert handover.unacknowledged_writes() == [(5, [line(3, 8, 44)])]
+    assert handover.unacknowledged_writes() == [(5, [weight_entry(3, 8, 44)])]
     assert all(
-        x.fencing_token == 44
-        for _, o in handover.on_write_acknowledged(901.0, 5).proxy_updates
-        for x in o.weights
+        entry.fencing_token == 44
+        for _, update in handover.on_write_acknowledged(901.0, 5).proxy_updates
+        for entry in update.weights
     )
 
 
-class Site:
-    """Proxies with writes in flight, a store, and messages that are delayed."""
+class Simulation:
+    """A simulation of proxies with writes in flight, a store and delayed messages.
 
-    def __init__(self, seed: int, patience_s: float = 50.0) -> None:
+    Attributes:
+        table: The server of the only slice, by proxy; None while the table is cleared.
+        writable_until: Time until which each proxy takes writes.
+        writes: The proxy, the server and the end time of each write in flight.
+        messages: The arrival time, sequence number, type and content of each message in flight.
+        max_servers: Highest number of servers that executed writes at the same time.
+    """
+
+    def __init__(self, seed: int, max_drain_s: float = 50.0) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.handover = Handover(LEASE, LONGEST, patience_s, 2.0)
-        self.table: dict[int, int | None] = {}  # the one slice's server, by proxy
-        self.steered: dict[int, float] = {}  # until when each proxy takes writes
-        self.writes: list[tuple[int, int, float]] = []  # proxy, server, when it ends
-        self.post: list[tuple[float, int, str, Any]] = []
-        self.order = 0
+        self.handover = Handover(WRITE_LEASE_S, MAX_WRITE_DEADLINE_S, max_drain_s, 2.0)
+        self.table: dict[int, int | None] = {}
+        self.writable_until: dict[int, float] = {}
+        self.writes: list[tuple[int, int, float]] = []
+        self.messages: list[tuple[float, int, str, Any]] = []
+        self.message_count = 0
         self.stored = 0
         self.max_servers = 0
 
-    def send(self, what: str, data: Any, max_delay_s: float = 0.4) -> None:
-        self.order += 1
-        self.post.append((self.now + self.rng.uniform(0.01, max_delay_s), self.order, what, data))
-
-    def carry_out(self, steps: HandoverSteps) -> None:
-        for proxy, order in steps.proxy_updates:
-            last = max((at for at, _, w, d in self.post if w == "order" and d[0] == proxy), default=0.0)
-            self.order += 1
-            at = max(last, self.now + self.rng.uniform(0.01, 0.4)) + 1e-6  # in order on one stream
-            self.post.append((at, self.order, "order", (proxy, self.incarnation.get(proxy, 0), order)))
-        for number, lines in steps.writes:
-            self.send("write", (number, lines[0].server_id if lines else None))
+    def send(self, message_type: str, content: Any, max_delay_s: float = 0.4) -> None:
+        self.message_count += 1
+        self.messages.append(
+            (self.now + self.rng.uniform(0.01, max_delay_s), self.message_count, message_type, content)
+        )
+
+    def apply_steps(self, steps: HandoverSteps) -> None:
+        for proxy, update in steps.proxy_updates:
+            last_arrival = max(
+                (
+                    arrives_at
+                    for arrives_at, _, message_type, content in self.messages
+                    if message_type == "update" and content[0] == proxy
+                ),
+                default=0.0,
+            )
+            self.message_count += 1
+            # Updates of one proxy arrive in order, as they are sent on one stream.
+            arrives_at = max(last_arrival, self.now + self.rng.uniform(0.01, 0.4)) + 1e-6
+            content = (proxy, self.incarnation.get(proxy, 0), update)
+            self.messages.append((arrives_at, self.message_count, "update", content))
+        for number, weights in steps.writes:
+            self.send("write", (number, weights[0].server_id if weights else None))
 
     incarnation: dict[int, int]
 
-    def busy(self, proxy: int) -> bool:
-        return any(p == proxy and end > self.now for p, _, end in self.writes)
+    def has_writes_in_flight(self, proxy: int) -> bool:
+        return any(writer == proxy and end > self.now for writer, _, end in self.writes)
 
     def run(self) -> int:
         self.incarnation = {}
-        moves = 0
+        batches = 0
         for proxy in range(3):
             self.incarnation[proxy] = 1
             self.table[proxy] = self.stored
-            self.carry_out(self.handover.on_proxy_connected(self.now, proxy))
+            self.apply_steps(self.handover.on_proxy_connected(self.now, proxy))
         for _ in range(1500):
             self.now += 0.02
-            for item in sorted(i for i in self.post if i[0] <= self.now):
-                self.post.remove(item)
-                self.arrive(item[2], item[3])
-            self.carry_out(self.handover.advance(self.now))
+            for message in sorted(message for message in self.messages if message[0] <= self.now):
+                self.messages.remove(message)
+                self.deliver(message[2], message[3])
+            self.apply_steps(self.handover.advance(self.now))
             for proxy in list(self.incarnation):
                 server = self.table.get(proxy)
-                if server is not None and self.steered.get(proxy, 0.0) > self.now and self.rng.random() < 0.2:
-                    self.writes.append((proxy, server, self.now + self.rng.uniform(0.0, LONGEST)))
+                if (
+                    server is not None
+                    and self.writable_until.get(proxy, 0.0) > self.now
+                    and self.rng.random() < 0.2
+                ):
+                    self.writes.append(
+                        (proxy, server, self.now + self.rng.uniform(0.0, MAX_WRITE_DEADLINE_S))
+                    )
             if self.rng.random() < 0.01:
-                moves += 1
-                new = self.rng.randrange(10)
-                self.carry_out(
+                batches += 1
+                new_server = self.rng.randrange(10)
+                self.apply_steps(
                     self.handover.add_batch(
                         self.now,
-                        moves,
-                        [line(0, new)],
-                        [(p, ProxyUpdate(moves, 0.0, 3.0, [line(0, new)])) for p in self.connected],
+                        batches,
+                        [weight_entry(0, new_server)],
+                        [
+                            (proxy, ProxyUpdate(batches, 0.0, 3.0, [weight_entry(0, new_server)]))
+                            for proxy in self.connected
+                        ],
                     )
                 )
             if self.rng.random() < 0.004 and self.connected:
-                self.cut(self.rng.choice(self.connected))
-            self.writes = [w for w in self.writes if w[2] > self.now]
-            servers = {s for _, s, _ in self.writes}
+                self.disconnect(self.rng.choice(self.connected))
+            self.writes = [write for write in self.writes if write[2] > self.now]
+            servers = {server for _, server, _ in self.writes}
             self.max_servers = max(self.max_servers, len(servers))
-        return moves
+        return batches
 
     @property
     def connected(self) -> list[int]:
         return sorted(self.handover.proxies)
 
-    def cut(self, proxy: int) -> None:
-        """Close its stream: both ends notice at once, and it connects again later and reads the store."""
+    def disconnect(self, proxy: int) -> None:
+        """Close a proxy's stream, which both ends detect at once; it reconnects later and reads the store."""
         self.incarnation[proxy] += 1
-        self.steered[proxy] = min(self.steered.get(proxy, 0.0), self.now + LEASE)
-        self.carry_out(self.handover.on_proxy_disconnected(self.now, proxy))
-        self.send("back", proxy, 4.0)
+        self.writable_until[proxy] = min(self.writable_until.get(proxy, 0.0), self.now + WRITE_LEASE_S)
+        self.apply_steps(self.handover.on_proxy_disconnected(self.now, proxy))
+        self.send("reconnect", proxy, 4.0)
 
-    def arrive(self, what: str, data: Any) -> None:
-        match what:
+    def deliver(self, message_type: str, content: Any) -> None:
+        match message_type:
             case "write":
-                number, server = data
+                number, server = content
                 self.stored = server if server is not None else self.stored
-                self.send("written", number)
-            case "written":
-                self.carry_out(self.handover.on_write_acknowledged(self.now, data))
-            case "back":
-                assert isinstance(data, int)
-                self.table[data] = self.stored
-                self.steered[data] = 0.0
-                self.carry_out(self.handover.on_proxy_connected(self.now, data))
-            case "applied":
-                self.checkpoint_reply_arrives(*data)
+                self.send("write_acknowledged", number)
+            case "write_acknowledged":
+                self.apply_steps(self.handover.on_write_acknowledged(self.now, content))
+            case "reconnect":
+                assert isinstance(content, int)
+                self.table[content] = self.stored
+                self.writable_until[content] = 0.0
+                self.apply_steps(self.handover.on_proxy_connected(self.now, content))
+            case "checkpoint_reply":
+                self.deliver_checkpoint_reply(*content)
             case _:
-                self.update_arrives(*data)
+                self.deliver_update(*content)
 
-    def checkpoint_reply_arrives(self, proxy: int, incarnation: int, mark: int) -> None:
+    def deliver_checkpoint_reply(self, proxy: int, incarnation: int, checkpoint_id: int) -> None:
         if self.incarnation[proxy] != incarnation:
             return
-        if self.busy(proxy):
-            self.send("applied", (proxy, incarnation, mark), 0.05)
+        if self.has_writes_in_flight(proxy):
+            self.send("checkpoint_reply", (proxy, incarnation, checkpoint_id), 0.05)
         else:
-            self.carry_out(self.handover.on_checkpoint_reply(self.now, proxy, mark))
+            self.apply_steps(self.handover.on_checkpoint_reply(self.now, proxy, checkpoint_id))
 
-    def update_arrives(self, proxy: int, incarnation: int, order: ProxyUpdate) -> None:
+    def deliver_update(self, proxy: int, incarnation: int, update: ProxyUpdate) -> None:
         if self.incarnation[proxy] != incarnation:
             return
-        self.steered[proxy] = 1e9
-        if order.cleared_slices:
+        self.writable_until[proxy] = 1e9
+        if update.cleared_slices:
             self.table[proxy] = None
-        for x in order.weights:
-            self.table[proxy] = x.server_id
-        if order.checkpoint_id is not None and order.checkpoint_id >= FIRST_CHECKPOINT_ID:
-            self.send("applied", (proxy, incarnation, order.checkpoint_id), 0.05)
+        for entry in update.weights:
+            self.table[proxy] = entry.server_id
+        if update.checkpoint_id is not None and update.checkpoint_id >= FIRST_CHECKPOINT_ID:
+            self.send("checkpoint_reply", (proxy, incarnation, update.checkpoint_id), 0.05)
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_no_two_servers_execute_writes_at_once(seed: int) -> None:
-    site = Site(seed)
-    assert site.run() > 5
-    assert site.max_servers == 1
+    simulation = Simulation(seed)
+    assert simulation.run() > 5
+    assert simulation.max_servers == 1
 
 
 def test_without_draining_two_servers_would_execute_writes_at_once() -> None:
-    sites = [Site(seed, patience_s=0.0) for seed in range(10)]
-    for site in sites:
-        site.run()
-    assert max(site.max_servers for site in sites) > 1
+    simulations = [Simulation(seed, max_drain_s=0.0) for seed in range(10)]
+    for simulation in simulations:
+        simulation.run()
+    assert max(simulation.max_servers for simulation in simulations) > 1
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Usage reports of proxies aggregate into load reports within their limit."""
+"""Aggregation of usage reports into rate-limited load reports."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 from puffintide.protocol import messages as m
 
 
-def test_no_usage_is_lost_whatever_the_limit_of_reports() -> None:
+def test_no_usage_is_lost_when_load_reports_are_rate_limited() -> None:
     aggregator = LoadReportAggregator(entries_per_s=4.0)
     reports: list[ServerLoadReport] = []
     for step in range(40):
         now = 10 + step * 0.5
         for proxy in range(3):
-            rows = [m.ServerUsage(s, 2, 1, 0.5, [float(s)]) for s in range(5)]
-            aggregator.add_usage(now, proxy % 2, m.UsageReport(0.5, rows if step < 20 else [], []))
+            usages = [m.ServerUsage(server, 2, 1, 0.5, [float(server)]) for server in range(5)]
+            aggregator.add_usage(now, proxy % 2, m.UsageReport(0.5, usages if step < 20 else [], []))
         events = aggregator.drain_reports(now)
         assert len(events) <= 4
-        reports += [e for e in events if isinstance(e, ServerLoadReport)]
-    assert sum(e.attempts for e in reports) == 20 * 3 * 5 * 2
-    assert sum(e.failed_attempts for e in reports) == 20 * 3 * 5
-    assert {(e.proxy_zone, e.server_id) for e in reports[:10]} == {
-        (z, s) for z in (0, 1) for s in range(5)
-    }  # all take turns
-    assert all(e.mean_latency_s == pytest.approx(0.5) for e in reports)
+        reports += [event for event in events if isinstance(event, ServerLoadReport)]
+    assert sum(report.attempts for report in reports) == 20 * 3 * 5 * 2
+    assert sum(report.failed_attempts for report in reports) == 20 * 3 * 5
+    # The first ten reports cover each pair of zone and server once.
+    assert {(report.proxy_zone, report.server_id) for report in reports[:10]} == {
+        (zone, server) for zone in (0, 1) for server in range(5)
+    }
+    assert all(report.mean_latency_s == pytest.approx(0.5) for report in reports)
