--- a/puffintide/assigner/service.py
+++ b/puffintide/assigner/service.py
@@ -243,7 +243,7 @@
         )
 
     def _store_hello(self) -> m.Hello:
-        """Return a Hello with the highest fencing token that this assigner knows."""
+        """Return a Hello with the highest fencing token of the owned slices."""
         highest_token = max(self.runtime.fencing_tokens.values(), default=0)
         return msgspec.structs.replace(self._hello(), highest_token=highest_token)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -116,7 +116,7 @@
     steps = handover.add_batch(1.0, *batch(5, [weight_entry(3, 8)], [0, 1]))
     handover.on_checkpoint_reply(1.1, 0, steps.proxy_updates[0][1].checkpoint_id or 0)
     assert handover.on_proxy_disconnected(1.2, 1).writes == []
-    assert handover.on_proxy_connected(1.5, 1).proxy_updates == []  # It receives the weights later.
+    assert handover.on_proxy_connected(1.5, 1).proxy_updates == []  # Its first update has the weights.
     assert handover.advance(1.2 + WRITE_LEASE_S + MAX_WRITE_DEADLINE_S - 0.01).writes == []
     assert handover.advance(1.2 + WRITE_LEASE_S + MAX_WRITE_DEADLINE_S).writes != []
     assert servers_by_proxy(handover.on_write_acknowledged(4.5, 5)) == {0: [8], 1: [8]}
