--- a/puffintide/platform/__init__.py
+++ b/puffintide/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The assigner on the shared platform's protocol; docs/node.md is its page."""
+"""The assigner as a service on the shared platform, described in docs/node.md."""
--- a/puffintide/platform/client_messages.py
+++ b/puffintide/platform/client_messages.py
@@ -1,7 +1,7 @@
 """Messages received at the assigner's address: pings and the load reports of collectors. Performs no I/O.
 
-The platform's field names are mapped to the terms of this program here, in relay_messages and in
-discovery_messages; orders are encoded in relay_orders.
+This module, relay_messages and discovery_messages map the platform's field names to the terms of this
+program. Orders are encoded in relay_orders.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class Ping(msgspec.Struct, tag_field="msg", tag="ping", frozen=True):
-    """Asks whether the assigner serves."""
+    """Asks whether the assigner is serving."""
 
 
 class CollectorHello(msgspec.Struct, tag_field="msg", tag="collector", frozen=True, rename={"zone": "az"}):
-    """Identifies the sender as a collector of load reports of a zone."""
+    """Identifies the sender as a collector of the load reports of a zone."""
 
     zone: str
 
@@ -44,7 +44,7 @@
         "load_values": "report",
     },
 ):
-    """What the proxies of a zone observed at a server over an interval."""
+    """Results of the attempts of a zone's proxies at one server over an interval."""
 
     zone: str
     host: str
@@ -68,7 +68,7 @@
         "interval_ms": "window",
     },
 ):
-    """Requests of a class for a slice over an interval."""
+    """Counts of the requests of one class for one slice over an interval."""
 
     slice_id: int
     class_name: str
@@ -78,7 +78,7 @@
 
 
 ClientMessage = Ping | CollectorHello | ServerReport | SliceReport
-_client_messages = msgspec.json.Decoder(ClientMessage)
+_client_message_decoder = msgspec.json.Decoder(ClientMessage)
 
 
 def decode_client_message(line: bytes) -> ClientMessage:
@@ -86,35 +86,47 @@
 
     Raises:
         MalformedMessageError: The line is not JSON.
-        InvalidMessageError: It is JSON, but no such message.
+        InvalidMessageError: The line is JSON, but not a valid client message.
     """
-    return decode_json(_client_messages, line)
+    return decode_json(_client_message_decoder, line)
 
 
 def _check_counts(total: int, failed: int, interval_ms: float) -> None:
     if not (0 <= total <= MAX_COUNT and 0 <= failed <= MAX_COUNT):
-        raise InvalidMessageError(f"{failed} failed of {total}")
+        raise InvalidMessageError(
+            f"invalid load report: counts {failed} of {total} are not within 0 to {MAX_COUNT}"
+        )
     if not 0 < interval_ms <= MAX_INTERVAL_S * MS_PER_S:
-        raise InvalidMessageError(f"interval of {interval_ms:g} ms")
+        limit_ms = MAX_INTERVAL_S * MS_PER_S
+        raise InvalidMessageError(
+            f"invalid load report: interval of {interval_ms:g} ms is not above 0 and at most {limit_ms:g} ms"
+        )
 
 
 def server_load_report(report: ServerReport, names: SettingsNames, hosts: HostRegistry) -> ServerLoadReport:
-    """Convert a report to an event.
+    """Convert a server report to an event.
 
     Raises:
-        InvalidMessageError: A value is out of range, or the zone or host is not known.
+        InvalidMessageError: A value is out of range, or the zone or host is unknown.
     """
     _check_counts(report.attempts, report.failed_attempts, report.interval_ms)
     if report.failed_attempts > report.attempts:
-        raise InvalidMessageError(f"{report.failed_attempts} failed of {report.attempts}")
+        raise InvalidMessageError(
+            f"invalid load report of host {quoted(report.host)}: "
+            f"{report.failed_attempts} failed attempts exceed {report.attempts} attempts"
+        )
     zone = names.zones.get(report.zone)
     if zone is None:
-        raise InvalidMessageError(f"zone {quoted(report.zone)} is not in the settings")
+        raise InvalidMessageError(f"invalid load report: zone {quoted(report.zone)} is not in the settings")
     server_id = hosts.server_id(report.host)
     if server_id is None:
-        raise InvalidMessageError(f"host {quoted(report.host)} was never listed")
+        raise InvalidMessageError(f"invalid load report: host {quoted(report.host)} is unknown")
     if not 0 <= report.mean_latency_ms <= MAX_INTERVAL_S * MS_PER_S:
-        raise InvalidMessageError(f"mean latency of {report.mean_latency_ms:g} ms")
+        limit_ms = MAX_INTERVAL_S * MS_PER_S
+        raise InvalidMessageError(
+            f"invalid load report of host {quoted(report.host)}: "
+            f"mean latency of {report.mean_latency_ms:g} ms is not within 0 to {limit_ms:g} ms"
+        )
     any_succeeded = report.attempts > report.failed_attempts
     return ServerLoadReport(
         proxy_zone=zone,
@@ -128,16 +140,22 @@
 
 
 def slice_load_report(report: SliceReport, names: SettingsNames, slice_count: int) -> SliceLoadReport:
-    """Convert a report to an event; unanswered requests may have come in an earlier interval.
+    """Convert a slice report to an event.
+
+    Unanswered requests may exceed the requests of the interval, as they may have arrived in an earlier one.
 
     Raises:
-        InvalidMessageError: A value is out of range, or the class or slice is not known.
+        InvalidMessageError: A value is out of range, or the class or slice is unknown.
     """
     _check_counts(report.requests, report.unanswered, report.interval_ms)
     class_index = names.classes.get(report.class_name)
     if class_index is None:
-        raise InvalidMessageError(f"class {quoted(report.class_name)} is not in the settings")
+        raise InvalidMessageError(
+            f"invalid load report: class {quoted(report.class_name)} is not in the settings"
+        )
     if not 0 <= report.slice_id < slice_count:
-        raise InvalidMessageError(f"slice {report.slice_id} of {slice_count}")
+        raise InvalidMessageError(
+            f"invalid load report: slice {report.slice_id} is not within 0 to {slice_count - 1}"
+        )
     interval_s = report.interval_ms / MS_PER_S
     return SliceLoadReport(report.slice_id, class_index, report.requests, report.unanswered, interval_s)
--- a/puffintide/platform/discovery_messages.py
+++ b/puffintide/platform/discovery_messages.py
@@ -1,6 +1,6 @@
 """Messages of discovery's watch: the endpoint list and its changes. Performs no I/O.
 
-The platform's field names are mapped to the terms of this program here.
+This module maps the platform's field names to the terms of this program.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     server_type: str = ""
     cell: int = 0
     weight: float = 1.0
-    started_at_ms: int = 0  # Unix time
+    started_at_ms: int = 0  # Unix time in milliseconds; 0 if unknown.
 
 
 class _Members(msgspec.Struct, frozen=True, rename={"version": "seq", "is_snapshot": "whole"}):
@@ -49,7 +49,7 @@
     version: int
     is_snapshot: bool
     entries: list[EndpointEntry]
-    errors: list[str]  # of the entries that were left out
+    errors: list[str]  # One error for each entry that is invalid and therefore not in `entries`.
 
 
 STATUSES = {
@@ -57,39 +57,42 @@
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
 }
-_member_lists = msgspec.json.Decoder(_Members)
-_members = msgspec.json.Decoder(_Member)
+_member_list_decoder = msgspec.json.Decoder(_Members)
+_member_decoder = msgspec.json.Decoder(_Member)
 
 
 def decode_endpoint_list(
     text: bytes, names: SettingsNames, hosts: HostRegistry, unix_time_ms: float
 ) -> EndpointListMessage:
-    """Decode a line of discovery's watch; an invalid entry does not affect the others.
+    """Decode a line of discovery's watch.
+
+    An invalid entry is reported in the message's errors and does not affect the others.
 
     Raises:
         MalformedMessageError: The text is not JSON.
-        InvalidMessageError: It is JSON, but no list.
+        InvalidMessageError: The text is JSON, but not an endpoint list.
     """
-    members = decode_json(_member_lists, text)
+    member_list = decode_json(_member_list_decoder, text)
     entries: list[EndpointEntry] = []
     errors: list[str] = []
-    for raw in members.hosts:
+    for raw in member_list.hosts:
         try:
             member = _decode_member(bytes(raw), names)
         except (InvalidMessageError, MalformedMessageError) as error:
             errors.append(str(error))
         else:
             entries.append(_endpoint_entry(member, names, hosts, unix_time_ms))
-    return EndpointListMessage(members.version, members.is_snapshot, entries, errors)
+    return EndpointListMessage(member_list.version, member_list.is_snapshot, entries, errors)
 
 
 def _decode_member(text: bytes, names: SettingsNames) -> _Member:
-    member = decode_json(_members, text)
+    member = decode_json(_member_decoder, text)
     if member.status not in STATUSES:
         raise InvalidMessageError(f"health {quoted(member.status)} of {quoted(member.host)}")
     if member.zone not in names.zones and STATUSES[member.status] is not EndpointStatus.REMOVED:
         raise InvalidMessageError(
-            f"site {quoted(member.zone)} of {quoted(member.host)} is not in the settings"
+            f"invalid endpoint entry of host {quoted(member.host)}: "
+            f"site {quoted(member.zone)} is not in the settings"
         )
     return member
 
@@ -97,7 +100,7 @@
 def _endpoint_entry(
     member: _Member, names: SettingsNames, hosts: HostRegistry, unix_time_ms: float
 ) -> EndpointEntry:
-    age_s = -1.0  # not known
+    age_s = -1.0  # The age is unknown.
     if member.started_at_ms > 0:
         age_s = max(0.0, (unix_time_ms - member.started_at_ms) / MS_PER_S)
     return EndpointEntry(
--- a/puffintide/platform/endpoint_list.py
+++ b/puffintide/platform/endpoint_list.py
@@ -1,16 +1,17 @@
-"""Which endpoint lists of discovery are accepted, by their versions. Performs no I/O."""
+"""Decides by version which of discovery's endpoint lists are accepted. Performs no I/O."""
 
 from __future__ import annotations
 
 from puffintide.decisions.events import ListUpdateType
 from puffintide.platform.discovery_messages import EndpointListMessage
 
-# Longer than discovery takes to propagate a change: an agent that stays behind has restarted its version count.
+# Time in seconds for which snapshots older than the list in use are ignored. It is longer than discovery
+# takes to propagate a change: an agent that is still behind afterwards has restarted its version count.
 STALE_LIST_GRACE_S = 6.0
 
 
 class ListVersionTracker:
-    """Version of the endpoint list in use, and since when only older snapshots have been received."""
+    """Tracks the version of the endpoint list in use, and since when only older snapshots were received."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -19,15 +20,16 @@
     def accept(
         self, now_s: float, message: EndpointListMessage, from_config: bool = False
     ) -> ListUpdateType | None:
-        """Decide how a message is passed on; None: it is not.
+        """Return the type of update that a message is applied as, or None if it is ignored.
 
-        A snapshot with invalid entries is passed on as a delta, as these servers are not removed. A snapshot that
-        is older than the list in use is not, as it would undo drains, unless nothing newer is received for a while.
+        A snapshot with invalid entries is applied as a delta, so that the servers of these entries are not
+        removed. A snapshot older than the list in use is ignored, as it would undo drains. It is accepted if
+        nothing newer has been received for STALE_LIST_GRACE_S.
 
         Args:
-            now_s: The current time.
-            message: A snapshot or a delta.
-            from_config: The list is from the configuration, not from discovery.
+            now_s: The current time in seconds.
+            message: The snapshot or delta received.
+            from_config: Whether the list is from the configuration, not from discovery.
         """
         if from_config:
             self.version = message.version
--- a/puffintide/platform/endpoint_watch.py
+++ b/puffintide/platform/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Follows discovery's endpoint list, and passes accepted lists on to the runtime."""
+"""Watches discovery's endpoint list, and passes accepted lists to the runtime."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from puffintide.platform.watch_stream import Watch
 from puffintide.protocol.messages import WatchEvent
 
-SILENCE_TIMEOUT_S = 3.5  # discovery writes at least every 2 s
-MAX_LOGGED_ERRORS = 5  # of one list
+# Silence in seconds after which the stream is reopened; discovery writes at least every 2 s.
+SILENCE_TIMEOUT_S = 3.5
+MAX_LOGGED_ERRORS = 5  # Maximum number of errors logged for one list.
 
 
 class EndpointWatch:
-    """The watch of the endpoint list."""
+    """Watches the endpoint list of discovery."""
 
     def __init__(
         self,
@@ -32,10 +33,10 @@
         """Prepare the watch.
 
         Args:
-            context: Shared objects of the assigner.
-            address: Discovery's address.
-            on_list: Called after the runtime has received a list.
-            wall_clock: Unix time in seconds.
+            context: The shared objects of the assigner.
+            address: The address of discovery.
+            on_list: Callback that is called after the runtime has received a list.
+            wall_clock: Function that returns the Unix time in seconds.
         """
         self.context = context
         self.log = context.log
@@ -44,37 +45,38 @@
         self._on_list = on_list
         self._wall_clock = wall_clock
 
-    def start(self, known: dict[str, Any] | None) -> None:
-        """Start with the last list from the configuration, if there is one, and open the watch."""
-        if known is not None:
-            self._use_known(known)
+    def start(self, configured_list: dict[str, Any] | None) -> None:
+        """Apply the list from the configuration, if there is one, and open the watch."""
+        if configured_list is not None:
+            self._apply_configured_list(configured_list)
         self.watch.start()
 
-    def move(self, address: Address) -> None:
-        """Use another address."""
-        self.watch.move(address)
+    def change_address(self, address: Address) -> None:
+        """Move the watch to another address of discovery."""
+        self.watch.change_address(address)
 
     def stop(self) -> None:
         """Close the watch."""
         self.watch.stop()
 
     def watch_target(self) -> str:
-        """Return the request for all changes since the version in use."""
+        """Return the request target for all changes since the version in use."""
         return f"/catalog/members?follow=1&since={self.versions.version}"
 
     def on_watch_opened(self) -> None:
-        """Log the new stream."""
+        """Log that a stream was opened."""
         self.log("endpoint_watch_opened", since=self.versions.version)
 
     def on_watch_lost(self, reason: str) -> None:
-        """Log the end of the stream."""
+        """Log why the stream ended."""
         self.log("endpoint_watch_lost", reason=reason)
 
     def on_watch_line(self, line: bytes) -> None:
-        """Handle a list; an empty line is a heartbeat.
+        """Decode and apply an endpoint list; ignore an empty line, which is a heartbeat.
 
         Raises:
-            StreamError: The line is no list: the changes in it are requested again, from the version in use.
+            StreamError: The line is not an endpoint list. The changes in it are requested again, from the
+                version in use.
         """
         if not line.strip():
             return
@@ -82,12 +84,12 @@
             message = self._decode(line)
         except (InvalidMessageError, MalformedMessageError) as error:
             self.log("endpoint_list_rejected", reason=str(error))
-            raise StreamError("malformed endpoint list") from error
+            raise StreamError(f"cannot decode endpoint list: {error}") from error
         self._handle(message)
 
-    def _use_known(self, known: dict[str, Any]) -> None:
+    def _apply_configured_list(self, configured_list: dict[str, Any]) -> None:
         try:
-            message = self._decode(json.dumps(known).encode())
+            message = self._decode(json.dumps(configured_list).encode())
         except (InvalidMessageError, MalformedMessageError) as error:
             self.log("endpoint_list_rejected", reason=str(error))
             return
@@ -100,12 +102,12 @@
         stale_since_s = self.versions.stale_since_s
         update_type = self.versions.accept(self.context.rounds.now_s(), message, from_config)
         if update_type is not None:
-            self._pass_on(update_type, message)
+            self._apply(update_type, message)
         elif stale_since_s != self.versions.stale_since_s:
             self.log("endpoint_list_stale", version=message.version, current=self.versions.version)
             self.context.reactor.callLater(STALE_LIST_GRACE_S, self._reopen_if_stale)
 
-    def _pass_on(self, update_type: ListUpdateType, message: EndpointListMessage) -> None:
+    def _apply(self, update_type: ListUpdateType, message: EndpointListMessage) -> None:
         event = WatchEvent(update_type, message.version, message.entries)
         errors = [*message.errors, *self.context.runtime.on_watch_event(self.context.rounds.now_s(), event)]
         for error in errors[:MAX_LOGGED_ERRORS]:
@@ -126,6 +128,6 @@
         self.context.rounds.schedule()
 
     def _reopen_if_stale(self) -> None:
-        """Request a snapshot once more from an agent that has not caught up."""
+        """Request another snapshot if the agent has not caught up."""
         if self.versions.stale_since_s is not None:
-            self.watch.reopen("stale")
+            self.watch.reopen(f"only endpoint lists older than version {self.versions.version} were received")
--- a/puffintide/platform/health_check_client.py
+++ b/puffintide/platform/health_check_client.py
@@ -1,4 +1,4 @@
-"""Checks the health of one server over a connection that is kept open; a check is never repeated here."""
+"""Checks the health of one server over a persistent connection. A failed check is not repeated here."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 from puffintide.platform.http_exchange import HttpExchange
 from puffintide.platform.reactor import Reactor, Timer, connect
 
-TIMEOUT_S = (
-    0.4  # a healthy server answers in tens of milliseconds; the director checks again after twice this
-)
-CONNECT_GRACE_S = 1.0  # beyond the timeout of a check, which drops the connection before
+# Timeout of a health check in seconds. A healthy server answers in tens of milliseconds; the director checks
+# again after twice this time.
+TIMEOUT_S = 0.4
+# Time in seconds by which the connect timeout exceeds TIMEOUT_S; the timeout of a check drops the connection
+# first.
+CONNECT_GRACE_S = 1.0
 MAX_BODY_BYTES = 16 * 1024
 
 OnResult = Callable[[HealthCheckStatus, float, dict[str, float]], None]
 
 
 class _Connection(Protocol):
-    """One connection to the server."""
+    """A connection to the server, reused by consecutive checks."""
 
     transport: Any
 
@@ -44,14 +46,14 @@
         self._end(HealthCheckStatus.UNREACHABLE)
 
     def request(self) -> None:
-        """Send a request."""
+        """Send the request of a check."""
         self._body = []
         self._response_started = False
         self._requests += 1
         self.transport.write(self._exchange.request("GET", self.client.target))
 
     def connectionMade(self) -> None:
-        """Send the first request."""
+        """Send the first request, or abort if the connection is no longer needed."""
         if self._ended:
             self.transport.abortConnection()
             return
@@ -60,10 +62,11 @@
         self.request()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read a part of a response."""
+        """Parse received bytes, and finish the check when the response is complete."""
         if self._ended:
             return
-        if self._exchange.complete:  # unrequested: a later response could not be told from this
+        if self._exchange.complete:
+            # These bytes were not requested; a later response could not be distinguished from them.
             self.drop()
             return
         self._response_started = True
@@ -79,11 +82,11 @@
             self.client.on_response(self._exchange.status or 0, b"".join(self._body))
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Fail the check in flight, unless the connection was dropped from this side."""
+        """Fail the check in flight, or reconnect if the peer closed the connection while it was idle."""
         self._end(HealthCheckStatus.RESET)
 
     def drop(self) -> None:
-        """Close the connection."""
+        """Abort the connection."""
         self._ended = True
         if self.transport is not None:
             self.transport.abortConnection()
@@ -102,23 +105,23 @@
 
 
 class HealthCheckClient:
-    """Checks one server, with at most one check in flight."""
+    """Client that checks one server, with at most one check in flight."""
 
     def __init__(self, reactor: Reactor, address: Address, target: str, on_result: OnResult) -> None:
         """Prepare a client.
 
         Args:
-            reactor: The reactor of its connections.
-            address: The server's address.
-            target: Request target of the check.
-            on_result: Called with status, elapsed seconds and load values of each check.
+            reactor: The reactor that opens the connections.
+            address: The address of the server.
+            target: The request target of each check.
+            on_result: Callback that receives the status, elapsed seconds and load values of each check.
         """
         self.reactor = reactor
         self.address = address
         self.target = target
         self._on_result = on_result
         self._connection: _Connection | None = None
-        self._started_at_s: float | None = None  # of the check in flight
+        self._started_at_s: float | None = None  # None if no check is in flight.
         self._timeout = Timer(reactor)
 
     def check(self) -> None:
@@ -140,17 +143,17 @@
             self._connection.drop()
 
     def reconnect(self) -> None:
-        """Continue the check, within its timeout, on a new connection: the old one was closed while idle."""
+        """Continue the check, within its timeout, on a new connection after the idle one was closed."""
         if self._started_at_s is not None:
             self._connection = _Connection(self)
 
     def on_connection_ended(self, connection: _Connection) -> None:
-        """Use this connection no more."""
+        """Discard a connection that has ended."""
         if self._connection is connection:
             self._connection = None
 
     def on_response(self, http_status: int, body: bytes) -> None:
-        """Finish the check with a response."""
+        """Classify a response and finish the check with its outcome."""
         status = classify_response(http_status, self._elapsed_s(), TIMEOUT_S)
         load_values = None
         if status is HealthCheckStatus.OK:
--- a/puffintide/platform/health_check_response.py
+++ b/puffintide/platform/health_check_response.py
@@ -1,4 +1,4 @@
-"""What the response to a health check means. Performs no I/O."""
+"""Interprets the responses to health checks. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from puffintide.platform.http_exchange import STATUS_OK, STATUS_UNAVAILABLE
 
 REPORT_PREFIX = "TEXT"
-# A full server rejects at once; a 503 after this fraction of the timeout is of one that gave up waiting.
+# Fraction of the timeout after which a 503 counts as a timeout, not as a rejection. A full server rejects at
+# once; a later 503 is from a server that gave up waiting.
 REJECTION_TIME_FRACTION = 0.5
 
 
--- a/puffintide/platform/health_checks.py
+++ b/puffintide/platform/health_checks.py
@@ -1,4 +1,4 @@
-"""Sends the health checks that the director asks for, spread over time, and passes their results on."""
+"""Sends the health checks requested by the director, spread over time; the runtime receives the results."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 from puffintide.platform.errors import ConfigError
 from puffintide.platform.health_check_client import HealthCheckClient
 
-# The checks of a round are sent one after another over this time, so that the response to each is read, and timed,
-# before the next; all are answered before the next round.
+# Time in seconds over which the checks of a round are sent one after another, so that the response to each is
+# read and timed before the next is sent. All are answered before the next round.
 SPREAD_S = 0.15
 LOAD_TARGET = "/_load"
 PING_TARGET = "/ping"
 
 
 class HealthChecks:
-    """The health checks of all servers."""
+    """Sends the health checks of all servers."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.clients: dict[int, HealthCheckClient] = {}
         self._queue: list[int] = []
-        self._pause_s = 0.0
+        self._send_interval_s = 0.0
         self._stopped = False
 
     def send(self, server_ids: list[int]) -> None:
-        """Queue checks of these servers."""
+        """Queue health checks of servers."""
         idle = not self._queue
         self._queue += server_ids
-        self._pause_s = SPREAD_S / len(self._queue)
+        self._send_interval_s = SPREAD_S / len(self._queue)
         if idle:
             self.context.reactor.callLater(0, self._send_next)
 
     def stop(self) -> None:
-        """Drop all checks, and send none from now on."""
+        """Abort all checks, and send no more."""
         self._stopped = True
         for client in self.clients.values():
             client.stop()
 
     def remove_unlisted(self) -> None:
-        """Close the connections to servers that are no longer listed."""
+        """Close the connections to servers that are no longer in the endpoint list."""
         for server_id in sorted(self.clients.keys() - self.context.runtime.endpoints.keys()):
             self.clients.pop(server_id).stop()
 
@@ -51,19 +51,19 @@
             return
         server_id = self._queue.pop(0)
         if self._queue:
-            self.context.reactor.callLater(self._pause_s, self._send_next)
-        address = self._address(server_id)
+            self.context.reactor.callLater(self._send_interval_s, self._send_next)
+        address = self._server_address(server_id)
         if address is not None and self.context.settings.health_checks_enabled:
-            self._client(server_id, address).check()
+            self._client_for(server_id, address).check()
 
-    def _address(self, server_id: int) -> Address | None:
+    def _server_address(self, server_id: int) -> Address | None:
         text = self.context.runtime.server_addresses.get(server_id, "")
         try:
             return parse_address(text, "dial") if text else None
         except ConfigError:
             return None
 
-    def _client(self, server_id: int, address: Address) -> HealthCheckClient:
+    def _client_for(self, server_id: int, address: Address) -> HealthCheckClient:
         client = self.clients.get(server_id)
         if client is not None and client.address == address:
             return client
--- a/puffintide/platform/http_request.py
+++ b/puffintide/platform/http_request.py
@@ -1,4 +1,4 @@
-"""One HTTP request on a connection of its own, with a limit on every wait."""
+"""Sends an HTTP request on its own connection, with a timeout for every wait."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 from puffintide.platform.http_exchange import HttpExchange, RequestResult, Response
 from puffintide.platform.reactor import Reactor, Timer, connect
 
-GRACE_S = 0.01  # before a wait ends, for a response that waits unread because this process was late
+# Time in seconds for which a timed-out request is still kept open. If this process was late, a response may
+# have arrived without being read yet.
+TIMEOUT_GRACE_S = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Limits of one request."""
+    """Time and size limits of one request."""
 
     connect_timeout_s: float
-    response_timeout_s: float  # once connected
+    response_timeout_s: float  # Measured from when the connection is established.
     max_body_bytes: int
 
 
 class HttpRequest(Protocol):
-    """Sends a request at once, and calls on_done once, whatever happens."""
+    """One request, sent when it is created; on_done is called exactly once, whatever the outcome."""
 
     transport: Any
 
@@ -40,14 +42,14 @@
         on_done: Callable[[Response], None],
         limits: RequestLimits,
     ) -> None:
-        """Send a request.
+        """Connect and send the request.
 
         Args:
-            reactor: The reactor of the connection.
-            address: Where to send it to.
-            request: Method, target and body.
-            on_done: Called with the response.
-            limits: Limits of time and size.
+            reactor: The reactor that opens the connection.
+            address: The address of the server.
+            request: The method, the target and the body of the request.
+            on_done: Callback that receives the outcome of the request.
+            limits: The time and size limits of the request.
         """
         self.request = request
         self.on_done = on_done
@@ -62,7 +64,7 @@
         self._end(RequestResult.UNREACHABLE)
 
     def connectionMade(self) -> None:
-        """Send the request."""
+        """Send the request, or abort if the request has already ended."""
         if self._ended:
             self.transport.abortConnection()
             return
@@ -71,10 +73,10 @@
         self._timer.start(self.limits.response_timeout_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        self._timer.start(GRACE_S, self._end, RequestResult.TIMED_OUT)
+        self._timer.start(TIMEOUT_GRACE_S, self._end, RequestResult.TIMED_OUT)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read a part of the response."""
+        """Parse received bytes, and end the request when the response is complete."""
         if self._ended:
             return
         try:
@@ -86,10 +88,10 @@
             self._end(RequestResult.ANSWERED)
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """End the request, unless it has ended before."""
+        """End the request, unless it has already ended."""
         if self._ended:
             return
-        with suppress(MalformedResponseError):  # a response without a length ends with its connection
+        with suppress(MalformedResponseError):  # A response without a length ends with its connection.
             self._body += self.exchange.receive(b"")
         self._end(RequestResult.ANSWERED if self.exchange.complete else RequestResult.DISCONNECTED)
 
--- a/puffintide/platform/line_buffer.py
+++ b/puffintide/platform/line_buffer.py
@@ -4,11 +4,11 @@
 
 from puffintide.platform.errors import LineTooLongError
 
-MAX_PIECES = 64  # of an incomplete line, before they are joined
+MAX_PIECES = 64  # Maximum number of pieces of an incomplete line before they are joined.
 
 
 class LineBuffer:
-    """Collects bytes into lines; what it retains is bounded by the length limit."""
+    """Collects received bytes into lines; the bytes it retains are bounded by the line limit."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self.max_line_bytes = max_line_bytes
@@ -16,7 +16,7 @@
         self._buffered_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes as received, and return the lines that are complete now, without their LF.
+        """Add received bytes, and return the lines that they complete, without the LF.
 
         Raises:
             LineTooLongError: A line exceeds the limit.
@@ -30,7 +30,7 @@
         self._clear()
         self._buffer(others[-1])
         if max(map(len, lines)) > self.max_line_bytes:
-            raise LineTooLongError(f"line over {self.max_line_bytes} bytes")
+            raise LineTooLongError(f"received line exceeds the limit of {self.max_line_bytes} bytes")
         return lines
 
     def _buffer(self, data: bytes) -> None:
@@ -39,9 +39,9 @@
         self._buffered_bytes += len(data)
         if self._buffered_bytes > self.max_line_bytes:
             self._clear()
-            raise LineTooLongError(f"line over {self.max_line_bytes} bytes")
+            raise LineTooLongError(f"received line exceeds the limit of {self.max_line_bytes} bytes")
         self._pieces.append(data)
-        if len(self._pieces) > MAX_PIECES:  # a line that arrives byte by byte
+        if len(self._pieces) > MAX_PIECES:  # Bounds the pieces of a line that arrives byte by byte.
             self._pieces = [b"".join(self._pieces)]
 
     def _clear(self) -> None:
--- a/puffintide/platform/listener.py
+++ b/puffintide/platform/listener.py
@@ -1,4 +1,4 @@
-"""The assigner's address: collectors of load reports, pings, and connections that turn out to be neither."""
+"""Listens at the assigner's address for load report collectors and pings, and rejects other connections."""
 
 from __future__ import annotations
 
@@ -27,20 +27,25 @@
 
 MAX_LINE_BYTES = 1 << 20
 MAX_UNIDENTIFIED_LINE_BYTES = 4096
-IDENTIFY_TIMEOUT_S = 1.5  # the platform grants 1 s and asks for 3 s at most
-SWEEP_PERIOD_S = 0.25
-CLOSE_TIMEOUT_S = 0.5  # after which a closing connection is aborted
-MAX_COLLECTORS = 32  # beyond it the one that was silent for longest is closed
-DEAD_COLLECTOR_S = 3.0  # unless all were active so lately: then the newest one is
-# Twisted accepts ever more connections in one turn under a flood, while those closed in their favour end a turn
-# later: its limit is set again at each connection.
+# Time in seconds after which a connection that is not identified as a collector is closed. The platform
+# grants 1 s and requires at most 3 s.
+IDENTIFY_TIMEOUT_S = 1.5
+SWEEP_PERIOD_S = 0.25  # Period of the check for expired connections, in seconds.
+CLOSE_TIMEOUT_S = 0.5  # Time in seconds after which a closing connection is aborted.
+MAX_COLLECTORS = 32  # Beyond this number, the collector that was silent for the longest time is closed.
+# Silence in seconds after which a collector counts as inactive. If there are too many collectors and none is
+# inactive, the newest one is closed.
+INACTIVE_COLLECTOR_S = 3.0
+# Maximum number of connections accepted in one reactor turn, set again at each connection. Under a flood,
+# Twisted raises this limit further and further, while the connections that are aborted to make room stay open
+# until the next turn.
 MAX_ACCEPTS_PER_TURN = 20
-MAX_LOGGED_REASON = 200
+MAX_LOGGED_REASON_LENGTH = 200
 
 
 @dataclass(slots=True)
 class ListenerCounters:
-    """Connections and messages since the start."""
+    """Numbers of connections and messages since the start."""
 
     accepted: int = 0
     rejected: int = 0
@@ -59,33 +64,33 @@
         self.accepted_at_s = listener.reactor.seconds()
         self.active_at_s = self.accepted_at_s
         self.closing_since_s: float | None = None
-        self.zone: str | None = None  # of a collector
-        self.unanswered_pings = 0  # until this assigner serves
+        self.zone: str | None = None  # Zone of a collector; None for other connections.
+        self.unanswered_pings = 0  # Pings received before this assigner serves.
         self._lines = LineBuffer(MAX_UNIDENTIFIED_LINE_BYTES)
 
     @property
     def is_collector(self) -> bool:
-        """Whether it has identified itself as a collector."""
+        """Return whether the connection has identified itself as a collector."""
         return self.zone is not None
 
     def connectionMade(self) -> None:
-        """Register the connection, also as a producer: Twisted pauses it when output waits unread."""
+        """Register the connection, and as a producer, which Twisted pauses when the peer does not read."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.listener.on_connected(self)
 
     def pauseProducing(self) -> None:
-        """Abort a connection that does not read."""
+        """Abort the connection, as the peer does not read."""
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
-        """Do nothing: a paused connection was aborted."""
+        """Do nothing, as a paused connection has been aborted."""
 
     def stopProducing(self) -> None:
-        """Do nothing: the connection has ended."""
+        """Do nothing, as the connection has ended."""
 
     def dataReceived(self, data: bytes) -> None:
-        """Handle the lines that are complete."""
+        """Handle the lines that are complete; reject the connection if a line is too long."""
         if self.closing_since_s is not None:
             return
         self.active_at_s = self.listener.reactor.seconds()
@@ -123,29 +128,29 @@
                 if self.is_collector:
                     self.listener.on_report(message)
                 else:
-                    self.reject(f"a {type(message).__name__} before CollectorHello")
+                    self.reject(f"received {type(message).__name__} before CollectorHello")
 
     def _identify(self, zone: str) -> None:
         if zone not in self.listener.zones:
-            self.reject(f"zone {quoted(zone)} is not in the settings")
+            self.reject(f"cannot register collector: zone {quoted(zone)} is not in the settings")
         elif not self.is_collector:
             self.zone = zone
             self._lines.max_line_bytes = MAX_LINE_BYTES
             self.listener.on_identified(self)
 
     def answer_pings(self) -> None:
-        """Answer all pings received so far."""
+        """Answer all unanswered pings."""
         self.transport.write(PONG * self.unanswered_pings)
         self.unanswered_pings = 0
 
     def reject(self, reason: str) -> None:
-        """Log the reason and close the connection; collectors are never written to."""
+        """Log the reason and close the connection; collectors are not sent a rejection."""
         if self.closing_since_s is None:
             self.listener.on_rejected(reason)
             self.close(b"" if self.is_collector else REJECTED)
 
     def close(self, last_line: bytes = b"") -> None:
-        """Close the connection once this line is sent."""
+        """Close the connection after the last line, if there is one, has been sent."""
         self.closing_since_s = self.listener.reactor.seconds()
         if last_line:
             self.transport.write(last_line)
@@ -153,12 +158,12 @@
         self.transport.loseConnection()
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self.listener.on_disconnected(self)
 
 
 class Listener(Factory):
-    """Accepts connections and bounds how many are open."""
+    """Accepts connections, and limits how many are open."""
 
     noisy = False
 
@@ -173,11 +178,12 @@
         """Prepare the listener.
 
         Args:
-            reactor: Clock of the timeouts.
-            zones: Names of the zones in the settings.
-            on_report: Called with each report of a collector.
-            log: Log of the assigner.
-            max_unidentified: Connections that are not collectors; beyond it the oldest is closed.
+            reactor: The reactor whose clock the timeouts use.
+            zones: The names of the zones in the settings.
+            on_report: Callback that receives each report of a collector.
+            log: The log of the assigner.
+            max_unidentified: The maximum number of connections that are not collectors; beyond it, the oldest
+                is closed.
         """
         self.reactor = reactor
         self.zones = zones
@@ -185,7 +191,7 @@
         self.max_unidentified = max_unidentified
         self.serving = False
         self.port: Any = None
-        self.unidentified: dict[ClientConnection, None] = {}  # oldest first
+        self.unidentified: dict[ClientConnection, None] = {}  # In order of age, oldest first.
         self.collectors: dict[ClientConnection, None] = {}
         self.counters = ListenerCounters()
         self._on_report = on_report
@@ -195,19 +201,19 @@
         return ClientConnection(self)
 
     def start(self, port: Any) -> None:
-        """Start the timeouts of the connections accepted at this port."""
+        """Start enforcing the timeouts of the connections accepted at a port."""
         self.port = port
         self._sweep()
 
     def serve(self) -> None:
-        """Answer pings from now on."""
+        """Answer the pings received so far and all later ones."""
         self.serving = True
         for connection in self._connections():
             if connection.unanswered_pings:
                 connection.answer_pings()
 
     def stop(self) -> None:
-        """Abort all connections, and answer no ping from now on."""
+        """Abort all connections, and stop answering pings."""
         self.serving = False
         for connection in self._connections():
             connection.transport.abortConnection()
@@ -223,9 +229,9 @@
         if len(self.unidentified) > self.max_unidentified:
             self.counters.closed += 1
             oldest = next(iter(self.unidentified))
-            del self.unidentified[
-                oldest
-            ]  # at once: it ends a turn later, and the next connection closes another
+            # The aborted connection ends one reactor turn later. It is removed at once, so that the next
+            # connection closes another one.
+            del self.unidentified[oldest]
             oldest.transport.abortConnection()
 
     def on_identified(self, connection: ClientConnection) -> None:
@@ -234,31 +240,31 @@
         self.collectors[connection] = None
         self.log("collector_connected", zone=connection.zone)
         if len(self.collectors) > MAX_COLLECTORS:
-            quietest = min(self.collectors, key=lambda collector: collector.active_at_s)
-            dead = self.reactor.seconds() - quietest.active_at_s > DEAD_COLLECTOR_S
-            (quietest if dead else connection).transport.abortConnection()
+            least_active = min(self.collectors, key=lambda collector: collector.active_at_s)
+            is_inactive = self.reactor.seconds() - least_active.active_at_s > INACTIVE_COLLECTOR_S
+            (least_active if is_inactive else connection).transport.abortConnection()
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
         self.unidentified.pop(connection, None)
         self.collectors.pop(connection, None)
         if connection.is_collector:
             self.log("collector_disconnected", zone=connection.zone)
 
     def on_report(self, report: ServerReport | SliceReport) -> None:
-        """Pass on a report."""
+        """Count a report and pass it on."""
         self.counters.reports += 1
         self._on_report(report)
 
     def on_invalid_message(self, reason: str) -> None:
-        """Count and log a message that was left out."""
+        """Count and log an invalid message, which is ignored."""
         self.counters.invalid_messages += 1
-        self.log("message_rejected", reason=reason[:MAX_LOGGED_REASON])
+        self.log("message_rejected", reason=reason[:MAX_LOGGED_REASON_LENGTH])
 
     def on_rejected(self, reason: str) -> None:
-        """Count and log a connection that is closed."""
+        """Count and log a connection that is rejected."""
         self.counters.rejected += 1
-        self.log("connection_rejected", reason=reason[:MAX_LOGGED_REASON])
+        self.log("connection_rejected", reason=reason[:MAX_LOGGED_REASON_LENGTH])
 
     def _sweep(self) -> None:
         now_s = self.reactor.seconds()
--- a/puffintide/platform/load_reports.py
+++ b/puffintide/platform/load_reports.py
@@ -1,4 +1,4 @@
-"""Passes the load reports of collectors on to the runtime."""
+"""Passes the load reports of collectors to the runtime."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 @dataclass(slots=True)
 class ReportCounters:
-    """Valid reports since the start."""
+    """Numbers of valid reports since the start."""
 
     server: int = 0
     slice: int = 0
 
 
 class LoadReports:
-    """Converts reports to events."""
+    """Converts load reports to events of the runtime."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.counters = ReportCounters()
 
     def receive(self, report: ServerReport | SliceReport) -> None:
-        """Handle a report.
+        """Convert a report to an event and add it to the runtime.
 
         Raises:
-            InvalidMessageError: The report has impossible values and is left out.
+            InvalidMessageError: The report has invalid values and is ignored.
         """
-        event = self._event(report)
+        event = self._to_event(report)
         self.context.runtime.add_events(self.context.rounds.now_s(), event)
         self.context.rounds.schedule()
 
-    def _event(self, report: ServerReport | SliceReport) -> Event:
+    def _to_event(self, report: ServerReport | SliceReport) -> Event:
         event: Event
         if isinstance(report, ServerReport):
             event = server_load_report(report, self.context.names, self.context.hosts)
--- a/puffintide/platform/reactor.py
+++ b/puffintide/platform/reactor.py
@@ -1,4 +1,4 @@
-"""What this package uses of Twisted's reactor: types, timers and outgoing connections."""
+"""Types of Twisted's reactor as this package uses it, timers and outgoing connections."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class DelayedCall(Protocol):
-    """A call that the reactor will make."""
+    """A call that the reactor makes later."""
 
     def active(self) -> bool:
-        """Whether the call is still to be made."""
+        """Return whether the call is still to be made."""
 
     def cancel(self) -> None:
-        """Prevent the call, which must be active."""
+        """Cancel the call, which must be active."""
 
     def getTime(self) -> float:  # noqa: N802
-        """When the call is due, on the reactor's clock."""
+        """Return when the call is due, on the reactor's clock."""
 
 
 class Clock(Protocol):
@@ -31,7 +31,7 @@
         """Return the monotonic time in seconds."""
 
     def callLater(self, delay: float, call: Callable[..., Any], /, *args: Any) -> Any:
-        """Make a call after a delay in seconds, and return it as a DelayedCall."""
+        """Schedule a call after a delay in seconds, and return it as a DelayedCall."""
 
 
 class Reactor(Clock, Protocol):
@@ -56,20 +56,20 @@
 
     @property
     def pending(self) -> bool:
-        """Whether the call is still to be made."""
+        """Return whether a call is still to be made."""
         return self._call is not None and self._call.active()
 
     def due_at_s(self) -> float:
-        """When the call is due, on the reactor's clock; infinity if none is pending."""
+        """Return when the call is due, on the reactor's clock; infinity if none is pending."""
         return self._call.getTime() if self._call is not None and self._call.active() else float("inf")
 
     def start(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
-        """Make this call after the delay in place of any that is pending."""
+        """Schedule a call after a delay, in place of any that is pending."""
         self.cancel()
         self._call = self._clock.callLater(delay_s, call, *args)
 
     def cancel(self) -> None:
-        """Drop the call if it is pending."""
+        """Cancel the call if it is pending."""
         if self._call is not None and self._call.active():
             self._call.cancel()
 
@@ -82,12 +82,12 @@
         self._on_failure = on_failure
 
     def buildProtocol(self, _address: Any) -> Connection:
-        """Return the one protocol."""
+        """Return the protocol instance that was given."""
         self._connection.factory = self
         return self._connection
 
     def clientConnectionFailed(self, _connector: Any, _reason: Any) -> None:
-        """Report that the connection can't be established."""
+        """Report that the connection cannot be established."""
         self._on_failure()
 
 
@@ -101,11 +101,11 @@
     """Open one connection with this protocol instance.
 
     Args:
-        reactor: The reactor that opens it.
-        address: Where to connect to.
-        connection: The protocol, used for this connection alone.
-        on_failure: Called if the connection can't be established.
-        timeout_s: How long establishing it may take.
+        reactor: The reactor that opens the connection.
+        address: The address to connect to.
+        connection: The protocol instance, used only for this connection.
+        on_failure: Callback that is called if the connection cannot be established.
+        timeout_s: The maximum time to establish the connection, in seconds.
     """
     factory = _SingleConnectionFactory(connection, on_failure)
     reactor.connectTCP(*address, factory, timeout=timeout_s)
--- a/puffintide/platform/relay_session.py
+++ b/puffintide/platform/relay_session.py
@@ -47,10 +47,10 @@
         """Open the watch."""
         self.watch.watch.start()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Use another address: for the watch at once, for calls from the next one on."""
         self.client.address = address
-        self.watch.watch.move(address)
+        self.watch.watch.change_address(address)
 
     def stop_watch(self) -> None:
         """Close the watch."""
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -110,8 +110,8 @@
         for key in ignored:
             self.log("reload_ignored", key=key, reason="takes effect at a restart")
         self.log("reloaded", discovery=str(reloaded.discovery), relay=str(reloaded.relay))
-        self.relay.move(reloaded.relay)
-        self.endpoint_watch.move(reloaded.discovery)
+        self.relay.change_address(reloaded.relay)
+        self.endpoint_watch.change_address(reloaded.discovery)
 
     def stop(self) -> None:
         """Handle SIGTERM: start nothing new, refuse connections, and let a call in flight end."""
