--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt at the root names tests that fail for a real fault that waits to be fixed.
+"""Handles KNOWN-RED.txt at the root, which lists tests that fail for a real fault that is not fixed yet.
 
-One entry a line, at most three: `test id | command and seed | what was seen | issue`. These tests run; their
-failures are printed by name and don't fail the run. What does fail it is an entry that is malformed, one too many,
-one that names no test, and one whose test passes: that has to go.
+Each line is one entry, at most three in all: `test id | command and seed | what was seen | issue`. These
+tests run; their failures are printed by name and do not fail the run. The run fails if an entry is malformed,
+if there are too many entries, if an entry names no test, or if its test passes: that entry has to be removed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,11 @@
 
 
 def parse_known_red(text: str) -> dict[str, str]:
-    """Reasons by test id. Raises pytest.UsageError with the line."""
+    """Return the reasons of the entries by test id.
+
+    Raises:
+        pytest.UsageError: An entry is malformed or repeated, or there are too many; the text names the line.
+    """
     known: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -43,16 +47,15 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    read_known_red(config)  # a run that is distributed over workers ends here as well
+    read_known_red(config)  # A malformed file also ends a run that is distributed over workers.
 
 
-@pytest.hookimpl(tryfirst=True)  # before any is deselected
+@pytest.hookimpl(tryfirst=True)  # Runs before any test is deselected.
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     item_by_id = {item.nodeid: item for item in items}
     files = {nodeid.split("::")[0] for nodeid in item_by_id}
-    single_tests_chosen = any(
-        "::" in argument for argument in config.args
-    )  # a file's others are not collected
+    # If single tests are chosen, the other tests of their files are not collected.
+    single_tests_chosen = any("::" in argument for argument in config.args)
     for test_id, reason in read_known_red(config).items():
         file = test_id.split("::")[0]
         item = item_by_id.get(test_id)
@@ -69,10 +72,10 @@
 
 @pytest.fixture
 def platform(tmp_path: Path) -> Platform:
-    """An assigner of the platform on a virtual clock, one second after its start."""
-    # test_known_red copies this file to where there is no such module.
+    """Return an assigner of the platform on a virtual clock, one second after its start."""
+    # Imported here because test_known_red copies this file to a directory without the module.
     from tests.platform_world import Platform
 
-    made = Platform(tmp_path)
-    made.advance(1.0)
-    return made
+    platform = Platform(tmp_path)
+    platform.advance(1.0)
+    return platform
--- a/tests/platform_peers.py
+++ b/tests/platform_peers.py
@@ -1,4 +1,4 @@
-"""The parties of the platform, played by a test: each answer goes out when the test says so."""
+"""The platform's services, controlled by a test: each answer is sent when the test requests it."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 
 
 class HttpConnection:
-    """A connection that the program has opened: its requests in order, and back whatever bytes the test sends."""
+    """A connection opened by the program: requests are read in order, and the test sends any bytes."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(None)
         self.sock = sock
         self.target = ""
-        self.ended = threading.Event()  # by the program, or by close() and reset()
-        self.requests: queue.Queue[tuple[str, bytes]] = queue.Queue()  # method with target, body
+        self.ended = threading.Event()  # Set when the program, close() or reset() has ended the connection.
+        self.requests: queue.Queue[tuple[str, bytes]] = queue.Queue()  # Method with target, and body.
 
     def read(self, on_request: Callable[[HttpConnection, str, bytes], None]) -> None:
+        """Parse requests until the connection ends, and pass on each."""
         buffer = b""
         with contextlib.suppress(OSError, ValueError):
             while data := self.sock.recv(1 << 16):
@@ -51,12 +52,12 @@
         self.sock.sendall(data)
 
     def begin_response(self) -> None:
-        """The head of an answer without end."""
+        """Send the head of an endless response."""
         self.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     def send_lines(self, *rows: Any) -> None:
-        """Lines of such an answer, in one piece; bytes go as they are, without an end of line."""
-        text = b"".join(r if isinstance(r, bytes) else json.dumps(r).encode() + b"\n" for r in rows)
+        """Send lines of an endless response in one chunk; bytes are sent as they are, without a line end."""
+        text = b"".join(row if isinstance(row, bytes) else json.dumps(row).encode() + b"\n" for row in rows)
         self.send(b"%x\r\n%b\r\n" % (len(text), text))
 
     def respond(self, body: bytes, status: int = 200) -> None:
@@ -68,12 +69,13 @@
         self.sock.close()
 
     def reset(self) -> None:
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
 
 
 class HttpServer:
-    """An address of the platform. Requests wait here until the test asks for them."""
+    """An address of the platform. Requests are queued until the test takes them."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
@@ -93,23 +95,28 @@
         self._requests.put((connection, target, body))
 
     def next_request(self, target: str, limit_s: float = LIMIT_S) -> tuple[HttpConnection, str, bytes]:
-        """The next request that begins so; others stay for later. Raises TimeoutError."""
+        """Return the next request whose method and target begin so; others stay queued.
+
+        Raises:
+            TimeoutError: No such request was received in time.
+        """
         others = []
-        end = time.monotonic() + limit_s
+        deadline_s = time.monotonic() + limit_s
         try:
             while True:
-                row = self._requests.get(timeout=max(0.0, end - time.monotonic()))
+                row = self._requests.get(timeout=max(0.0, deadline_s - time.monotonic()))
                 if row[1].startswith(target):
                     return row
                 others.append(row)
         except queue.Empty:
-            raise TimeoutError(f"no {target}; others: {[row[1] for row in others]}") from None
+            received = [row[1] for row in others]
+            raise TimeoutError(f"no request {target!r} in {limit_s} s; others: {received}") from None
         finally:
             for row in others:
                 self._requests.put(row)
 
     def has_request(self, target: str) -> bool:
-        """Whether such a request has come that nobody asked for."""
+        """Return whether a request whose method and target begin so is queued."""
         try:
             self._requests.put(self.next_request(target, 0.0))
         except TimeoutError:
@@ -123,15 +130,15 @@
 
 
 class RelayStore:
-    """What a relay keeps: tables, servers shut out, and each order as it was received."""
+    """State of a relay: tables, withdrawn hosts, and each order in the sequence of arrival."""
 
     def __init__(self, tables: dict[int, dict[str, float]]) -> None:
-        self.tables = {s: dict(table) for s, table in tables.items()}
+        self.tables = {slice_id: dict(table) for slice_id, table in tables.items()}
         self.withdrawn_hosts: set[str] = set()
         self.received: list[dict[str, Any]] = []
 
     def apply_call(self, body: bytes, applied: bool = True) -> bytes:
-        """A call; gives the answer's body."""
+        """Record the orders of a call, apply them if told so, and return the body of the answer."""
         rows = json.loads(body)["orders"]
         self.received += rows
         for row in rows if applied else []:
@@ -147,35 +154,36 @@
         return b'{"accepted":%d}' % len(rows)
 
     def routable_hosts(self) -> set[str]:
-        """Hosts that a proxy may still send to."""
+        """Return the hosts that a proxy may still send requests to."""
         return {host for table in self.tables.values() for host in table} - self.withdrawn_hosts
 
-    def snapshot_messages(self, *slices: int) -> list[dict[str, Any]]:
-        """How the news gives these slices, with their lines; all, if none are named."""
-        rows: list[dict[str, Any]] = []
-        for s in slices or sorted(self.tables):
-            rows.append(slice_granted(s))
-            rows += [table_weight(s, host, share) for host, share in self.tables[s].items()]
-        return rows
+    def snapshot_messages(self, *slice_ids: int) -> list[dict[str, Any]]:
+        """Return the watch messages of these slices and their tables; of all slices if none are given."""
+        messages: list[dict[str, Any]] = []
+        for slice_id in slice_ids or sorted(self.tables):
+            messages.append(slice_granted(slice_id))
+            messages += [table_weight(slice_id, host, share) for host, share in self.tables[slice_id].items()]
+        return messages
 
 
-def proxy_joined(number: int, fresh: bool = False) -> dict[str, Any]:
-    row = {"sidecar": number, "az": "a", "share": 5.0, "standing": fresh}
+def proxy_joined(proxy_id: int, first_connection: bool = False) -> dict[str, Any]:
+    row = {"sidecar": proxy_id, "az": "a", "share": 5.0, "standing": first_connection}
     return {"type": "joined", "object": row}
 
 
-def slice_granted(slice_: int, yes: bool = True) -> dict[str, Any]:
-    return {"type": "given", "object": {"partition": slice_, "yes": yes}}
+def slice_granted(slice_id: int, granted: bool = True) -> dict[str, Any]:
+    return {"type": "given", "object": {"partition": slice_id, "yes": granted}}
 
 
-def table_weight(slice_: int, host: str, share: float = 1.0) -> dict[str, Any]:
-    return {"type": "held", "object": {"partition": slice_, "host": host, "share": share}}
+def table_weight(slice_id: int, host: str, share: float = 1.0) -> dict[str, Any]:
+    return {"type": "held", "object": {"partition": slice_id, "host": host, "share": share}}
 
 
 HEARTBEAT: dict[str, Any] = {}
-# Each row is written.
+# Limits that no test reaches, so that every log row is written.
 UNLIMITED_LOG: Mapping[str, float] = {"platform.log.BURST_LINES": 1e6, "platform.log.LINES_PER_S": 1e6}
-# A constant that does not exist fails the process: a patch of it would do nothing.
+# Program of the assigner process, which first replaces constants. It fails if a constant does not exist, as
+# the replacement would have no effect.
 MAIN = """
 import importlib, json, sys
 for name, value in json.loads(sys.argv[1]).items():
@@ -189,41 +197,46 @@
 
 
 class AssignerProcess:
-    """One real assigner of the platform, its log row by row. Constants of its modules can be replaced."""
+    """An assigner of the platform in its own process, with its parsed log.
+
+    Constants of its modules can be replaced.
+    """
 
     def __init__(self, path: Path, config: dict[str, Any], constants: Mapping[str, float]) -> None:
         self.path = path
         self.config = config
         self.write()
         self.rows: list[dict[str, Any]] = []
-        self._more = threading.Condition()
+        self._rows_added = threading.Condition()
         replaced = json.dumps({**UNLIMITED_LOG, **constants})
-        words = [sys.executable, "-c", MAIN, replaced]
+        command = [sys.executable, "-c", MAIN, replaced]
         env = {**os.environ, "GW_CONFIG": str(path)}
-        self.process = subprocess.Popen(words, env=env, text=True, stderr=subprocess.PIPE)
+        self.process = subprocess.Popen(command, env=env, text=True, stderr=subprocess.PIPE)
         threading.Thread(target=self._read, daemon=True).start()
 
     def write(self, **changes: Any) -> None:
+        """Change the configuration, and replace its file atomically."""
         self.config |= changes
-        new = self.path.with_suffix(".new")
-        new.write_text(json.dumps(self.config))
-        new.replace(self.path)
+        new_file = self.path.with_suffix(".new")
+        new_file.write_text(json.dumps(self.config))
+        new_file.replace(self.path)
 
     def _read(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            with self._more:
+            with self._rows_added:
                 self.rows.append(json.loads(line) if line.startswith("{") else {"event": "?", "text": line})
-                self._more.notify_all()
+                self._rows_added.notify_all()
 
     def logged(self, event: str, **fields: Any) -> list[dict[str, Any]]:
-        return [r for r in list(self.rows) if r["event"] == event and fields.items() <= r.items()]
+        """Return the log rows of an event with these fields."""
+        return [row for row in list(self.rows) if row["event"] == event and fields.items() <= row.items()]
 
     def wait_for(self, event: str, count: int = 1, limit_s: float = LIMIT_S, **fields: Any) -> dict[str, Any]:
-        """The count-th such row, once it is there."""
-        with self._more:
-            found = self._more.wait_for(lambda: len(self.logged(event, **fields)) >= count, limit_s)
-        assert found, f"no {event} {fields}; last: {self.rows[-5:]}"
+        """Wait until an event with these fields was logged `count` times, and return that row."""
+        with self._rows_added:
+            found = self._rows_added.wait_for(lambda: len(self.logged(event, **fields)) >= count, limit_s)
+        assert found, f"{event} {fields} not logged {count} times in {limit_s} s; last rows: {self.rows[-5:]}"
         return self.logged(event, **fields)[count - 1]
 
     def connect(self) -> socket.socket:
@@ -234,6 +247,7 @@
         self.process.send_signal(number)
 
     def descriptors(self) -> int:
+        """Return the number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def end(self) -> None:
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""The assigner on a virtual clock, with a scripted relay, discovery, collectors and servers in memory."""
+"""Runs the assigner on a virtual clock, with a fake relay, discovery, collectors and servers in memory."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 LISTEN = 3000
 DISCOVERY = 8500
 RELAY = 6400
-FIRST_SERVER_PORT = 7000  # and up
-
+FIRST_SERVER_PORT = 7000  # Server K listens on this port plus K.
 
 SERVERS = 4
 SLICES = 6
 
 
 def entry(k: int, health: str = "active", **changes: Any) -> dict[str, Any]:
+    """Return the entry of server K in discovery's endpoint list."""
     row = {
         "host": f"s-{k}",
         "dial": f"127.0.0.1:{FIRST_SERVER_PORT + k}",
@@ -40,10 +40,11 @@
 
 
 def settings(**family: Any) -> dict[str, Any]:
-    more = {"slices": SLICES, "agents": 3, "reloadsMax": 20, **family}
+    """Return settings with these values of their section familyInfo."""
+    family_info = {"slices": SLICES, "agents": 3, "reloadsMax": 20, **family}
     return {
         **CONF,
-        "familyInfo": {**CONF["familyInfo"], **more},  # type: ignore[dict-item]
+        "familyInfo": {**CONF["familyInfo"], **family_info},  # type: ignore[dict-item]
         "limits": {"probes": True},
         "report": {"names": ["rif"], "via": "piggyback"},
         "kinds": ["m1"],
@@ -51,7 +52,7 @@
 
 
 class ServerConnection(Protocol):
-    """A server's end: each request goes to the owner's answer(connection, method, target, body)."""
+    """Server side of a connection; passes each request to server.answer(connection, method, target, body)."""
 
     transport: Any
 
@@ -84,15 +85,15 @@
                 return
 
     def send_response(self, status: int, body: bytes) -> None:
-        head = [("Content-Length", str(len(body)))]
-        out = self.http.send(h11.Response(status_code=status, headers=head))
-        self.transport.write(out + self.http.send(h11.Data(data=body)) + self.http.send(h11.EndOfMessage()))
+        headers = [("Content-Length", str(len(body)))]
+        head = self.http.send(h11.Response(status_code=status, headers=headers))
+        self.transport.write(head + self.http.send(h11.Data(data=body)) + self.http.send(h11.EndOfMessage()))
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
 
     def begin_response(self) -> None:
-        head = [("Transfer-Encoding", "chunked")]
-        self.transport.write(self.http.send(h11.Response(status_code=200, headers=head)))
+        headers = [("Transfer-Encoding", "chunked")]
+        self.transport.write(self.http.send(h11.Response(status_code=200, headers=headers)))
 
     def send_line(self, row: Any) -> None:
         text = b"" if row is None else json.dumps(row).encode()
@@ -100,39 +101,49 @@
 
 
 class FakeServer(Factory):
-    """An address of the platform."""
+    """An address of the platform with an HTTP server that runs in its own simulated process."""
 
     noisy = False
 
     def __init__(self, net: VirtualNetwork, port: int) -> None:
-        self.party = ProcessReactor(net)
+        self.reactor = ProcessReactor(net)
         self.connections = list[Any]()
         self.heartbeat_period_s = 1.0
         self.unresponsive = False
-        self.party.listenTCP(port, self)
-        self.party.callLater(0.0, self._send_heartbeats)
+        self.reactor.listenTCP(port, self)
+        self.reactor.callLater(0.0, self._send_heartbeats)
 
     def buildProtocol(self, _address: Any) -> ServerConnection:
         return ServerConnection(self)
 
     def watches(self) -> list[ServerConnection]:
-        return [c for c in self.connections if c.open and ("watch" in c.target or "follow" in c.target)]
+        return [
+            connection
+            for connection in self.connections
+            if connection.open and ("watch" in connection.target or "follow" in connection.target)
+        ]
 
     def _send_heartbeats(self) -> None:
-        self.party.callLater(self.heartbeat_period_s, self._send_heartbeats)
-        for c in self.watches() if not self.unresponsive else []:
-            self.send_heartbeat(c)
+        self.reactor.callLater(self.heartbeat_period_s, self._send_heartbeats)
+        for connection in self.watches() if not self.unresponsive else []:
+            self.send_heartbeat(connection)
 
     def send_heartbeat(self, connection: ServerConnection) -> None:
         connection.send_line({})
 
     def broadcast(self, row: Any) -> None:
-        for c in self.watches():
-            c.send_line(row)
+        for connection in self.watches():
+            connection.send_line(row)
 
 
 class FakeRelay(FakeServer):
-    """Keeps tables; `fates` says what becomes of the next calls, "" is answered as it should be."""
+    """A relay that stores tables; `call_results` sets the results of the next calls.
+
+    "" applies a call and answers it; this is the default. "lost" and "reset" do not apply the call, and leave
+    it unanswered or reset its connection; "carried" and "carried, reset" do so after applying it. "throttled"
+    rejects the call, "spoilt" applies it and sends a malformed answer, and "bad K" applies only the orders
+    before order K.
+    """
 
     def __init__(self, net: VirtualNetwork, port: int = RELAY) -> None:
         super().__init__(net, port)
@@ -141,19 +152,19 @@
         self.proxies = [0, 1, 2]
         self.tables: dict[int, dict[str, float]] = {s: {f"s-{s % SERVERS}": 1.0} for s in range(SLICES)}
         self.withdrawn_hosts: set[str] = set()
-        self.first_connections = set(self.proxies)  # hold no table that was ordered
+        self.first_connections = set(self.proxies)  # Proxies that have not received any table yet.
 
-    def answer(self, c: ServerConnection, method: str, _target: str, body: bytes) -> None:
+    def answer(self, connection: ServerConnection, method: str, _target: str, body: bytes) -> None:
         if method == "GET":
-            c.begin_response()
-            self.send_snapshot(c)
+            connection.begin_response()
+            self.send_snapshot(connection)
             return
         result = self.call_results.pop(0) if self.call_results else ""
         rows = json.loads(body)["orders"]
         if result in ("lost", "reset", "throttled"):
             rows = []
         else:
-            self.calls.append((self.party.seconds(), rows))
+            self.calls.append((self.reactor.seconds(), rows))
         accepted = len(rows)
         for k, row in enumerate(rows):
             if result == f"bad {k}":
@@ -162,25 +173,27 @@
             self.apply(row)
         match result:
             case "lost" | "carried":
-                return  # nothing ever comes
+                return  # The call is never answered.
             case "reset" | "carried, reset":
-                c.transport.abortConnection()
+                connection.transport.abortConnection()
             case "throttled":
-                c.send_response(429, b'{"error":"throttled"}')
+                connection.send_response(429, b'{"error":"throttled"}')
             case "spoilt":
-                c.send_response(200, b'{"accepted":"many')
+                connection.send_response(200, b'{"accepted":"many')
             case _:
-                c.send_response(200, json.dumps({"accepted": accepted}).encode())
+                connection.send_response(200, json.dumps({"accepted": accepted}).encode())
 
     def send_snapshot(self, c: ServerConnection) -> None:
-        for p in self.proxies:
-            row = {"sidecar": p, "az": "a", "share": 5.0, "standing": p in self.first_connections}
+        for proxy_id in self.proxies:
+            is_first = proxy_id in self.first_connections
+            row = {"sidecar": proxy_id, "az": "a", "share": 5.0, "standing": is_first}
             c.send_line({"type": "joined", "object": row})
         self.first_connections = set()
-        for s, table in self.tables.items():
-            c.send_line({"type": "given", "object": {"partition": s, "yes": True}})
+        for slice_id, table in self.tables.items():
+            c.send_line({"type": "given", "object": {"partition": slice_id, "yes": True}})
             for host, share in table.items():
-                c.send_line({"type": "held", "object": {"partition": s, "host": host, "share": share}})
+                weight = {"partition": slice_id, "host": host, "share": share}
+                c.send_line({"type": "held", "object": weight})
 
     def apply(self, row: dict[str, Any]) -> None:
         match row["do"]:
@@ -193,64 +206,68 @@
             case "IN":
                 self.withdrawn_hosts.discard(row["host"])
             case "SYNC":
-                for p in self.proxies:
-                    self.broadcast(
-                        {"type": "applied", "object": {"sidecar": p, "version": row["stamp"], "lag_ms": 9.0}}
-                    )
+                for proxy_id in self.proxies:
+                    applied = {"sidecar": proxy_id, "version": row["stamp"], "lag_ms": 9.0}
+                    self.broadcast({"type": "applied", "object": applied})
 
     def routable_hosts(self) -> set[str]:
-        """Hosts that a proxy may still send to."""
+        """Return the hosts that a proxy may still send requests to."""
         return {host for table in self.tables.values() for host in table} - self.withdrawn_hosts
 
 
 class FakeDiscovery(FakeServer):
+    """A discovery service that sends the endpoint list and its changes."""
+
     def __init__(self, net: VirtualNetwork, port: int = DISCOVERY) -> None:
         super().__init__(net, port)
         self.version = 7
-        self.rows = [entry(k) for k in range(SERVERS)]
+        self.entries = [entry(k) for k in range(SERVERS)]
         self.sends_snapshot = True
 
-    def answer(self, c: ServerConnection, _method: str, _target: str, _body: bytes) -> None:
-        c.begin_response()
-        c.send_line(
+    def answer(self, connection: ServerConnection, _method: str, _target: str, _body: bytes) -> None:
+        connection.begin_response()
+        connection.send_line(
             {
                 "seq": self.version,
                 "whole": self.sends_snapshot,
-                "hosts": self.rows if self.sends_snapshot else [],
+                "hosts": self.entries if self.sends_snapshot else [],
             }
         )
 
     def send_heartbeat(self, connection: ServerConnection) -> None:
         connection.send_line(None)
 
-    def change(self, *rows: dict[str, Any]) -> None:
+    def change(self, *entries: dict[str, Any]) -> None:
+        """Send changed entries under the next version."""
         self.version += 1
-        self.broadcast({"seq": self.version, "whole": False, "hosts": list(rows)})
+        self.broadcast({"seq": self.version, "whole": False, "hosts": list(entries)})
 
 
 class CheckedServer(FakeServer):
+    """A server that answers health checks as `mode` says; in any other mode it does not answer."""
+
     def __init__(self, net: VirtualNetwork, port: int) -> None:
         super().__init__(net, port)
-        self.mode = "well"
+        self.mode = "healthy"
         self.checks = 0
 
-    def answer(self, c: ServerConnection, _method: str, target: str, _body: bytes) -> None:
+    def answer(self, connection: ServerConnection, _method: str, target: str, _body: bytes) -> None:
         self.checks += 1
         assert target == "/_load"
-        if self.mode == "well":
-            self.party.callLater(0.004, c.send_response, 200, b"TEXT inflight=2")
+        if self.mode == "healthy":
+            self.reactor.callLater(0.004, connection.send_response, 200, b"TEXT inflight=2")
         elif self.mode == "full":
-            c.send_response(503, b"")
+            connection.send_response(503, b"")
         elif self.mode == "late 503":
-            self.party.callLater(0.3, c.send_response, 503, b"")
-        elif self.mode == "odd":
-            c.transport.write(b"no answer\r\n\r\n")
+            self.reactor.callLater(0.3, connection.send_response, 503, b"")
+        elif self.mode == "malformed":
+            connection.transport.write(b"no answer\r\n\r\n")
         elif self.mode == "reset":
-            c.transport.abortConnection()
+            connection.transport.abortConnection()
 
 
 class Client(Protocol):
-    """Connects to the node's address."""
+    """A client connected to the assigner's address; it records what it receives."""
 
     transport: Any
 
@@ -260,10 +277,11 @@
         factory: Any = Factory.forProtocol(lambda: self)
         factory.noisy = False
         factory.clientConnectionFailed = lambda *_: setattr(self, "open", False)
-        platform.clients.connectTCP("127.0.0.1", port, factory)
+        platform.client_reactor.connectTCP("127.0.0.1", port, factory)
         platform.advance(0.01)
 
     def send(self, *rows: Any) -> None:
+        """Send messages as JSON lines, and bytes as they are."""
         for row in rows:
             self.transport.write(row if isinstance(row, bytes) else json.dumps(row).encode() + b"\n")
 
@@ -275,60 +293,79 @@
 
 
 class Platform:
+    """The platform with one assigner, which the test moves forward on a virtual clock."""
+
     def __init__(
-        self, folder: Path, known: bool = True, more: dict[str, Any] | None = None, **family: Any
+        self,
+        folder: Path,
+        known: bool = True,
+        settings_changes: dict[str, Any] | None = None,
+        **family: Any,
     ) -> None:
+        """Start the platform.
+
+        Args:
+            folder: The folder of the configuration file.
+            known: Whether the configuration contains an endpoint list.
+            settings_changes: Values that replace those of the settings.
+            **family: Values of the section familyInfo of the settings.
+        """
         self.net = VirtualNetwork()
         self.wall_s = 1.7e9
         self.relay = FakeRelay(self.net)
         self.discovery = FakeDiscovery(self.net)
         self.servers = [CheckedServer(self.net, FIRST_SERVER_PORT + k) for k in range(SERVERS)]
-        self.clients = ProcessReactor(self.net)
+        self.client_reactor = ProcessReactor(self.net)
         self.path = folder / "config.json"
         self.config = CONFIG | {
             "listen": f"127.0.0.1:{LISTEN}",
             "discovery": f"127.0.0.1:{DISCOVERY}",
             "store": {"address": f"127.0.0.1:{RELAY}"},
-            "settings": settings(**family) | (more or {}),
+            "settings": settings(**family) | (settings_changes or {}),
         }
-        rows = [entry(k) for k in range(SERVERS)] if known else []
-        self.config["known"] = {"seq": 3, "whole": True, "hosts": rows} if known else None
+        entries = [entry(k) for k in range(SERVERS)] if known else []
+        self.config["known"] = {"seq": 3, "whole": True, "hosts": entries} if known else None
         self.write()
-        self.rows: list[tuple[float, str, dict[str, Any]]] = []
+        self.log_rows: list[tuple[float, str, dict[str, Any]]] = []
         self.assigner = self.start()
 
     def write(self) -> None:
+        """Write the configuration file."""
         self.path.write_text(json.dumps(self.config))
 
     def start(self) -> Service:
-        self.party = ProcessReactor(self.net)
-        node = Service(
-            self.party, load_config(str(self.path)), str(self.path), self._log, lambda: self.wall_s
+        """Start an assigner in a new process."""
+        self.reactor = ProcessReactor(self.net)
+        assigner = Service(
+            self.reactor, load_config(str(self.path)), str(self.path), self._log, lambda: self.wall_s
         )
-        node.start()
-        return node
+        assigner.start()
+        return assigner
 
     def _log(self, event: str, **fields: Any) -> None:
-        self.rows.append((self.net.seconds(), event, fields))
+        self.log_rows.append((self.net.seconds(), event, fields))
 
     def logged(self, event: str) -> list[dict[str, Any]]:
-        return [fields for _, name, fields in self.rows if name == event]
+        """Return the fields of each log row of an event."""
+        return [fields for _, name, fields in self.log_rows if name == event]
 
     def advance(self, seconds: float) -> None:
         self.net.run_until(self.net.seconds() + seconds)
 
     def collector(self) -> Client:
-        peer = Client(self)
-        peer.send({"msg": "collector", "az": "a"})
-        return peer
+        """Connect a collector of zone a."""
+        collector = Client(self)
+        collector.send({"msg": "collector", "az": "a"})
+        return collector
 
-    def report(self, peer: Client, rounds: int = 1) -> None:
-        """What proxies meet in half a second, all well."""
+    def report(self, collector: Client, rounds: int = 1) -> None:
+        """Send load reports of half a second in which all requests succeed, once for each round."""
         for _ in range(rounds):
             for s in range(SLICES):
-                peer.send({"msg": "heat", "partition": s, "kind": "0", "n": 5, "bad": 0, "window": 500.0})
+                requests = {"partition": s, "kind": "0", "n": 5, "bad": 0, "window": 500.0}
+                collector.send({"msg": "heat"} | requests)
             for k in range(SERVERS):
-                peer.send(
+                collector.send(
                     {
                         "msg": "heard",
                         "az": "a",
@@ -343,25 +380,27 @@
             self.advance(0.5)
 
     def record_events(self) -> list[Any]:
-        """What the runtime is told from now on."""
+        """Return a list to which all later events of the runtime are added."""
         recorded: list[Any] = []
         runtime: Any = self.assigner.runtime
         add_events = runtime.add_events
 
-        def record(now: float, *events: Any) -> None:
+        def record(now_s: float, *events: Any) -> None:
             recorded.extend(events)
-            add_events(now, *events)
+            add_events(now_s, *events)
 
         runtime.add_events = record
         return recorded
 
     def break_watches(self) -> None:
-        for c in self.relay.watches() + self.discovery.watches():
-            c.transport.abortConnection()
+        """Abort the connections of all watches."""
+        for connection in self.relay.watches() + self.discovery.watches():
+            connection.transport.abortConnection()
 
     def director_tables(self) -> dict[int, dict[str, float]]:
-        """The module's tables, by the platform's names."""
+        """Return the tables of the decision module, by the platform's host names."""
         slices: Any = self.assigner.runtime.director.slices  # type: ignore[attr-defined]
         return {
-            s: {str(self.assigner.hosts.host(h)): w for h, w in v.weights.items()} for s, v in slices.items()
+            slice_id: {str(self.assigner.hosts.host(server_id)): w for server_id, w in state.weights.items()}
+            for slice_id, state in slices.items()
         }
--- a/tests/test_platform_endpoint_list.py
+++ b/tests/test_platform_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Which endpoint lists are accepted."""
+"""Tests which endpoint lists are accepted, and as which type of update."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from puffintide.protocol.messages import EndpointEntry
 
 
-def test_how_each_list_message_is_passed_on() -> None:
+def test_type_of_update_for_each_list_message() -> None:
     def accepted_as(
         version: int, is_snapshot: bool, entries: int, invalid: int, from_config: bool = False
     ) -> str | None:
@@ -28,7 +28,7 @@
         version,
         is_snapshot,
         [EndpointEntry(k, 0, 0, 0, 1, 1.0, 0, -1.0) for k in range(entries)],
-        ["x"] * invalid,
+        ["invalid entry"] * invalid,
     )
 
 
@@ -37,7 +37,7 @@
     assert tracker.accept(0.0, list_message(5, True, 2)) == "full"
     assert tracker.accept(1.0, list_message(4, True, 2)) is None
     assert tracker.version == 5
-    assert tracker.accept(2.0, list_message(5, False, 1)) is None  # it catches up
+    assert tracker.accept(2.0, list_message(5, False, 1)) is None  # The agent has caught up.
     assert tracker.accept(3.0, list_message(6, False, 1)) == "delta"
     assert tracker.stale_since_s is None
     assert tracker.accept(10.0, list_message(2, True, 2)) is None
--- a/tests/test_platform_health_check_clients.py
+++ b/tests/test_platform_health_check_clients.py
@@ -1,4 +1,4 @@
-"""Health checks, on a virtual clock."""
+"""Tests the health checks of servers on a virtual clock."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 
 def test_health_checks_wait_for_the_first_proxy(tmp_path: Path) -> None:
-    made = Platform(tmp_path)
-    made.relay.proxies = []
-    made.advance(5.0)
-    assert sum(t.checks for t in made.servers) == 0
-    made.relay.broadcast(
+    platform = Platform(tmp_path)
+    platform.relay.proxies = []
+    platform.advance(5.0)
+    assert sum(server.checks for server in platform.servers) == 0
+    platform.relay.broadcast(
         {"type": "joined", "object": {"sidecar": 1, "az": "a", "share": 1.0, "standing": True}}
     )
-    made.advance(2.0)
-    assert all(t.checks for t in made.servers)
+    platform.advance(2.0)
+    assert all(server.checks for server in platform.servers)
 
 
 def test_health_checks_of_one_round_are_spread(platform: Platform) -> None:
-    at: list[float] = []
-    for task in platform.servers:
-        inner = task.answer
-        task.answer = lambda *a, inner=inner: (at.append(platform.net.seconds()), inner(*a))[1]  # type: ignore
+    times_s: list[float] = []
+    for server in platform.servers:
+        answer = server.answer
+        server.answer = lambda *a, answer=answer: (times_s.append(platform.net.seconds()), answer(*a))[1]  # type: ignore
     for view in platform.assigner.runtime.director.servers.values():  # type: ignore[attr-defined]
         view.next_health_check_s = math.inf
     platform.advance(0.2)
-    at.clear()
+    times_s.clear()
     platform.assigner.health_checks._queue = [
         platform.assigner.hosts.register(f"s-{k}") for k in range(SERVERS - 1)
     ]
@@ -49,25 +49,35 @@
     )
     platform.assigner.health_checks._send_next()
     platform.advance(0.2)
-    assert len(at) >= SERVERS
-    assert min(b - a for a, b in pairwise(at[:SERVERS])) > 0.03
-    assert at[-1] - at[0] < 0.25
+    assert len(times_s) >= SERVERS
+    assert min(later - earlier for earlier, later in pairwise(times_s[:SERVERS])) > 0.03
+    assert times_s[-1] - times_s[0] < 0.25
 
 
 @pytest.mark.parametrize(
     ("mode", "status"),
-    [("well", 0), ("odd", 1), ("full", 2), ("late 503", 3), ("dumb", 3), ("down", 4), ("reset", 5)],
+    [
+        ("healthy", 0),
+        ("malformed", 1),
+        ("full", 2),
+        ("late 503", 3),
+        ("no answer", 3),
+        ("down", 4),
+        ("reset", 5),
+    ],
 )
 def test_outcome_of_a_health_check_is_passed_on(platform: Platform, mode: str, status: int) -> None:
     events = platform.record_events()
     platform.servers[0].mode = mode
     if mode == "down":
-        platform.servers[0].party.kill()
+        platform.servers[0].reactor.kill()
     platform.advance(3.0)
-    number = platform.assigner.hosts.register("s-0")
-    results = [e for e in events if isinstance(e, HealthCheckResult) and e.server_id == number]
+    server_id = platform.assigner.hosts.register("s-0")
+    results = [
+        event for event in events if isinstance(event, HealthCheckResult) and event.server_id == server_id
+    ]
     assert len(results) >= 2
-    assert {e.status for e in results[1:]} == {status}
+    assert {result.status for result in results[1:]} == {status}
     if status == 0:
         assert results[0].load_values == (2.0,)
         assert results[0].elapsed_s == pytest.approx(0.005, abs=0.002)
@@ -76,20 +86,23 @@
 def test_connection_closed_while_idle_is_no_failed_health_check(platform: Platform) -> None:
     platform.advance(2.0)
     events = platform.record_events()
-    for task in platform.servers:  # closed while idle
-        for c in [c for c in task.connections if c.open]:
-            c.transport.abortConnection()
+    for server in platform.servers:  # Close all connections while they are idle.
+        for connection in [connection for connection in server.connections if connection.open]:
+            connection.transport.abortConnection()
     platform.advance(1.0)
-    assert {e.status for e in events if isinstance(e, HealthCheckResult)} == {0}
-    task = platform.servers[0]
-    for c in [c for c in task.connections if c.open]:
-        c.dataReceived = lambda _data, c=c: c.transport.abortConnection()
+    assert {event.status for event in events if isinstance(event, HealthCheckResult)} == {0}
+    server = platform.servers[0]
+    # Close the connection when the next request arrives on it.
+    for connection in [connection for connection in server.connections if connection.open]:
+        connection.dataReceived = lambda _data, c=connection: c.transport.abortConnection()
     platform.advance(2.0)
-    number = platform.assigner.hosts.register("s-0")
-    results = [e for e in events if isinstance(e, HealthCheckResult) and e.server_id == number]
+    server_id = platform.assigner.hosts.register("s-0")
+    results = [
+        event for event in events if isinstance(event, HealthCheckResult) and event.server_id == server_id
+    ]
     assert len(results) >= 2
-    assert {e.status for e in results} == {0}
-    assert len(task.connections) == 3
+    assert {result.status for result in results} == {0}
+    assert len(server.connections) == 3
 
 
 def test_connections_to_a_removed_server_are_closed(platform: Platform) -> None:
@@ -97,13 +110,13 @@
     platform.discovery.change(entry(0, "left"))
     platform.advance(0.1)
     assert platform.servers[0].checks
-    assert not any(c.open for c in platform.servers[0].connections)
+    assert not any(connection.open for connection in platform.servers[0].connections)
 
 
-def test_server_may_change_its_address(platform: Platform) -> None:
+def test_health_checks_follow_a_changed_server_address(platform: Platform) -> None:
     platform.advance(2.0)
-    other = CheckedServer(platform.net, 9999)
+    server_at_new_address = CheckedServer(platform.net, 9999)
     platform.discovery.change(entry(0, dial="127.0.0.1:9999"))
     platform.advance(2.0)
-    assert other.checks
-    assert not any(c.open for c in platform.servers[0].connections)
+    assert server_at_new_address.checks
+    assert not any(connection.open for connection in platform.servers[0].connections)
--- a/tests/test_platform_health_checks.py
+++ b/tests/test_platform_health_checks.py
@@ -1,4 +1,4 @@
-"""What a response to a health check means."""
+"""Tests the interpretation of responses to health checks."""
 
 from __future__ import annotations
 
@@ -18,9 +18,5 @@
 
 
 def test_response_to_a_health_check_is_classified() -> None:
-    assert [classify_response(s, t, 0.4) for s, t in ((200, 0.3), (503, 0.1), (503, 0.3), (500, 0.1))] == [
-        0,
-        2,
-        3,
-        1,
-    ]
+    responses = ((200, 0.3), (503, 0.1), (503, 0.3), (500, 0.1))
+    assert [classify_response(status, elapsed_s, 0.4) for status, elapsed_s in responses] == [0, 2, 3, 1]
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -1,4 +1,4 @@
-"""HTTP and line parsing of the platform's assigner."""
+"""Tests the HTTP and line parsing of the platform's assigner."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from puffintide.platform.line_buffer import LineBuffer
 
 
-def cuts(data: bytes) -> Iterator[list[bytes]]:
-    """The bytes in two pieces, cut at every position, and one by one."""
+def splits(data: bytes) -> Iterator[list[bytes]]:
+    """Yield the bytes in two pieces, split at every position, and then byte by byte."""
     yield from ([data[:k], data[k:]] for k in range(1, len(data)))
     yield [data[k : k + 1] for k in range(len(data))]
 
 
 def test_lines_are_complete_however_the_bytes_are_split() -> None:
     data = b'{"a":1}\n\n{"b":2}\nrest'
-    for pieces in cuts(data):
+    for pieces in splits(data):
         lines = LineBuffer(100)
-        got = [line for piece in pieces for line in lines.feed(piece)]
-        assert got == [b'{"a":1}', b"", b'{"b":2}']
+        received = [line for piece in pieces for line in lines.feed(piece)]
+        assert received == [b'{"a":1}', b"", b'{"b":2}']
         assert lines.feed(b"!\n") == [b"rest!"]
 
 
@@ -47,7 +47,7 @@
 
 def test_response_is_parsed_however_the_bytes_are_split() -> None:
     plain = b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"accepted":2}'
-    for pieces in cuts(plain):
+    for pieces in splits(plain):
         exchange = HttpExchange("h:1", 100)
         exchange.request("POST", "/x", b"{}")
         body = b"".join(p for piece in pieces for p in exchange.receive(piece))
@@ -58,7 +58,7 @@
             True,
         )
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n5\r\n{}\n{}\r\n1\r\n\n\r\n"
-    for pieces in cuts(chunked):
+    for pieces in splits(chunked):
         exchange = HttpExchange("h:1")
         exchange.request("GET", "/x")
         assert b"".join(p for piece in pieces for p in exchange.receive(piece)) == b"{}\n{}\n{}\n"
@@ -75,8 +75,8 @@
         exchange.receive(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
         assert exchange.status == 503
         assert exchange.complete
-    for bad in (b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n" + b"x" * 11):
-        fresh = HttpExchange("h:1", 10)
-        fresh.request("GET", "/ping")
+    for malformed in (b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n" + b"x" * 11):
+        new_exchange = HttpExchange("h:1", 10)
+        new_exchange.request("GET", "/ping")
         with pytest.raises(MalformedResponseError):
-            fresh.receive(bad)
+            new_exchange.receive(malformed)
--- a/tests/test_platform_relay_session.py
+++ b/tests/test_platform_relay_session.py
@@ -32,7 +32,7 @@
     platform.report(peer, 10)
     lines = [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"]
     assert lines == []
-    platform.party.kill()  # and so after a restart from nothing
+    platform.reactor.kill()  # and so after a restart from nothing
     platform.assigner = platform.start()
     platform.advance(2.0)
     assert [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"] == []
@@ -169,7 +169,7 @@
 def test_empty_snapshot_resolves_nothing(platform: Platform) -> None:
     platform.relay.call_results = ["lost"]
     send_snapshot = platform.relay.send_snapshot
-    platform.relay.send_snapshot = lambda c: platform.party.callLater(0.2, send_snapshot, c)  # type: ignore[method-assign]
+    platform.relay.send_snapshot = lambda c: platform.reactor.callLater(0.2, send_snapshot, c)  # type: ignore[method-assign]
     platform.discovery.change(entry(1, "leaving"))
     platform.advance(2.0)
     assert "s-1" not in platform.relay.routable_hosts()
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -33,8 +33,8 @@
 
 def test_pings_are_answered_after_a_timeout_without_relay_and_discovery(tmp_path: Path) -> None:
     made = Platform(tmp_path, known=False)
-    made.relay.party.kill()
-    made.discovery.party.kill()
+    made.relay.reactor.kill()
+    made.discovery.reactor.kill()
     made.advance(3.5)
     peer = Client(made)
     peer.send({"msg": "ping"})
@@ -138,12 +138,12 @@
     assert platform.assigner.relay.outbox.in_flight
     platform.assigner.stop()
     platform.advance(0.1)
-    assert platform.party.running
+    assert platform.reactor.running
     platform.advance(0.2)
-    assert not platform.party.running
+    assert not platform.reactor.running
 
 
 def test_sigterm_with_nothing_in_flight_ends_at_once(platform: Platform) -> None:
     platform.assigner.stop()
     platform.advance(0.01)
-    assert not platform.party.running
+    assert not platform.reactor.running
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,6 +1,7 @@
-"""Unlucky orders of events, each forced: the assigner as a process on loopback, and its peers played by the test.
+"""Tests race conditions, each forced: the assigner runs as a process on loopback, the test acts as its peers.
 
-A peer goes on once it has seen what must come first; none sleeps. docs/races.md lists the cases.
+A peer continues once it has observed the event that must come first; it does not sleep. docs/races.md lists
+the cases.
 """
 
 from __future__ import annotations
@@ -40,8 +41,8 @@
 LIST_WATCH = "GET /catalog/members"
 SERVERS = 4
 SLICES = 6
-# Waits are long, so that on a busy machine no time-out gets between what a test puts in order.
-PATIENT: Mapping[str, float] = {
+# Timeouts long enough that on a busy machine none occurs between the events that a test puts in order.
+LONG_TIMEOUTS: Mapping[str, float] = {
     "platform.relay_client.RESPONSE_TIMEOUT_S": 20,
     "platform.relay_snapshot.TIMEOUT_S": 20,
     "platform.health_check_client.TIMEOUT_S": 20,
@@ -51,12 +52,12 @@
 
 
 class Platform:
-    """An assigner with its relay and discovery; `store` is what the relay keeps."""
+    """An assigner with its relay and discovery; `store` holds the state of the relay."""
 
     def __init__(
         self,
         folder: Path,
-        constants: Mapping[str, float] = PATIENT,
+        constants: Mapping[str, float] = LONG_TIMEOUTS,
         servers: int = SERVERS,
         health_checks: bool = False,
         **family: Any,
@@ -64,9 +65,9 @@
         self.relay = HttpServer()
         self.discovery = HttpServer()
         listen = f"127.0.0.1:{PORTS.take()}"
-        self.rows = [entry(k) for k in range(servers)]
+        self.entries = [entry(k) for k in range(servers)]
         self.version = 7
-        platforms = settings(**({"reloadsMax": 0} | family)) | {"limits": {"probes": health_checks}}
+        assigner_settings = settings(**({"reloadsMax": 0} | family)) | {"limits": {"probes": health_checks}}
         config = {
             "name": "n0",
             "listen": listen,
@@ -74,17 +75,17 @@
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
             "store": {"address": self.relay.address},
-            "settings": platforms,
+            "settings": assigner_settings,
         }
         self.store = RelayStore(
-            {s: {f"s-{s % servers}": 1.0} for s in range(platforms["familyInfo"]["slices"])}
+            {s: {f"s-{s % servers}": 1.0} for s in range(assigner_settings["familyInfo"]["slices"])}
         )
         self.assigner = AssignerProcess(folder / "config.json", config, constants)
         self.relay_watch: Any = None
         self.list_watch: Any = None
 
     def accept_watch(self, target: str, address: HttpServer | None = None) -> HttpConnection:
-        """The next watch at an address, with the head of its answer."""
+        """Return the connection of the next watch at an address, after sending the head of its response."""
         connection, _, _ = (
             address or (self.relay if target == RELAY_WATCH else self.discovery)
         ).next_request(target)
@@ -92,7 +93,7 @@
         return connection
 
     def start(self, *extra: Any) -> Platform:
-        """All stands, and the assigner serves."""
+        """Send the endpoint list and the relay's state, and wait until the assigner serves."""
         self.list_watch = self.accept_watch(LIST_WATCH)
         self.list_watch.send_lines(self.list_snapshot())
         self.relay_watch = self.accept_watch(RELAY_WATCH)
@@ -104,32 +105,34 @@
         return self
 
     def relay_snapshot(self) -> list[dict[str, Any]]:
-        """All proxies and tables, and the heartbeat that ends them."""
+        """Return the messages of all proxies and tables, and the heartbeat that ends the snapshot."""
         return [*map(proxy_joined, range(3)), *self.store.snapshot_messages(), HEARTBEAT]
 
     def list_snapshot(self) -> dict[str, Any]:
-        return {"seq": self.version, "whole": True, "hosts": self.rows}
+        return {"seq": self.version, "whole": True, "hosts": self.entries}
 
-    def change_list(self, *rows: dict[str, Any]) -> None:
-        """Discovery tells changes, and they have been heard."""
+    def change_list(self, *entries: dict[str, Any]) -> None:
+        """Send changes of the endpoint list, and wait until the assigner has received them."""
         self.version += 1
-        self.list_watch.send_lines({"seq": self.version, "whole": False, "hosts": list(rows)})
+        self.list_watch.send_lines({"seq": self.version, "whole": False, "hosts": list(entries)})
         self.assigner.wait_for("endpoint_list", version=self.version)
 
     def drain(self, k: int) -> None:
+        """Report server K as leaving."""
         self.change_list(entry(k, "leaving"))
 
     def call(self, address: HttpServer | None = None) -> tuple[HttpConnection, bytes]:
+        """Return the connection and the body of the next call."""
         connection, _, body = (address or self.relay).next_request(CALL)
         return connection, body
 
     def answer_call(self, address: HttpServer | None = None) -> None:
-        """One call, carried out and answered."""
+        """Apply and answer the next call."""
         connection, body = self.call(address)
         connection.respond(self.store.apply_call(body))
 
     def answer_calls_until_withdrawn(self, *hosts: str, address: HttpServer | None = None) -> None:
-        """Calls are answered until nobody is sent to these hosts any more."""
+        """Apply and answer calls until proxies send no more requests to these hosts."""
         while self.store.routable_hosts() & set(hosts):
             self.answer_call(address)
 
@@ -141,50 +144,54 @@
 
 @pytest.fixture
 def new_platform(tmp_path: Path) -> Iterator[Callable[..., Platform]]:
+    """Return a function that creates platforms, which end with the test."""
     with ExitStack() as stack:
 
-        def platforms(**changes: Any) -> Platform:
+        def create(**changes: Any) -> Platform:
             platform = Platform(tmp_path, **changes)
             stack.callback(platform.end)
             return platform
 
-        yield platforms
+        yield create
 
 
-# The end --------------------------------------------------------------------------------------------
+# Shutdown --------------------------------------------------------------------------------------------
 
 
 def test_no_call_begins_after_sigterm(new_platform: Callable[..., Platform]) -> None:
-    """One is on its way and another order waits; the answer comes after the signal."""
-    platform = new_platform(constants={**PATIENT, "platform.service.STOP_TIMEOUT_S": 20}).start()
+    """At the signal, one call is in flight and an order waits; the call is answered afterwards."""
+    platform = new_platform(constants={**LONG_TIMEOUTS, "platform.service.STOP_TIMEOUT_S": 20}).start()
     platform.drain(1)
     connection, body = platform.call()
-    platform.drain(2)  # waits for the answer
+    platform.drain(2)  # This order waits for the answer.
     platform.assigner.wait_for("decision", 2)
-    asker = platform.assigner.connect()
+    client = platform.assigner.connect()
     platform.assigner.signal(signal.SIGTERM)
     platform.assigner.wait_for("stopping")
     with suppress(OSError):
-        asker.sendall(b'{"msg":"ping"}\n')
-    until_connections_are_refused(platform)
-    assert platform.assigner.process.poll() is None  # the call is still on its way
+        client.sendall(b'{"msg":"ping"}\n')
+    wait_until_connections_are_refused(platform)
+    assert platform.assigner.process.poll() is None  # The call is still in flight.
     connection.respond(platform.store.apply_call(body))
     assert platform.assigner.process.wait(5) == 0
     assert not platform.relay.has_request(CALL)
     assert "s-1" not in platform.store.routable_hosts()
-    assert read_to_end(asker) == b""  # nor was it said to be alive
+    assert read_to_end(client) == b""  # The ping was not answered.
 
 
-def until_connections_are_refused(platform: Platform, limit_s: float = 2.0) -> None:
-    """The row "stopping" is written before the port closes, at the end of that turn of the reactor. Until then the
-    kernel completes handshakes by itself: such connections are never accepted, and end without a byte."""
+def wait_until_connections_are_refused(platform: Platform, limit_s: float = 2.0) -> None:
+    """Wait until connections are refused, and check that those completed before then end without a byte.
+
+    The event "stopping" is logged before the port closes, at the end of that turn of the reactor. Until then
+    the kernel completes handshakes by itself, but such connections are never accepted.
+    """
     unaccepted: list[socket.socket] = []
-    end = time.monotonic() + limit_s
+    deadline_s = time.monotonic() + limit_s
     while True:
-        assert time.monotonic() < end, "connections are still taken"
+        assert time.monotonic() < deadline_s, f"connections are not refused after {limit_s} s"
         try:
             unaccepted.append(platform.assigner.connect())
-        except ConnectionResetError:  # the port closed right after the handshake
+        except ConnectionResetError:  # The port closed right after the handshake.
             continue
         except ConnectionRefusedError:
             break
@@ -195,15 +202,15 @@
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """All that a connection gives until it ends."""
+    """Return all bytes that a connection delivers until it ends."""
     sock.settimeout(15)
-    out = b""
+    received = b""
     try:
         while data := sock.recv(1 << 16):
-            out += data
+            received += data
     except ConnectionError:
         pass
-    return out
+    return received
 
 
 def before_any_state(platform: Platform) -> None:
@@ -211,21 +218,21 @@
     platform.discovery.next_request(LIST_WATCH)
 
 
-def while_moving(platform: Platform) -> None:
+def while_changing_addresses(platform: Platform) -> None:
     platform.start()
-    to = HttpServer()
-    platform.assigner.write(discovery=to.address, store={"address": to.address})
+    new_server = HttpServer()
+    platform.assigner.write(discovery=new_server.address, store={"address": new_server.address})
     platform.assigner.signal(signal.SIGHUP)
-    to.next_request(RELAY_WATCH)  # dialled, and not answered
+    new_server.next_request(RELAY_WATCH)  # Connected, but not answered.
 
 
-def while_uncertain(platform: Platform) -> None:
+def with_uncertain_call(platform: Platform) -> None:
     platform.start()
     platform.drain(1)
     connection, body = platform.call()
     platform.store.apply_call(body)
     connection.reset()
-    platform.relay.next_request(RELAY_WATCH)  # what stands is asked for, and not told
+    platform.relay.next_request(RELAY_WATCH)  # The snapshot is requested, but not sent.
 
 
 def after_first_sigterm(platform: Platform) -> None:
@@ -236,8 +243,10 @@
     platform.assigner.wait_for("stopping")
 
 
-@pytest.mark.parametrize("state", [before_any_state, while_moving, while_uncertain, after_first_sigterm])
-def test_sigterm_ends_it_at_any_time(
+@pytest.mark.parametrize(
+    "state", [before_any_state, while_changing_addresses, with_uncertain_call, after_first_sigterm]
+)
+def test_sigterm_stops_the_assigner_at_any_time(
     new_platform: Callable[..., Platform], state: Callable[[Platform], None]
 ) -> None:
     platform = new_platform()
@@ -250,23 +259,23 @@
     assert len(platform.assigner.logged("stopping")) == 1
 
 
-# The relay's news -------------------------------------------------------------------------------------
+# Relay watch ------------------------------------------------------------------------------------------
 
 
 def test_state_missing_from_an_incomplete_snapshot_is_not_removed(
     new_platform: Callable[..., Platform],
 ) -> None:
-    """What stands comes in two pieces, with a gap in which a server drains; a kind that is not known is no end."""
+    """A server drains between the two parts of a snapshot; an unknown message does not end the snapshot."""
     platform = new_platform().start()
     platform.relay_watch.reset()
     platform.relay_watch = platform.accept_watch(RELAY_WATCH)
-    platform.store.tables[6] = {"s-0": 1.0}  # new since
+    platform.store.tables[6] = {"s-0": 1.0}  # A slice granted since the first snapshot.
     platform.relay_watch.send_lines(
         proxy_joined(0), slice_granted(6), table_weight(6, "s-0"), {"type": "tide", "object": {"level": 3}}
     )
-    platform.assigner.wait_for("ownership_changed", granted=1)  # the pause has passed
+    platform.assigner.wait_for("ownership_changed", granted=1)  # The pause after the last line has passed.
     platform.drain(1)
-    platform.answer_calls_until_withdrawn("s-1")  # in all tables, though the watch names one
+    platform.answer_calls_until_withdrawn("s-1")  # In all tables, though the new watch has sent only one.
     platform.relay_watch.send_lines(
         *map(proxy_joined, (1, 2)), *platform.store.snapshot_messages(*range(6)), HEARTBEAT
     )
@@ -283,15 +292,15 @@
     platform.relay_watch.reset()
     platform.relay_watch = platform.accept_watch(RELAY_WATCH)
     platform.relay_watch.send_lines(proxy_joined(0), *platform.store.snapshot_messages(0))
-    platform.assigner.wait_for("relay_watch_opened", 2)  # the first piece has been read
+    platform.assigner.wait_for("relay_watch_opened", 2)  # The first part has been read.
     platform.assigner.signal(signal.SIGSTOP)
     platform.relay_watch.send_lines(
         *map(proxy_joined, (1, 2)), *platform.store.snapshot_messages(1, 2, 3, 4, 5), HEARTBEAT
     )
-    time.sleep(0.5)  # all its pauses are over when it wakes
+    time.sleep(0.5)  # All pauses of the snapshot have expired when it resumes.
     platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
     platform.assigner.signal(signal.SIGCONT)
-    connection, body = platform.call()  # one, for both slices that stand there
+    connection, body = platform.call()  # One call for both slices of the server.
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {1, 5}
     connection.respond(platform.store.apply_call(body))
     assert not platform.assigner.logged("ownership_changed", revoked=5)
@@ -300,13 +309,12 @@
 
 def test_repeated_relay_messages_and_lists_change_nothing(new_platform: Callable[..., Platform]) -> None:
     platform = new_platform().start()
-    ignored_keys = [proxy_joined(0), *platform.store.snapshot_messages(), HEARTBEAT]
-    platform.relay_watch.send_lines(*ignored_keys, *ignored_keys)
+    repeated = [proxy_joined(0), *platform.store.snapshot_messages(), HEARTBEAT]
+    platform.relay_watch.send_lines(*repeated, *repeated)
     platform.drain(1)
     platform.answer_calls_until_withdrawn("s-1")
-    platform.list_watch.send_lines(
-        {"seq": 8, "whole": False, "hosts": [entry(1)]}
-    )  # an older one, late: it was well then
+    # A delayed older list, in which the server was still active.
+    platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1)]})
     platform.drain(2)
     platform.answer_calls_until_withdrawn("s-1", "s-2")
     assert all(platform.store.tables.values())
@@ -320,7 +328,7 @@
         *map(proxy_joined, range(3)), *platform.store.snapshot_messages(0, 2, 3, 4, 5), HEARTBEAT
     )
     platform.assigner.wait_for("ownership_changed", revoked=1)
-    platform.drain(1)  # slices 1 and 5 were there
+    platform.drain(1)  # The server had slices 1 and 5.
     connection, body = platform.call()
     assert {r["group"] for r in json.loads(body)["orders"] if r["do"] == "SET"} == {5}
     connection.respond(platform.store.apply_call(body))
@@ -342,24 +350,26 @@
 def test_uncertain_weights_are_dropped_when_their_slice_was_revoked_and_granted_again(
     new_platform: Callable[..., Platform],
 ) -> None:
-    """Between the call and the look at what became of it, an heir had the slice and moved it elsewhere."""
+    """Between the call and the read of its result, another assigner owned the slice and changed its table."""
     platform = new_platform().start()
     platform.drain(1)
     connection, body = platform.call()
-    lost = [r for r in json.loads(body)["orders"] if r["do"] == "SET" and r["share"] > 0 and r["group"] == 1]
-    assert lost
-    connection.reset()  # not carried out
+    lost_orders = [
+        r for r in json.loads(body)["orders"] if r["do"] == "SET" and r["share"] > 0 and r["group"] == 1
+    ]
+    assert lost_orders
+    connection.reset()  # The call was not applied.
     snapshot = platform.accept_watch(RELAY_WATCH)
-    other = next(f"s-{k}" for k in (0, 2, 3) if f"s-{k}" != lost[0]["host"])
-    platform.store.tables[1] = {other: 1.0}
+    other_host = next(f"s-{k}" for k in (0, 2, 3) if f"s-{k}" != lost_orders[0]["host"])
+    platform.store.tables[1] = {other_host: 1.0}
     platform.relay_watch.send_lines(
         slice_granted(1, False), slice_granted(1), *platform.store.snapshot_messages(1)[1:], HEARTBEAT
     )
     platform.assigner.wait_for("ownership_changed", granted=1, revoked=0)
     snapshot.send_lines(*platform.store.snapshot_messages(), HEARTBEAT)
     platform.answer_calls_until_withdrawn("s-1")
-    assert lost[0] not in platform.store.received
-    assert platform.store.tables[1] == {other: 1.0}
+    assert lost_orders[0] not in platform.store.received
+    assert platform.store.tables[1] == {other_host: 1.0}
 
 
 def test_slice_revoked_granted_and_revoked_in_one_packet(new_platform: Callable[..., Platform]) -> None:
@@ -385,19 +395,20 @@
     platform = new_platform().start()
     platform.drain(1)
     connection, body = platform.call()
-    platform.assigner.end()  # killed between order and answer
+    platform.assigner.end()  # Killed between the call and its answer.
     connection.respond(platform.store.apply_call(body))
-    first = list(platform.store.received)
+    first_orders = list(platform.store.received)
     platform.relay.close()
     platform.discovery.close()
-    successor = new_platform()  # a process of the same configuration, from nothing
+    successor = new_platform()  # A process with the same configuration and no state.
     successor.store = platform.store
-    successor.rows[1] = entry(1, "leaving")
+    successor.entries[1] = entry(1, "leaving")
     successor.start()
     successor.drain(2)
     successor.answer_calls_until_withdrawn("s-1", "s-2")
-    again = [r for r in platform.store.received[len(first) :] if r["do"] == "SET" and r in first]
-    assert not again
+    later_orders = platform.store.received[len(first_orders) :]
+    repeated = [r for r in later_orders if r["do"] == "SET" and r in first_orders]
+    assert not repeated
     assert all(platform.store.tables.values())
 
 
@@ -407,27 +418,27 @@
 
 
 def test_answer_cut_at_any_byte_repeats_and_loses_no_order(new_platform: Callable[..., Platform]) -> None:
-    """At each byte of it, closed and reset in turn; carried out and, every third time, not."""
+    """Cut the answer after each byte, by a close and a reset in turn; every third call is not applied."""
     cuts = len(ANSWER) - 1
     platform = new_platform(servers=cuts + 2, slices=cuts + 2).start()
-    undone: list[str] = []
+    unapplied: list[str] = []
     for cut in range(cuts):
         platform.drain(cut)
         connection, body = platform.call()
-        carried = cut % 3 != 2
-        platform.store.apply_call(body, carried)
+        applied = cut % 3 != 2
+        platform.store.apply_call(body, applied)
         orders = json.loads(body)["orders"]
-        undone += [json.dumps(r) for r in orders if r["do"] == "SET" and not carried]
+        unapplied += [json.dumps(r) for r in orders if r["do"] == "SET" and not applied]
         connection.send((ANSWER % len(orders))[:cut])
         (connection.reset if cut % 2 else connection.close)()
         snapshot = platform.accept_watch(RELAY_WATCH)
         snapshot.send_lines(*platform.store.snapshot_messages(), HEARTBEAT)
         platform.assigner.wait_for("call_resolved", cut + 1)
-        if not carried:
+        if not applied:
             platform.answer_calls_until_withdrawn(f"s-{cut}")
         assert f"s-{cut}" not in platform.store.routable_hosts()
-    platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
-    assert Counter(platforms) == Counter(set(platforms)) + Counter(undone)
+    set_orders = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
+    assert Counter(set_orders) == Counter(set(set_orders)) + Counter(unapplied)
     assert all(platform.store.tables.values())
 
 
@@ -444,21 +455,22 @@
     platform.assigner.wait_for("call_resolved", applied=True)
     platform.drain(2)
     platform.answer_calls_until_withdrawn("s-1", "s-2")
-    platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
-    assert len(platforms) == len(set(platforms))
+    set_orders = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
+    assert len(set_orders) == len(set(set_orders))
 
 
-# The list ---------------------------------------------------------------------------------------------
+# Endpoint list ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("bad", [b'{"seq":8,"whole":fal\n', b'{"whole":false,"hosts":[]}\n', b"\xff\xfe\n"])
+@pytest.mark.parametrize(
+    "malformed", [b'{"seq":8,"whole":fal\n', b'{"whole":false,"hosts":[]}\n', b"\xff\xfe\n"]
+)
 def test_malformed_list_changes_are_requested_again(
-    new_platform: Callable[..., Platform], bad: bytes
+    new_platform: Callable[..., Platform], malformed: bytes
 ) -> None:
     platform = new_platform().start()
-    platform.list_watch.send_lines(
-        bad, {"seq": 9, "whole": False, "hosts": [entry(3, share=1.5)]}
-    )  # well, and later
+    # The malformed line is followed by a valid change with a later version.
+    platform.list_watch.send_lines(malformed, {"seq": 9, "whole": False, "hosts": [entry(3, share=1.5)]})
     platform.list_watch, target, _ = platform.discovery.next_request(LIST_WATCH)
     assert target.endswith("since=7")
     platform.list_watch.begin_response()
@@ -469,7 +481,9 @@
 
 
 def test_half_a_line_followed_by_silence_loses_nothing(new_platform: Callable[..., Platform]) -> None:
-    platform = new_platform(constants={**PATIENT, "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1}).start()
+    platform = new_platform(
+        constants={**LONG_TIMEOUTS, "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1}
+    ).start()
     platform.list_watch.send_lines(b'{"seq":8,"whole":false,"hosts":[')
     platform.list_watch, target, _ = platform.discovery.next_request(LIST_WATCH)
     assert target.endswith("since=7")
@@ -480,22 +494,22 @@
 
 def test_stale_discovery_agent_reinstates_no_server(new_platform: Callable[..., Platform]) -> None:
     platform = new_platform().start()
-    old = platform.list_snapshot()
+    stale_list = platform.list_snapshot()
     platform.drain(1)
     platform.answer_calls_until_withdrawn("s-1")
     platform.list_watch.reset()
     platform.list_watch = platform.accept_watch(LIST_WATCH)
-    platform.list_watch.send_lines(old)
+    platform.list_watch.send_lines(stale_list)
     platform.drain(2)
-    platform.drain(3)  # s-0 alone is left
+    platform.drain(3)  # Only s-0 is left.
     platform.answer_calls_until_withdrawn("s-1", "s-2", "s-3")
     assert all(platform.store.tables.values())
 
 
 def test_snapshot_of_the_list_in_place_of_a_delta(new_platform: Callable[..., Platform]) -> None:
     platform = new_platform().start()
-    platform.rows[1] = entry(1, "leaving")
-    del platform.rows[3]
+    platform.entries[1] = entry(1, "leaving")
+    del platform.entries[3]
     platform.version += 1
     platform.list_watch.send_lines(platform.list_snapshot())
     platform.answer_calls_until_withdrawn("s-1", "s-3")
@@ -506,15 +520,14 @@
     new_platform: Callable[..., Platform],
 ) -> None:
     platform = new_platform(
-        constants={**PATIENT, "platform.service.FORGET_PERIOD_S": 0.1, "platform.stats.PERIOD_S": 0.2}
+        constants={**LONG_TIMEOUTS, "platform.service.FORGET_PERIOD_S": 0.1, "platform.stats.PERIOD_S": 0.2}
     )
-    platform.store.tables[0]["s-9"] = 1.0  # which the list will not have
+    platform.store.tables[0]["s-9"] = 1.0  # A host that the endpoint list does not contain.
     platform.relay_watch = platform.accept_watch(RELAY_WATCH)
     platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.assigner.wait_for("ownership_changed", slices=SLICES)
-    platform.assigner.wait_for(
-        "stats", len(platform.assigner.logged("stats")) + 2
-    )  # and has forgotten what it forgets meanwhile
+    # By then, the assigner has removed the host names that it does not retain.
+    platform.assigner.wait_for("stats", len(platform.assigner.logged("stats")) + 2)
     platform.list_watch = platform.accept_watch(LIST_WATCH)
     platform.list_watch.send_lines(platform.list_snapshot())
     platform.answer_calls_until_withdrawn("s-9")
@@ -528,39 +541,39 @@
 def test_old_stream_is_read_until_the_first_line_of_the_new_one(
     new_platform: Callable[..., Platform],
 ) -> None:
-    """The new one gives its head and is reset: what the old one tells meanwhile counts."""
+    """The new stream is reset after its head; the lines of the old stream are still applied."""
     platform = new_platform().start()
-    to = HttpServer()
-    platform.assigner.write(discovery=to.address, store={"address": to.address})
+    new_server = HttpServer()
+    platform.assigner.write(discovery=new_server.address, store={"address": new_server.address})
     platform.assigner.signal(signal.SIGHUP)
-    first = [platform.accept_watch(RELAY_WATCH, to), platform.accept_watch(LIST_WATCH, to)]
-    platform.drain(1)  # told by the old one
-    platform.answer_calls_until_withdrawn("s-1", address=to)
+    first = [platform.accept_watch(RELAY_WATCH, new_server), platform.accept_watch(LIST_WATCH, new_server)]
+    platform.drain(1)  # Sent on the old stream.
+    platform.answer_calls_until_withdrawn("s-1", address=new_server)
     for connection in first:
         connection.reset()
     platform.drain(2)
-    platform.answer_calls_until_withdrawn("s-2", address=to)
+    platform.answer_calls_until_withdrawn("s-2", address=new_server)
     assert not platform.relay_watch.ended.is_set()
     assert not platform.list_watch.ended.is_set()
-    platform.relay_watch = platform.accept_watch(RELAY_WATCH, to)
-    platform.list_watch = platform.accept_watch(LIST_WATCH, to)
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH, new_server)
+    platform.list_watch = platform.accept_watch(LIST_WATCH, new_server)
     platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.list_watch.send_lines(
         {"seq": platform.version + 1, "whole": False, "hosts": [entry(3, "leaving")]}
     )
-    platform.answer_calls_until_withdrawn("s-3", address=to)
+    platform.answer_calls_until_withdrawn("s-3", address=new_server)
     assert all(platform.store.tables.values())
     assert not platform.relay.has_request(CALL)
-    to.close()
+    new_server.close()
 
 
-def test_second_reload_while_the_first_move_is_connecting(new_platform: Callable[..., Platform]) -> None:
+def test_second_reload_while_the_first_one_is_connecting(new_platform: Callable[..., Platform]) -> None:
     platform = new_platform().start()
-    to = HttpServer()
-    platform.assigner.write(discovery=to.address, store={"address": to.address})
+    new_server = HttpServer()
+    platform.assigner.write(discovery=new_server.address, store={"address": new_server.address})
     platform.assigner.signal(signal.SIGHUP)
-    to.next_request(RELAY_WATCH)
-    to.next_request(LIST_WATCH)  # neither is answered
+    new_server.next_request(RELAY_WATCH)
+    new_server.next_request(LIST_WATCH)  # Neither request is answered.
     platform.assigner.write(discovery=platform.discovery.address, store={"address": platform.relay.address})
     platform.assigner.signal(signal.SIGHUP)
     platform.assigner.wait_for("reloaded", 2)
@@ -569,10 +582,10 @@
     platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.list_watch.send_lines({"seq": 8, "whole": False, "hosts": [entry(1, "leaving")]})
     platform.answer_calls_until_withdrawn("s-1")
-    assert not to.has_request(CALL)
+    assert not new_server.has_request(CALL)
     assert all(platform.store.tables.values())
-    assert all(connection.ended.wait(5) for connection in to.connections)
-    to.close()
+    assert all(connection.ended.wait(5) for connection in new_server.connections)
+    new_server.close()
 
 
 def test_uncertain_call_to_the_old_relay_is_resolved_at_the_new_one(
@@ -581,118 +594,129 @@
     platform = new_platform().start()
     platform.drain(1)
     connection, body = platform.call()
-    to = HttpServer()
-    platform.assigner.write(store={"address": to.address})
+    new_server = HttpServer()
+    platform.assigner.write(store={"address": new_server.address})
     platform.assigner.signal(signal.SIGHUP)
-    platform.relay_watch = platform.accept_watch(RELAY_WATCH, to)
-    platform.store.apply_call(body)  # carried out, and the answer is lost
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH, new_server)
+    platform.store.apply_call(body)  # The call is applied, but its answer is lost.
     connection.reset()
-    snapshot = platform.accept_watch(RELAY_WATCH, to)
+    snapshot = platform.accept_watch(RELAY_WATCH, new_server)
     for watch in (snapshot, platform.relay_watch):
         watch.send_lines(*platform.relay_snapshot())
     platform.assigner.wait_for("call_resolved", applied=True)
     platform.drain(2)
-    platform.answer_calls_until_withdrawn("s-1", "s-2", address=to)
-    platforms = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
-    assert len(platforms) == len(set(platforms))
+    platform.answer_calls_until_withdrawn("s-1", "s-2", address=new_server)
+    set_orders = [json.dumps(r) for r in platform.store.received if r["do"] == "SET"]
+    assert len(set_orders) == len(set(set_orders))
     assert not platform.relay.has_request(CALL)
-    to.close()
+    new_server.close()
 
 
 def test_reload_applies_both_addresses_and_nothing_else(new_platform: Callable[..., Platform]) -> None:
     platform = new_platform().start()
-    to = HttpServer()
-    new = json.loads(json.dumps(platform.assigner.config["settings"]))
-    new["familyInfo"]["slices"] = 9
-    new["rules"]["stopSendingWithinS"] = 30.0
-    new["zones"] = ["b"]
-    platform.assigner.write(settings=new, store={"address": to.address})
+    new_server = HttpServer()
+    new_settings = json.loads(json.dumps(platform.assigner.config["settings"]))
+    new_settings["familyInfo"]["slices"] = 9
+    new_settings["rules"]["stopSendingWithinS"] = 30.0
+    new_settings["zones"] = ["b"]
+    platform.assigner.write(settings=new_settings, store={"address": new_server.address})
     platform.assigner.signal(signal.SIGHUP)
     platform.assigner.wait_for("reloaded")
     ignored_keys = {r["key"] for r in platform.assigner.logged("reload_ignored")}
     assert ignored_keys == {"settings.slice_count", "settings.drain_grace_s", "names.zones"}
-    platform.relay_watch = platform.accept_watch(RELAY_WATCH, to)
-    platform.relay_watch.send_lines(*platform.relay_snapshot())  # of zone a, as the settings in force have it
+    platform.relay_watch = platform.accept_watch(RELAY_WATCH, new_server)
+    # The proxies are of zone a, which is still in the settings in force.
+    platform.relay_watch.send_lines(*platform.relay_snapshot())
     platform.drain(1)
-    platform.answer_calls_until_withdrawn("s-1", address=to)
+    platform.answer_calls_until_withdrawn("s-1", address=new_server)
     platform.assigner.path.write_text('{"store": ')
     platform.assigner.signal(signal.SIGHUP)
     platform.assigner.wait_for("reload_rejected")
     platform.drain(2)
-    platform.answer_calls_until_withdrawn("s-2", address=to)
-    to.close()
+    platform.answer_calls_until_withdrawn("s-2", address=new_server)
+    new_server.close()
 
 
-# Kept connections ---------------------------------------------------------------------------------------
+# Persistent connections ---------------------------------------------------------------------------------
 
 REPORT = b"TEXT inflight=2"
-ONE = b"HTTP/1.1 200 X\r\nContent-Length: 15\r\n\r\n" + REPORT
-OTHER = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
+OK_RESPONSE = b"HTTP/1.1 200 X\r\nContent-Length: 15\r\n\r\n" + REPORT
+UNAVAILABLE_RESPONSE = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
 
 
-@pytest.mark.parametrize("pieces", [[ONE + OTHER], [ONE, OTHER], [ONE + OTHER[:9]]])
+@pytest.mark.parametrize(
+    "pieces",
+    [
+        [OK_RESPONSE + UNAVAILABLE_RESPONSE],
+        [OK_RESPONSE, UNAVAILABLE_RESPONSE],
+        [OK_RESPONSE + UNAVAILABLE_RESPONSE[:9]],
+    ],
+)
 def test_bytes_beyond_a_response_are_not_read_as_the_next_one(
     new_platform: Callable[..., Platform], pieces: list[bytes]
 ) -> None:
     platform = new_platform(health_checks=True, servers=1)
-    task = HttpServer()
-    platform.rows = [entry(0, dial=task.address)]
+    server = HttpServer()
+    platform.entries = [entry(0, dial=server.address)]
     platform.start()
-    first, _, _ = task.next_request("GET /_load")
+    first, _, _ = server.next_request("GET /_load")
     for piece in pieces:
         first.send(piece)
     assert first.ended.wait(15)
-    second, _, _ = task.next_request("GET /_load")
+    second, _, _ = server.next_request("GET /_load")
     assert second is not first
     second.respond(REPORT)
-    assert task.next_request("GET /_load")[0] is second  # which is kept
-    task.close()
+    assert server.next_request("GET /_load")[0] is second  # The connection is kept open.
+    server.close()
 
 
 def test_idle_connection_closed_under_the_next_health_check_is_reopened(
     new_platform: Callable[..., Platform],
 ) -> None:
     platform = new_platform(
-        constants={**PATIENT, "decisions.parameters.HEALTH_CHECK_PERIOD_S": 3}, health_checks=True, servers=1
+        constants={**LONG_TIMEOUTS, "decisions.parameters.HEALTH_CHECK_PERIOD_S": 3},
+        health_checks=True,
+        servers=1,
     )
-    task = HttpServer()
-    platform.rows = [entry(0, dial=task.address)]
+    server = HttpServer()
+    platform.entries = [entry(0, dial=server.address)]
     platform.start()
-    connection, _, _ = task.next_request("GET /_load")
+    connection, _, _ = server.next_request("GET /_load")
     connection.respond(REPORT)
     for _ in range(2):
-        again, _, _ = task.next_request("GET /_load")
-        assert again is connection
-        again.reset()  # in place of an answer
-        connection, _, _ = task.next_request("GET /_load", 2.5)  # the same probe: the next is due after 3 s
+        same_connection, _, _ = server.next_request("GET /_load")
+        assert same_connection is connection
+        same_connection.reset()  # Reset instead of a response.
+        # This belongs to the same health check, as the next one is due after 3 s.
+        connection, _, _ = server.next_request("GET /_load", 2.5)
         connection.respond(REPORT)
-    task.close()
+    server.close()
 
 
-# Who connects -------------------------------------------------------------------------------------------
+# Client connections -------------------------------------------------------------------------------------
 
 
 def test_pings_are_not_answered_before_the_initial_state(new_platform: Callable[..., Platform]) -> None:
-    platform = new_platform(constants={**PATIENT, "platform.service.READY_TIMEOUT_S": 60})
-    news = platform.accept_watch(RELAY_WATCH)
-    listed = platform.accept_watch(LIST_WATCH)
-    asker = platform.assigner.connect()
-    asker.sendall(b'{"msg":"ping"}\n')
-    other = platform.assigner.connect()
-    other.sendall(b"nothing that can be read\n")
-    assert read_to_end(other) == b'{"msg":"refused"}\n'  # so the first has been read
-    asker.setblocking(False)
+    platform = new_platform(constants={**LONG_TIMEOUTS, "platform.service.READY_TIMEOUT_S": 60})
+    relay_watch = platform.accept_watch(RELAY_WATCH)
+    list_watch = platform.accept_watch(LIST_WATCH)
+    client = platform.assigner.connect()
+    client.sendall(b'{"msg":"ping"}\n')
+    rejected_client = platform.assigner.connect()
+    rejected_client.sendall(b"malformed\n")
+    assert read_to_end(rejected_client) == b'{"msg":"refused"}\n'  # So the ping has been read, too.
+    client.setblocking(False)
     with pytest.raises(BlockingIOError):
-        asker.recv(100)
-    asker.setblocking(True)
-    listed.send_lines(platform.list_snapshot())
-    news.send_lines(*map(proxy_joined, range(3)), *platform.store.snapshot_messages())
-    assert asker.makefile("rb").readline() == b'{"msg":"pong"}\n'
+        client.recv(100)
+    client.setblocking(True)
+    list_watch.send_lines(platform.list_snapshot())
+    relay_watch.send_lines(*map(proxy_joined, range(3)), *platform.store.snapshot_messages())
+    assert client.makefile("rb").readline() == b'{"msg":"pong"}\n'
     platform.assigner.wait_for("ownership_changed", slices=SLICES)
 
 
 def answer_everything(platform: Platform) -> None:
-    """Answer one waiting request at each address; what was given up is requested again."""
+    """Answer one waiting request at each address; requests that have timed out are sent again."""
     for address in (platform.relay, platform.discovery):
         with suppress(TimeoutError, OSError):
             connection, target, body = address.next_request("", 0.05)
@@ -703,39 +727,39 @@
             if target == RELAY_WATCH:
                 connection.send_lines(*platform.relay_snapshot())
             else:
-                connection.send_lines({"seq": 9, "whole": True, "hosts": platform.rows})
+                connection.send_lines({"seq": 9, "whole": True, "hosts": platform.entries})
 
 
-@pytest.mark.parametrize("away", ["relay", "discovery", "both"])
-def test_it_serves_without_relay_or_discovery_at_the_start(
-    new_platform: Callable[..., Platform], away: str
+@pytest.mark.parametrize("unavailable", ["relay", "discovery", "both"])
+def test_assigner_serves_without_relay_or_discovery_at_the_start(
+    new_platform: Callable[..., Platform], unavailable: str
 ) -> None:
     platform = new_platform(
         constants={
-            **PATIENT,
+            **LONG_TIMEOUTS,
             "platform.service.READY_TIMEOUT_S": 0.5,
             "platform.endpoint_watch.SILENCE_TIMEOUT_S": 1,
             "platform.relay_watch.SILENCE_TIMEOUT_S": 1,
         }
     )
-    if away == "discovery":
+    if unavailable == "discovery":
         platform.relay_watch = platform.accept_watch(RELAY_WATCH)
         platform.relay_watch.send_lines(*platform.relay_snapshot())
-    elif away == "relay":
+    elif unavailable == "relay":
         platform.list_watch = platform.accept_watch(LIST_WATCH)
         platform.list_watch.send_lines(platform.list_snapshot())
     row = platform.assigner.wait_for("serving")
-    assert (row["relay"], row["listed"]) == (away == "discovery", away == "relay")
-    platform.rows[1] = entry(1, "leaving")
+    assert (row["relay"], row["listed"]) == (unavailable == "discovery", unavailable == "relay")
+    platform.entries[1] = entry(1, "leaving")
     while "s-1" in platform.store.routable_hosts():
         answer_everything(platform)
     assert all(platform.store.tables.values())
 
 
 class ConnectionFlood:
-    """Three threads that open connections without end: half messages, some that close at once, unread pongs."""
+    """Three threads that keep opening connections, with half a message, unread pongs, or closed at once."""
 
-    TEXTS = (b'{"msg":"hea', b"", b'{"msg":"ping"}\n' * 50)
+    SENT_TEXTS = (b'{"msg":"hea', b"", b'{"msg":"ping"}\n' * 50)
 
     def __init__(self, assigner: AssignerProcess) -> None:
         self.assigner = assigner
@@ -755,7 +779,7 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            for text in self.TEXTS:
+            for text in self.SENT_TEXTS:
                 with suppress(OSError):
                     self._connect(text)
 
@@ -791,7 +815,7 @@
         collector.sendall(b'{"msg":"ping"}\n')
         assert collector.makefile("rb").readline() == b'{"msg":"pong"}\n'
     for connection in flood.open:
-        read_to_end(connection)  # each is closed
+        read_to_end(connection)  # Each connection is closed.
     late_collector = connected_collector(platform)
     platform.assigner.wait_for("collector_connected", 5)
     assert platform.assigner.descriptors() <= descriptors_before + 6
@@ -806,7 +830,10 @@
 
 
 def test_thirty_assigners_started_at_once_are_ready_and_have_the_state(tmp_path: Path) -> None:
-    """Each with a relay and a list of its own that answer when asked; ready within 10 s, nine in ten asked for."""
+    """Each has its own relay and discovery, which answer as soon as they are asked.
+
+    All must be ready within 10 s; the requirement is nine in ten.
+    """
     count = int(os.environ.get("PUFFINTIDE_RESTARTS", "30"))
     with ExitStack() as stack:
         platforms = []
@@ -815,7 +842,8 @@
             platform = Platform(tmp_path / str(k))
             stack.callback(platform.end)
             platforms.append(platform)
-        with ThreadPoolExecutor(count) as pool:  # each relay answers at once, not after those of the others
+        # Each relay answers at once, not after the relays of the others.
+        with ThreadPoolExecutor(count) as pool:
             list(pool.map(drain_first_server, platforms))
         for platform in platforms:
             first = platform.assigner.rows[0]
