--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -113,8 +113,8 @@
         for key in ignored:
             self.log("reload_ignored", key=key, reason="changes of this key take effect only after a restart")
         self.log("reloaded", discovery=str(reloaded.discovery), relay=str(reloaded.relay))
-        self.relay.move(reloaded.relay)
-        self.endpoint_watch.move(reloaded.discovery)
+        self.relay.change_address(reloaded.relay)
+        self.endpoint_watch.change_address(reloaded.discovery)
 
     def stop(self) -> None:
         """Shut down on SIGTERM: stop all activity, refuse connections and wait for a call in flight."""
--- a/tests/test_platform_relay_session.py
+++ b/tests/test_platform_relay_session.py
@@ -32,7 +32,7 @@
     platform.report(collector, 10)
     weight_orders = [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"]
     assert weight_orders == []
-    platform.party.kill()  # The same must hold after a restart without any state.
+    platform.reactor.kill()  # The same must hold after a restart without any state.
     platform.assigner = platform.start()
     platform.advance(2.0)
     assert [row for _, rows in platform.relay.calls for row in rows if row["do"] == "SET"] == []
@@ -169,7 +169,7 @@
 def test_empty_snapshot_does_not_resolve_an_uncertain_call(platform: Platform) -> None:
     platform.relay.call_results = ["lost"]
     send_snapshot = platform.relay.send_snapshot
-    platform.relay.send_snapshot = lambda c: platform.party.callLater(0.2, send_snapshot, c)  # type: ignore[method-assign]
+    platform.relay.send_snapshot = lambda c: platform.reactor.callLater(0.2, send_snapshot, c)  # type: ignore[method-assign]
     platform.discovery.change(entry(1, "leaving"))
     platform.advance(2.0)
     assert "s-1" not in platform.relay.routable_hosts()
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -33,8 +33,8 @@
 
 def test_pings_are_answered_after_a_timeout_without_relay_and_discovery(tmp_path: Path) -> None:
     platform = Platform(tmp_path, known=False)
-    platform.relay.party.kill()
-    platform.discovery.party.kill()
+    platform.relay.reactor.kill()
+    platform.discovery.reactor.kill()
     platform.advance(3.5)
     client = Client(platform)
     client.send({"msg": "ping"})
@@ -139,12 +139,12 @@
     assert platform.assigner.relay.outbox.in_flight
     platform.assigner.stop()
     platform.advance(0.1)
-    assert platform.party.running
+    assert platform.reactor.running
     platform.advance(0.2)
-    assert not platform.party.running
+    assert not platform.reactor.running
 
 
 def test_sigterm_without_a_call_in_flight_stops_immediately(platform: Platform) -> None:
     platform.assigner.stop()
     platform.advance(0.01)
-    assert not platform.party.running
+    assert not platform.reactor.running
