--- a/puffintide/replication/__init__.py
+++ b/puffintide/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicas of what each assigner knows, held by the others: docs/replication.md."""
+"""Replication of each assigner's state to the other assigners, described in docs/replication.md."""
--- a/puffintide/replication/conflict_resolution.py
+++ b/puffintide/replication/conflict_resolution.py
@@ -1,9 +1,13 @@
-"""Which of several differing replicas of a row counts.
+"""Conflict resolution: selects one of several differing replicas of a row.
 
-Pure functions of the set of readings: their order, and how often one occurs, change nothing. Of a server, the later
-incarnation outranks an earlier one whoever observed it; within an incarnation the safer reading wins, the lowest
-recovery level. Of a figure, our own counts while it is fresh, else the freshest of the others, of two as fresh that
-of the lower id. Of a table, the highest fencing token, and under one token the latest write.
+All functions are pure and depend only on the set of readings, not on their order or on duplicates. The rules
+are:
+
+- Server: a later incarnation takes precedence over an earlier one, whichever origin observed it. Within an
+  incarnation the safest reading wins, which is the lowest recovery level.
+- Learned value: the local reading wins while it is fresh, else the freshest reading. Of two equally fresh
+  readings, the one of the lower origin id wins.
+- Table: the highest fencing token wins, and under one token the latest write.
 """
 
 from __future__ import annotations
@@ -15,48 +19,55 @@
 from puffintide.protocol.messages import Value
 from puffintide.replication.replica import Reading
 
-OWN_OBSERVATION_FRESH_S = 10.0  # for so long it counts before those of others
-MAX_UNFIT_FRACTION = 0.3  # an origin that finds more of the fleet unfit is itself at fault, and not trusted
+# Age in seconds up to which a local observation takes precedence over those of other assigners.
+OWN_OBSERVATION_FRESH_S = 10.0
+# Maximum fraction of the listed servers that one origin may report as ejected or as leaving. An origin that
+# reports more is assumed to be faulty itself, and its reports are ignored.
+MAX_UNAVAILABLE_FRACTION = 0.3
 
 
 class ServerLevel(NamedTuple):
-    """The recovery level of a server in one of its incarnations."""
+    """Recovery level of a server in one of its incarnations."""
 
     incarnation: int
     recovery_level: int
 
 
-def best_figure(readings: Iterable[Reading], local_id: int) -> Reading | None:
-    """Choose among readings of a learned figure."""
+def preferred_reading(readings: Iterable[Reading], local_id: int) -> Reading | None:
+    """Return the reading of a learned value that takes precedence, or None without readings."""
     by_age = sorted(
         readings, key=lambda reading: (reading.age_s, reading.origin_id, reading.version, reading.value)
     )
-    own = [
+    fresh_local = [
         reading
         for reading in by_age
         if reading.origin_id == local_id and reading.age_s <= OWN_OBSERVATION_FRESH_S
     ]
-    return next(iter(own or by_age), None)
+    return next(iter(fresh_local or by_age), None)
 
 
 def trusted_origins(readings: Mapping[int, Collection[Reading]], server_count: int) -> set[int]:
-    """Return the origins that eject no more than MAX_UNFIT_FRACTION of the listed servers.
+    """Return the origins that eject no more than MAX_UNAVAILABLE_FRACTION of the listed servers.
 
     Args:
-        readings: Of type SERVER, by server.
+        readings: Readings of rows of type SERVER, by server.
         server_count: Number of listed servers.
     """
-    ejected: dict[int, int] = {}
+    ejected_counts: dict[int, int] = {}
     origins: set[int] = set()
-    for of_server in readings.values():
-        for origin_id, level in {(reading.origin_id, reading.value[1]) for reading in of_server}:
+    for server_readings in readings.values():
+        for origin_id, level in {(reading.origin_id, reading.value[1]) for reading in server_readings}:
             origins.add(origin_id)
-            ejected[origin_id] = ejected.get(origin_id, 0) + (level == 0)
-    return {origin_id for origin_id in origins if ejected[origin_id] <= MAX_UNFIT_FRACTION * server_count}
+            ejected_counts[origin_id] = ejected_counts.get(origin_id, 0) + (level == 0)
+    return {
+        origin_id
+        for origin_id in origins
+        if ejected_counts[origin_id] <= MAX_UNAVAILABLE_FRACTION * server_count
+    }
 
 
 def server_level(readings: Iterable[Reading], trusted: Collection[int]) -> ServerLevel | None:
-    """Return the lowest level that a trusted origin gives one server in its latest incarnation."""
+    """Return the lowest level that a trusted origin reports for one server in its latest incarnation."""
     levels = [
         ServerLevel(int(reading.value[0]), int(reading.value[1]))
         for reading in readings
@@ -72,41 +83,45 @@
     incarnations: Mapping[int, int],
     list_ages_s: Mapping[int, float],
 ) -> list[int]:
-    """Return the servers that leave by the endpoint list of another assigner.
+    """Return the servers that are leaving according to the endpoint list of another assigner.
 
-    A reading counts in the incarnation that we know, where it is younger than what our own list told of the server.
-    An origin that tells so of more than MAX_UNFIT_FRACTION of the servers is not believed.
+    A reading is used if it names the incarnation listed here and is newer than the last update of the server
+    by the local endpoint list. The readings of an origin that reports more than MAX_UNAVAILABLE_FRACTION of
+    the servers as leaving are ignored.
 
     Args:
-        readings: Of type LEAVING, by server.
-        local_id: Our own id; own readings don't count.
-        incarnations: By server, as listed here.
-        list_ages_s: Seconds since our own list told of each server; absent if never.
+        readings: Readings of rows of type LEAVING, by server.
+        local_id: Id of this assigner, whose own readings are ignored.
+        incarnations: Incarnation of each server in the local endpoint list, by server.
+        list_ages_s: Seconds since the local endpoint list last updated each server; absent if it never did.
     """
     by_origin: dict[int, set[int]] = {}
-    for server_id, of_server in readings.items():
-        for reading in of_server:
+    for server_id, server_readings in readings.items():
+        for reading in server_readings:
             if (
                 reading.origin_id != local_id
                 and reading.value[0] == incarnations.get(server_id)
                 and reading.age_s < list_ages_s.get(server_id, math.inf)
             ):
                 by_origin.setdefault(reading.origin_id, set()).add(server_id)
-    max_leaving = MAX_UNFIT_FRACTION * len(incarnations)
-    believed = [server_ids for server_ids in by_origin.values() if len(server_ids) <= max_leaving]
-    return sorted({server_id for server_ids in believed for server_id in server_ids})
+    max_leaving = MAX_UNAVAILABLE_FRACTION * len(incarnations)
+    accepted = [server_ids for server_ids in by_origin.values() if len(server_ids) <= max_leaving]
+    return sorted({server_id for server_ids in accepted for server_id in server_ids})
 
 
 def latest_table(readings: Iterable[Reading]) -> Reading | None:
-    """Choose among replicas of a table: tokens are never reused, and batches rise under one token."""
-    return max(readings, key=_table_rank, default=None)
+    """Return the latest replica of a table, or None without readings.
+
+    Fencing tokens are never reused, and the batch number rises under one token.
+    """
+    return max(readings, key=_table_sort_key, default=None)
 
 
-def _table_rank(reading: Reading) -> tuple[object, ...]:
+def _table_sort_key(reading: Reading) -> tuple[object, ...]:
     token_and_batch = reading.value[:2]
     return (*token_and_batch, reading.version, reading.origin_id, reading.value, -reading.age_s)
 
 
 def distinct_values(readings: Iterable[Reading]) -> list[Value]:
-    """Return each value once, in order."""
+    """Return the distinct values in ascending order."""
     return sorted({reading.value for reading in readings})
--- a/puffintide/replication/origin_state.py
+++ b/puffintide/replication/origin_state.py
@@ -1,4 +1,4 @@
-"""What one origin has written, as a replica knows it: rows, deletions and their order. No I/O."""
+"""Replicated state of one origin: its rows, its deletions and the log of changes. No I/O."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 from puffintide.protocol.messages import ReplicationDelta, Value
 
-MAX_DELETIONS = 2000  # remembered of one origin; a replica that is further behind is sent all rows
-LOG_COMPACTION_SLACK = 64  # entries of the log beyond twice those that are current
+# Maximum number of deletions remembered per origin. A replica that lacks an older deletion is sent all rows.
+MAX_DELETIONS = 2000
+# Number of log entries, beyond twice the number of current ones, above which the change log is compacted.
+LOG_COMPACTION_SLACK = 64
 
 
 class RowKey(NamedTuple):
-    """Identifies a row of one origin."""
+    """Key of a row within one origin."""
 
     row_type: str
     row_id: int
 
 
 class Change(NamedTuple):
-    """An entry of the log of changes; the row was set or deleted."""
+    """Entry of the change log: the row was set or deleted."""
 
     sequence: int
     key: RowKey
@@ -30,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as held here.
+    """A row as held by a replica.
 
     Attributes:
-        sequence: Of the change that set it.
-        observed_at_s: When its origin observed it, on the holder's clock.
-        value: As its type has it.
+        sequence: Sequence of the change that set the row.
+        observed_at_s: Time at which the origin observed the row, on the holder's clock.
+        value: Value in the layout of the row type.
     """
 
     sequence: int
@@ -48,13 +50,16 @@
     """All rows of one origin, complete up to (incarnation, sequence).
 
     Attributes:
-        compacted_sequence: Deletions up to here are forgotten, and none of the deleted rows is held.
-        latest_sequence: The highest sequence of this incarnation that is known of.
-        rows: By key, the latest change last.
+        incarnation: Incarnation of the origin.
+        sequence: Sequence up to which the rows are complete.
+        compacted_sequence: Sequence up to which deletions are forgotten; none of the deleted rows is held.
+        latest_sequence: Highest sequence of this incarnation that is known to exist.
+        rows: Rows by key, in the order of their latest changes.
         rows_by_type: The same rows by type and id.
-        deletions: Sequence of each remembered deletion, the latest last.
-        change_log: All changes by sequence; some rows have changed again since.
-        previous_rows: Rows of before a restart from the beginning, read until the new ones are complete.
+        deletions: Sequence of each remembered deletion by key, in ascending order.
+        change_log: Changes by sequence, including obsolete ones whose row has changed again since.
+        previous_rows: Rows held before a restart of the origin, which are read until the new rows are
+            complete.
     """
 
     incarnation: int = 0
@@ -68,13 +73,14 @@
     previous_rows: dict[RowKey, Row] = field(default_factory=dict)
 
     def version(self) -> tuple[int, int]:
-        """Up to where the rows are complete; the higher version is the newer one as a whole."""
+        """Return the version up to which the rows are complete; a higher one is newer as a whole."""
         return self.incarnation, self.sequence
 
     def accepts_changes(self, delta: ReplicationDelta) -> bool:
-        """Whether the changes of a delta continue what is held here.
+        """Return whether the changes of a delta continue the rows held here.
 
-        A sender that knows less than what is compacted here may still hold rows that were deleted since.
+        A sender whose latest sequence is below the compacted sequence held here may still hold rows that have
+        been deleted since, so its delta is not accepted.
         """
         return (
             delta.incarnation == self.incarnation
@@ -84,7 +90,7 @@
         )
 
     def clear(self) -> None:
-        """Forget all rows and changes."""
+        """Remove all rows and changes."""
         self.sequence = 0
         self.rows = {}
         self.rows_by_type = {}
@@ -92,7 +98,7 @@
         self.change_log = []
 
     def restart(self, incarnation: int, compacted_sequence: int) -> None:
-        """Begin anew; what was held is read until the new rows are complete."""
+        """Restart from an empty state; the previous rows are read until the new rows are complete."""
         self.previous_rows = self.previous_rows or self.rows
         self.incarnation = incarnation
         self.compacted_sequence = compacted_sequence
@@ -100,7 +106,7 @@
         self.clear()
 
     def record_change(self, key: RowKey, sequence: int, row: Row | None) -> None:
-        """Record the latest change so far: the row as it is now, or None where it was deleted."""
+        """Record a change with the highest sequence so far: the new row, or None if the row was deleted."""
         self.rows.pop(key, None)
         self.deletions.pop(key, None)
         if row is not None:
@@ -117,25 +123,25 @@
             self.change_log = [change for change in self.change_log if self.is_current(change)]
 
     def is_current(self, change: Change) -> bool:
-        """Whether the row has not changed again since."""
+        """Return whether the row has not changed again since this change."""
         row = self.rows.get(change.key)
         if row is not None:
             return row.sequence == change.sequence
         return self.deletions.get(change.key) == change.sequence
 
     def changes_after(self, sequence: int, max_changes: int) -> list[Change]:
-        """Return the next current changes after a sequence, in order."""
-        found: list[Change] = []
+        """Return the first current changes after a sequence, at most max_changes, in ascending order."""
+        current_changes: list[Change] = []
         first = bisect_right(self.change_log, sequence, key=itemgetter(0))
         for index in range(first, len(self.change_log)):
-            if len(found) >= max_changes:
+            if len(current_changes) >= max_changes:
                 break
             if self.is_current(self.change_log[index]):
-                found.append(self.change_log[index])
-        return found
+                current_changes.append(self.change_log[index])
+        return current_changes
 
     def readable_rows(self, row_type: str) -> Mapping[int, Row]:
-        """Return the rows of a type by id, with previous ones that were neither replaced nor deleted yet."""
+        """Return the rows of a type by id, including previous rows not yet replaced or deleted."""
         rows = self.rows_by_type.get(row_type, {})
         if not self.previous_rows:
             return rows
--- a/puffintide/replication/peer_sessions.py
+++ b/puffintide/replication/peer_sessions.py
@@ -1,4 +1,8 @@
-"""Streams between assigners. What is sent to whom is decided in `catch_up`, what of the rows counts elsewhere."""
+"""Streams between assigners that replicate their state.
+
+The module `catch_up` decides which rows are sent to which peer, `conflict_resolution` which of several rows
+wins.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +20,15 @@
 from puffintide.protocol.clock import Clock
 from puffintide.protocol.messages import AnyMessage, ReplicaVersion
 from puffintide.protocol.stream import MessageHandler, PeerIdentity, Stream
-from puffintide.replication.catch_up import CatchUp, DeltaSender, SourceSelector, keeps_stream
+from puffintide.replication.catch_up import CatchUp, DeltaSender, SourceSelector, keeps_current_stream
 from puffintide.replication.peer_observations import EndpointListState, LocalFindings, ObservationExchange
 from puffintide.replication.replica import NONCE_BITS, Replica
 from puffintide.replication.row_validation import validate_delta
 from puffintide.replication.table_replicas import adopt_orphans, delete_superseded, publish_tables
 
 ASSIGNER = "assigner"
-DELETE_SUPERSEDED_INTERVAL_S = 10.0
-MAX_LOGGED_REASONS = 5  # of one message
+DELETE_SUPERSEDED_INTERVAL_S = 10.0  # Seconds between two deletions of superseded rows.
+MAX_LOGGED_REASONS = 5  # Maximum number of rejected rows that are logged for one message.
 
 
 class Connect(Protocol):
@@ -38,20 +42,20 @@
         *,
         reconnect: bool = True,
     ) -> StreamClient:
-        """Connect to an address (HOST:PORT), again and again unless reconnect is False."""
+        """Connect to an address (HOST:PORT), and reconnect after each loss unless reconnect is False."""
         ...
 
 
 @dataclass(slots=True)
 class PeerSession:
-    """The stream to one assigner.
+    """Session with one assigner.
 
     Attributes:
-        stream: Of either direction.
-        incarnation: Of the peer.
-        sender: What the peer is sent.
-        last_digest: What the peer holds; empty before its first digest.
-        is_sending: Whether more is sent without a further digest.
+        stream: Stream to the peer, opened by either end.
+        incarnation: Incarnation of the peer.
+        sender: Selects the deltas that are sent to the peer.
+        last_digest: Versions that the peer holds; empty before its first digest.
+        is_sending: Whether a timer is running that sends more deltas without a further digest.
     """
 
     stream: Stream
@@ -62,23 +66,24 @@
 
 
 class PeerSessions:
-    """One stream for each pair of assigners.
+    """Maintains one stream to each other assigner and replicates rows over it.
 
-    The assigner with the lower id reconnects; one that starts connects once to those with lower ids, so as not to
-    wait for them.
+    Of each pair, the assigner with the lower id reconnects. A starting assigner also connects once to each
+    assigner with a lower id, so that it does not have to wait for their reconnects.
 
     Args:
-        clock: For timers.
-        section: Addresses of all assigners, and limits.
-        assigner_id: Of this assigner.
-        incarnation: Of this assigner; rises with each start.
+        clock: Clock for timers.
+        section: Configuration section with the addresses of all assigners and the limits.
+        assigner_id: Id of this assigner.
+        incarnation: Incarnation of this assigner, which rises with each start.
         slice_count: Number of slices in the deployment.
         log: Structured logger.
-        on_caught_up: Called once, when what the others hold is replicated here, or catch_up_s are over.
+        on_caught_up: Called once, when the rows of the other assigners are replicated here or catch_up_s has
+            elapsed.
 
     Attributes:
-        replica: What this assigner holds.
-        sessions: By assigner; connections that were lost are removed when the sessions are next used.
+        replica: Rows that this assigner holds.
+        sessions: Sessions by assigner; sessions with a closed stream are removed on the next access.
     """
 
     def __init__(
@@ -114,7 +119,7 @@
         self._rows_rejected = 0
 
     def start(self, connect: Connect) -> None:
-        """Connect to the other assigners and begin to send digests."""
+        """Connect to the other assigners and start the timers for digests and for the end of the catch-up."""
         for peer_id, address in enumerate(self.section.addresses):
             if peer_id != self.assigner_id:
                 on_lost = partial(self._on_connection_lost, peer_id)
@@ -124,10 +129,10 @@
         self.clock.callLater(self.section.every_s, self._send_digests)
 
     def rejection_reason(self, hello: m.Hello) -> str | None:
-        """Return why an assigner that connects is rejected, or None."""
+        """Return the reason why a connecting assigner is rejected, or None if it is accepted."""
         assigner_count = len(self.section.addresses)
         if not 0 <= hello.id < assigner_count or hello.id == self.assigner_id:
-            return f"assigner {hello.id} is no peer of {self.assigner_id}, one of {assigner_count}"
+            return f"assigner {hello.id} is not a peer of assigner {self.assigner_id} of {assigner_count}"
         return None
 
     def exchange(
@@ -137,7 +142,7 @@
         findings: LocalFindings,
         endpoint_list: EndpointListState,
     ) -> list[PeerObservation]:
-        """Publish what changed here; returns new observations of the others for the decision module."""
+        """Publish local changes and return new observations of other assigners for the decision module."""
         now = self.clock.seconds()
         publish_tables(now, self.replica, fencing_tokens, tables)
         adopt_orphans(now, self.replica)
@@ -148,7 +153,7 @@
         return self._observations.new_observations(now, self.replica, endpoint_list)
 
     def counters(self) -> dict[str, int]:
-        """Return figures for the log."""
+        """Return the counters that are logged."""
         return {
             "rows": self.replica.row_count(),
             "rows_sent": self._rows_sent,
@@ -161,45 +166,47 @@
     # Connections ----------------------------------------------------------------------------------
 
     def on_message(self, stream: Stream, message: AnyMessage) -> None:
-        """Handle a message of another assigner, its greeting first."""
+        """Handle a message from another assigner, of which the first is its greeting."""
         match message:
             case m.Welcome() | m.Hello():
                 self._on_greeting(stream, message)
             case m.VersionDigest() | m.ReplicationDelta() if stream.close_reason:
-                pass  # sent before the peer knew that this end closes the stream
+                pass  # The peer sent it before it noticed that this end is closing the stream.
             case m.VersionDigest():
                 self._on_digest(self.sessions[stream.peer.id], message)
             case m.ReplicationDelta():
                 self._on_delta(stream, message)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for a peer")
+                stream.reject(
+                    f"message {type(message).__name__} is not allowed on a stream between assigners"
+                )
 
     def _on_greeting(self, stream: Stream, greeting: m.Welcome | m.Hello) -> None:
         peer_id = greeting.id
         current = self.sessions.get(peer_id)
         if current is not None and not current.stream.closed:
-            we_dialled = isinstance(greeting, m.Welcome)
-            dialled_by_lower = (self.assigner_id < peer_id) == we_dialled
-            if keeps_stream(current.incarnation, greeting.incarnation, dialled_by_lower):
-                stream.abort("there is another stream to this assigner")
+            is_outbound = isinstance(greeting, m.Welcome)
+            opened_by_lower_id = (self.assigner_id < peer_id) == is_outbound
+            if keeps_current_stream(current.incarnation, greeting.incarnation, opened_by_lower_id):
+                stream.abort(f"another stream to assigner {peer_id} is already open")
                 return
-            current.stream.abort("the assigner connected anew")
+            current.stream.abort(f"replaced by a newer stream to assigner {peer_id}")
         stream.peer = PeerIdentity(ASSIGNER, peer_id)
         sender = DeltaSender(self.section.rows_per_s)
         self.sessions[peer_id] = PeerSession(stream, greeting.incarnation, sender)
         self._catch_up.on_peer_connected(peer_id)
         self.log.info("peer_connected", assigner_id=peer_id, incarnation=greeting.incarnation)
-        # Rows are requested once the peer has told in its own digest what it holds.
+        # Rows are requested only after the peer has sent its own digest.
         stream.send(m.VersionDigest(self.replica.digest(), request_missing=False))
 
     def _on_connection_lost(self, peer_id: int, _reason: str) -> None:
-        """An attempt to connect failed, or its stream was lost."""
+        """Stop waiting for a peer after a connection attempt failed or its stream was lost."""
         if peer_id not in self._connected_sessions():
             self._catch_up.on_peer_disconnected(peer_id)
             self._check_caught_up()
 
     def _connected_sessions(self) -> dict[int, PeerSession]:
-        """The sessions, without those whose stream was closed."""
+        """Remove sessions whose stream was closed, and return the remaining ones."""
         for peer_id, session in sorted(self.sessions.items()):
             if session.stream.closed:
                 self.log.warning("peer_disconnected", assigner_id=peer_id, reason=session.stream.close_reason)
@@ -215,7 +222,7 @@
         self.clock.callLater(self.section.every_s, self._send_digests)
 
     def _send_digest(self, peer_id: int, stream: Stream) -> None:
-        """Send a digest, unless the peer does not read; a later one tells the same."""
+        """Send a digest if the stream is writable; otherwise the next periodic digest replaces it."""
         if stream.writable:
             digest = self._sources.digest_for(self.clock.seconds(), peer_id, self.replica)
             stream.send(m.VersionDigest(digest))
@@ -239,7 +246,7 @@
     def _send_deltas(self, session: PeerSession) -> None:
         session.is_sending = False
         if session.stream.closed or not session.stream.writable:
-            return  # the peer's next digest tells what it has received
+            return  # Sending resumes with the peer's next digest, which states what it has received.
         deltas, delay_s = session.sender.next_deltas(self.clock.seconds(), self.replica)
         for delta in deltas:
             session.stream.send(delta)
--- a/puffintide/replication/replica.py
+++ b/puffintide/replication/replica.py
@@ -1,9 +1,10 @@
-"""What every assigner knows, as one of them holds it. No I/O; time is passed in.
+"""Replica of the rows of all assigners, as held by one of them. No I/O; the current time is passed in.
 
-A row has a single origin, which alone writes it, under a version of that origin: its incarnation and a sequence
-that rises with each change. What is held of an origin is a function of the version up to which it is complete. So
-of two replicas the one with the higher version is newer as a whole, whatever the order, number and path of the
-messages. Wall clocks have no part in it: a row's age travels along, and continues on the holder's monotonic clock.
+Each row is written by a single origin, under a version that consists of the origin's incarnation and a
+sequence that rises with each change. The rows held of an origin are a function of the version up to which
+they are complete. Of two replicas, the one with the higher version is therefore newer as a whole, regardless
+of the order, number and path of the messages. Wall clocks are not compared: a row is sent with its age, which
+continues on the holder's monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from puffintide.replication.row_types import DURABLE_ROW_TYPES
 
 MAX_ROWS_PER_DELTA = 400
-NONCE_BITS = 20  # the lowest bits of an incarnation
+NONCE_BITS = 20  # Number of lowest bits of an incarnation that hold the nonce.
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A row of some origin with its version and age in seconds."""
+    """A row of one origin with its version and its age in seconds."""
 
     origin_id: int
     version: tuple[int, int]
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Orphan:
-    """A durable row whose origin began anew without it."""
+    """A durable row whose origin restarted without it."""
 
     origin_id: int
     orphaned_at_s: float
@@ -43,13 +44,14 @@
     """Rows of all origins.
 
     Attributes:
-        local_id: The assigner that holds this replica, itself an origin.
+        local_id: Id of the assigner that holds this replica and is itself an origin.
         origin_count: Number of assigners; origins are numbered from 0.
-        nonce: Random number below 2^NONCE_BITS that tells two starts with the same incarnation apart.
-        origin_states: What is held, by origin.
-        orphans: Durable rows whose origin began anew without them.
-        incarnation_conflicts: Times that others knew a later incarnation of this assigner than its own.
-        contested_deltas: Deltas of this assigner's own incarnation that it never wrote: two processes share an id.
+        nonce: Random number below 2^NONCE_BITS that distinguishes two starts with the same incarnation.
+        origin_states: State of each origin, by origin.
+        orphans: Durable rows whose origin restarted without them, by key.
+        incarnation_conflicts: Number of times that peers knew a later version of this assigner than its own.
+        contested_deltas: Number of received deltas of this assigner's current or a later incarnation that it
+            did not write, because two processes use the same id.
     """
 
     def __init__(self, local_id: int, incarnation: int, origin_count: int, nonce: int = 0) -> None:
@@ -68,7 +70,7 @@
         return self.origin_states[self.local_id]
 
     def put(self, observed_at_s: float, row_type: str, row_id: int, value: Value) -> None:
-        """Set a local row. Each call makes a new version: to be called on a change, or to renew the age."""
+        """Set a local row; as each call creates a version, call it only on a change or to renew the age."""
         local = self._local_state
         local.sequence += 1
         local.record_change(
@@ -76,7 +78,7 @@
         )
 
     def delete(self, row_type: str, row_id: int) -> None:
-        """Delete a local row, if there is one; the deletion is replicated as a row is."""
+        """Delete a local row if it exists; the deletion is replicated like a row."""
         local = self._local_state
         key = RowKey(row_type, row_id)
         if key in local.rows:
@@ -87,22 +89,25 @@
         """Return the local rows of a type by id."""
         return self._local_state.rows_by_type.get(row_type, {})
 
-    # Between assigners ----------------------------------------------------------------------------
+    # Replication between assigners ----------------------------------------------------------------
 
     def digest(self) -> list[ReplicaVersion]:
-        """Return up to where each origin's rows are held."""
+        """Return the version up to which each origin's rows are held."""
         return [
             ReplicaVersion(origin_id, state.incarnation, state.sequence, state.compacted_sequence)
             for origin_id, state in sorted(self.origin_states.items())
         ]
 
     def is_behind(self, versions: Iterable[ReplicaVersion]) -> bool:
-        """Whether a peer knows more of any other origin; a later incarnation of our own is noted."""
+        """Return whether a peer holds newer rows of another origin.
+
+        A version of this assigner that it did not write raises its incarnation.
+        """
         behind = False
         for version in versions:
             if not 0 <= version.origin_id < self.origin_count:
                 continue
-            self._exceed_remembered_incarnation(version)
+            self._outrank_unknown_version(version)
             state = self.origin_states.get(version.origin_id, OriginState())
             if version.origin_id != self.local_id and _version_of(version) > state.version():
                 behind = True
@@ -111,11 +116,11 @@
     def deltas_for(
         self, now: float, versions: Iterable[ReplicaVersion], max_rows: int
     ) -> list[ReplicationDelta]:
-        """Return what a peer lacks by its versions, at most max_rows rows; it asks again for more."""
+        """Return at most max_rows of the rows that a peer lacks by its versions; it requests more later."""
         known = {version.origin_id: version for version in versions}
         deltas: list[ReplicationDelta] = []
         for origin_id, state in sorted(self.origin_states.items()):
-            after = _first_missing_after(state, known.get(origin_id, ReplicaVersion(origin_id, 0, 0)))
+            after = _resume_sequence(state, known.get(origin_id, ReplicaVersion(origin_id, 0, 0)))
             while after is not None:
                 if max_rows <= 0:
                     return deltas
@@ -126,15 +131,16 @@
         return deltas
 
     def apply(self, now: float, delta: ReplicationDelta) -> bool:
-        """Apply a delta; returns whether anything of it was new.
+        """Apply a delta and return whether it contained anything new.
 
-        A delta that does not continue what is held changes nothing; it is sent again after our next digest.
+        A delta that does not continue the rows held here changes nothing; it is sent again after the next
+        digest of this assigner.
         """
         if not 0 <= delta.origin_id < self.origin_count:
             return False
         if delta.origin_id == self.local_id:
             self.contested_deltas += delta.incarnation >= self._local_state.incarnation
-            self._exceed_remembered_incarnation(
+            self._outrank_unknown_version(
                 ReplicaVersion(self.local_id, delta.incarnation, delta.latest_sequence)
             )
             return False
@@ -159,8 +165,15 @@
     def readings(
         self, now: float, row_type: str, max_age_s: float = inf, row_ids: Collection[int] | None = None
     ) -> dict[int, list[Reading]]:
-        """Return what all origins, the local one among them, tell of each row id, or of the given ones alone."""
-        found: dict[int, list[Reading]] = {}
+        """Return the rows of a type from all origins, the local one included, by row id.
+
+        Args:
+            now: Current time in seconds on the holder's clock.
+            row_type: Type of the rows.
+            max_age_s: Age in seconds above which a row is left out.
+            row_ids: Row ids to look up; None for all.
+        """
+        readings: dict[int, list[Reading]] = {}
         for origin_id, state in sorted(self.origin_states.items()):
             rows = state.readable_rows(row_type)
             for row_id in rows if row_ids is None else row_ids:
@@ -169,15 +182,16 @@
                     continue
                 version = (state.incarnation, row.sequence)
                 reading = Reading(origin_id, version, now - row.observed_at_s, row.value)
-                found.setdefault(row_id, []).append(reading)
-        return found
+                readings.setdefault(row_id, []).append(reading)
+        return readings
 
     # Incarnations ---------------------------------------------------------------------------------
 
-    def _exceed_remembered_incarnation(self, version: ReplicaVersion) -> None:
-        """Take an incarnation above one that others remember of us and that we did not write.
+    def _outrank_unknown_version(self, version: ReplicaVersion) -> None:
+        """Raise the local incarnation above a version of this assigner that peers hold but it did not write.
 
-        Our incarnation was then used before, as its file was lost; an earlier one must never outrank ours.
+        Such a version shows that the local incarnation was used before, because the file that stores it was
+        lost. An earlier incarnation must never outrank the current one.
         """
         local = self._local_state
         if version.origin_id != self.local_id or _version_of(version) <= local.version():
@@ -203,10 +217,10 @@
     return version.incarnation, version.sequence
 
 
-def _first_missing_after(state: OriginState, peer: ReplicaVersion) -> int | None:
-    """The sequence after which to send an origin's changes, 0 for all; None if there is nothing to send.
+def _resume_sequence(state: OriginState, peer: ReplicaVersion) -> int | None:
+    """Return the sequence after which to send an origin's changes, 0 for all, or None to send nothing.
 
-    Rows that are not complete here are left to another sender.
+    Rows that are incomplete here are left to another sender.
     """
     if _version_of(peer) >= state.version() or state.sequence < state.latest_sequence:
         return None
@@ -253,12 +267,12 @@
     state.latest_sequence = max(state.latest_sequence, delta.latest_sequence)
     changes: list[tuple[int, RowKey, Row | None]] = []
     for row in delta.rows:
-        copy = Row(row.sequence, now - row.age_s, row.value)
-        changes.append((row.sequence, RowKey(row.row_type, row.row_id), copy))
+        held_row = Row(row.sequence, now - row.age_s, row.value)
+        changes.append((row.sequence, RowKey(row.row_type, row.row_id), held_row))
     for row_type, row_id, sequence in delta.deletions:
         changes.append((sequence, RowKey(row_type, row_id), None))
     for sequence, key, changed_row in sorted(changes, key=lambda change: change[0]):
-        if sequence > state.sequence:  # all up to there is held already
+        if sequence > state.sequence:  # Changes up to state.sequence are held already.
             state.record_change(key, sequence, changed_row)
     state.sequence = delta.through_sequence
     if state.sequence >= state.latest_sequence:
--- a/puffintide/replication/row_types.py
+++ b/puffintide/replication/row_types.py
@@ -1,19 +1,23 @@
-"""The types of replicated rows; the values are those on the wire. docs/replication.md describes each."""
+"""Types of replicated rows, which docs/replication.md describes. The values are those on the wire."""
 
 from __future__ import annotations
 
 from enum import StrEnum
 
-FLEET_ROW_ID = -1  # of the single row of type FLEET
+FLEET_ROW_ID = -1  # Id of the single row of type FLEET.
 
 
 class RowType(StrEnum):
-    """What a row tells, and what its value holds."""
+    """Type of a row, which determines the layout of its value."""
 
-    TABLE = "table"  # by slice: fencing token, batch, then server, weight, address and zone of each entry
-    FLEET = "fleet"  # one row: the learned capacity of a server of listed weight 1, requests a second
-    SERVER = "server"  # by server not at its top recovery level: its incarnation and the level
-    LEAVING = "leaving"  # by server that drains or was removed from the list: its incarnation
+    # Table of a slice, by slice: fencing token, batch, then server, weight, address and zone of each entry.
+    TABLE = "table"
+    # Single row: the learned capacity of a server of listed weight 1, in requests per second.
+    FLEET = "fleet"
+    # Server that is not at its top recovery level, by server: its incarnation and its recovery level.
+    SERVER = "server"
+    # Server that is draining or was removed from the endpoint list, by server: its incarnation.
+    LEAVING = "leaving"
 
 
-DURABLE_ROW_TYPES = frozenset({RowType.TABLE})  # rows that outlive the incarnation of their origin
+DURABLE_ROW_TYPES = frozenset({RowType.TABLE})  # Types whose rows outlive the incarnation of their origin.
--- a/puffintide/replication/table_replicas.py
+++ b/puffintide/replication/table_replicas.py
@@ -1,6 +1,7 @@
-"""Tables of slices as replicated rows: published by their owner, adopted when it lost them, sent to a store.
+"""Tables of slices as replicated rows.
 
-No I/O.
+The owner of a slice publishes its table. Another assigner adopts a table whose origin restarted without it,
+and the latest tables are sent to a store that is restored from replicas. No I/O.
 """
 
 from __future__ import annotations
@@ -13,11 +14,12 @@
 from puffintide.replication.replica import MAX_ROWS_PER_DELTA, Reading, Replica
 from puffintide.replication.row_types import RowType
 
-ADOPTION_DELAY_S = 1.0  # for each assigner that comes before us in the order of adoption
+# Delay in seconds before an adoption, for each assigner that precedes this one in the order of adoption.
+ADOPTION_DELAY_S = 1.0
 
 
 def pack_table(fencing_token: int, batch: int, entries: Iterable[TableEntry]) -> Value:
-    """Return the value of a row of type TABLE."""
+    """Return the value of a row of type TABLE with the given entries, ordered by server."""
     value: list[float | str] = [float(fencing_token), float(batch)]
     for entry in sorted(entries, key=lambda entry: entry.server_id):
         value += [float(entry.server_id), entry.weight, entry.address, float(entry.zone)]
@@ -27,10 +29,10 @@
 def publish_tables(
     now: float, replica: Replica, fencing_tokens: Mapping[int, int], tables: OwnedTables
 ) -> None:
-    """Put changed tables of the slices that this assigner owns into its replica.
+    """Write the changed tables of the slices that this assigner owns to its replica.
 
-    The row of a slice that was revoked stays until one with a later token is here, as the store and the new owner
-    may be lost together.
+    The row of a revoked slice is kept until a row with a later token is held here, because the store and the
+    new owner may be lost together.
     """
     for slice_id in sorted(tables.changed_slices & fencing_tokens.keys()):
         entries = tables.entries.get(slice_id, {}).values()
@@ -40,16 +42,16 @@
 
 
 def adopt_orphans(now: float, replica: Replica) -> None:
-    """Take over tables that an assigner wrote before it restarted without them.
+    """Adopt tables that an assigner wrote before it restarted without them.
 
-    The assigner that follows it by id writes them as its own, the next one after a delay, unless a replica that is
-    as new exists by then.
+    The assigner with the next id writes them as its own. Each further assigner does so after an additional
+    ADOPTION_DELAY_S, unless a replica that is at least as new exists by then.
     """
-    tables = _readings_of(now, replica, [key.row_id for key in replica.orphans])
+    tables = _table_readings(now, replica, [key.row_id for key in replica.orphans])
     for key, orphan in sorted(replica.orphans.items()):
-        best = conflict_resolution.latest_table(tables.get(key.row_id, []))
+        latest = conflict_resolution.latest_table(tables.get(key.row_id, []))
         predecessors = (replica.local_id - orphan.origin_id) % replica.origin_count - 1
-        if best is not None and best.value[:2] >= orphan.row.value[:2]:
+        if latest is not None and latest.value[:2] >= orphan.row.value[:2]:
             del replica.orphans[key]
         elif now - orphan.orphaned_at_s >= predecessors * ADOPTION_DELAY_S:
             replica.put(orphan.row.observed_at_s, key.row_type, key.row_id, orphan.row.value)
@@ -57,33 +59,33 @@
 
 
 def delete_superseded(now: float, replica: Replica, fencing_tokens: Mapping[int, int]) -> None:
-    """Delete local rows of revoked slices that another's later token has replaced."""
+    """Delete local rows of revoked slices that another assigner has superseded with a later token."""
     revoked = replica.local_rows(RowType.TABLE).keys() - fencing_tokens.keys()
-    tables = _readings_of(now, replica, revoked)
+    tables = _table_readings(now, replica, revoked)
     for slice_id in sorted(revoked):
-        best = conflict_resolution.latest_table(tables[slice_id])
-        if best is not None and best.origin_id != replica.local_id:
+        latest = conflict_resolution.latest_table(tables[slice_id])
+        if latest is not None and latest.origin_id != replica.local_id:
             replica.delete(RowType.TABLE, slice_id)
 
 
-def _readings_of(now: float, replica: Replica, slice_ids: Collection[int]) -> dict[int, list[Reading]]:
+def _table_readings(now: float, replica: Replica, slice_ids: Collection[int]) -> dict[int, list[Reading]]:
     return replica.readings(now, RowType.TABLE, row_ids=slice_ids) if slice_ids else {}
 
 
 def latest_tables(
     replica: Replica, clock: Callable[[], float], changed: Iterable[int] | None = None
 ) -> Iterator[ReplicationDelta]:
-    """Yield the current table of each slice, or of the changed ones, in deltas.
+    """Yield the current table of each slice, or only of the changed slices, in deltas.
 
-    The last delta is complete: its through_sequence is its latest_sequence. Each is made when it is asked for, so
-    that the event loop is not blocked.
+    In the last delta, through_sequence equals latest_sequence. Each delta is built on demand, so that the
+    event loop is not blocked.
     """
-    known = _replicated_slices(replica)
-    slice_ids = sorted(known if changed is None else known.intersection(changed))
-    for first in range(0, max(1, len(slice_ids)), MAX_ROWS_PER_DELTA):
-        part = slice_ids[first : first + MAX_ROWS_PER_DELTA]
-        rows = _latest_rows(replica, clock(), part, first)
-        yield ReplicationDelta(replica.local_id, 0, first, first + len(part), len(slice_ids), 0, rows)
+    replicated = _replicated_slices(replica)
+    slice_ids = sorted(replicated if changed is None else replicated.intersection(changed))
+    for start in range(0, max(1, len(slice_ids)), MAX_ROWS_PER_DELTA):
+        chunk = slice_ids[start : start + MAX_ROWS_PER_DELTA]
+        rows = _latest_rows(replica, clock(), chunk, start)
+        yield ReplicationDelta(replica.local_id, 0, start, start + len(chunk), len(slice_ids), 0, rows)
 
 
 def _replicated_slices(replica: Replica) -> set[int]:
@@ -94,31 +96,33 @@
     return slice_ids
 
 
-def _latest_rows(replica: Replica, now: float, slice_ids: list[int], first: int) -> list[ReplicatedRow]:
+def _latest_rows(replica: Replica, now: float, slice_ids: list[int], start: int) -> list[ReplicatedRow]:
     readings = replica.readings(now, RowType.TABLE, row_ids=slice_ids)
     rows: list[ReplicatedRow] = []
     for slice_id in slice_ids:
-        best = conflict_resolution.latest_table(readings.get(slice_id, []))
-        if best is not None:
-            sequence = first + len(rows) + 1
-            rows.append(ReplicatedRow(RowType.TABLE, slice_id, sequence, round(best.age_s, 3), best.value))
+        latest = conflict_resolution.latest_table(readings.get(slice_id, []))
+        if latest is not None:
+            sequence = start + len(rows) + 1
+            rows.append(
+                ReplicatedRow(RowType.TABLE, slice_id, sequence, round(latest.age_s, 3), latest.value)
+            )
     return rows
 
 
 def table_conflicts(replicas: Mapping[str, Replica]) -> list[str]:
-    """Describe each slice whose latest table differs between holders, and the rule by which one counts.
+    """Describe each slice whose latest table differs between holders, and the rule by which one wins.
 
     Args:
-        replicas: By the name of their holder.
+        replicas: Replicas by the name of their holder.
     """
-    latest: dict[int, dict[str, Reading]] = {}
+    latest_by_slice: dict[int, dict[str, Reading]] = {}
     for holder, replica in sorted(replicas.items()):
         for slice_id, readings in replica.readings(0.0, RowType.TABLE).items():
-            best = conflict_resolution.latest_table(readings)
-            if best is not None:
-                latest.setdefault(slice_id, {})[holder] = best
+            latest = conflict_resolution.latest_table(readings)
+            if latest is not None:
+                latest_by_slice.setdefault(slice_id, {})[holder] = latest
     conflicts = []
-    for slice_id, by_holder in sorted(latest.items()):
+    for slice_id, by_holder in sorted(latest_by_slice.items()):
         conflict = _table_conflict(slice_id, by_holder, sorted(replicas))
         if conflict is not None:
             conflicts.append(conflict)
@@ -128,15 +132,15 @@
 def _table_conflict(slice_id: int, by_holder: Mapping[str, Reading], holders: list[str]) -> str | None:
     newest = conflict_resolution.latest_table(by_holder.values())
     assert newest is not None
-    behind = [
+    differing = [
         holder for holder in holders if holder not in by_holder or by_holder[holder].value != newest.value
     ]
-    if not behind:
+    if not differing:
         return None
     token, batch = newest.value[:2]
     same_token = all(reading.value[0] == token for reading in by_holder.values())
-    rule = "the latest write" if same_token else "the highest token"
+    rule = "latest write" if same_token else "highest token"
     return (
-        f"slice {slice_id}: {', '.join(behind)} not as assigner {newest.origin_id} wrote it, "
-        f"token {token:.0f}, batch {batch:.0f}; {rule} counts"
+        f"slice {slice_id}: table at {', '.join(differing)} differs from the one that assigner "
+        f"{newest.origin_id} wrote with token {token:.0f}, batch {batch:.0f}; the {rule} wins"
     )
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -11,7 +11,13 @@
     ReplicaVersion,
 )
 from puffintide.replication import replica as core
-from puffintide.replication.catch_up import MAX_BURST_ROWS, CatchUp, DeltaSender, SourceSelector, keeps_stream
+from puffintide.replication.catch_up import (
+    MAX_BURST_ROWS,
+    CatchUp,
+    DeltaSender,
+    SourceSelector,
+    keeps_current_stream,
+)
 from puffintide.replication.replica import Replica
 
 
@@ -177,7 +183,7 @@
     for first, second in ((1, 1), (1, 2), (2, 1)):  # incarnation of the one that connects, on each stream
         for by_lower in ((True, False), (False, True)):
             incarnations = {True: first, False: second}
-            a_then_b = keeps_stream(incarnations[by_lower[0]], incarnations[by_lower[1]], by_lower[1])
-            b_then_a = keeps_stream(incarnations[by_lower[1]], incarnations[by_lower[0]], by_lower[0])
+            a_then_b = keeps_current_stream(incarnations[by_lower[0]], incarnations[by_lower[1]], by_lower[1])
+            b_then_a = keeps_current_stream(incarnations[by_lower[1]], incarnations[by_lower[0]], by_lower[0])
             if first == second:
                 assert a_then_b != b_then_a  # the first is retained here and closed there: the same one
--- a/tests/test_peer_sessions.py
+++ b/tests/test_peer_sessions.py
@@ -1,4 +1,4 @@
-"""Streams between assigners."""
+"""Streams between assigners that replicate their state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RecordingStream:
-    """A peer's stream that takes what it is sent."""
+    """Stream to a peer that records the messages sent to it."""
 
     def __init__(self) -> None:
         self.closed, self.writable, self.close_reason, self.peer = False, True, "", UNIDENTIFIED_PEER
@@ -28,24 +28,24 @@
         self.sent.append(message)
 
 
-def test_peer_that_does_not_read_is_sent_nothing_until_it_does() -> None:
-    """Guards against a heap of what one peer never takes."""
+def test_peer_that_does_not_read_is_sent_nothing_until_it_reads_again() -> None:
+    """Guards against unbounded buffering of messages for a peer that does not read."""
     clock, recorder = Clock(), RecordingStream()
-    peers = PeerSessions(
+    sessions = PeerSessions(
         clock, PeersSection(addresses=["127.0.0.1:1", "127.0.0.1:2"]), 0, 1, 4, Log(), lambda: None
     )
-    for number in range(3):
-        peers.replica.put(0.0, "server", number, (1.0, 0.0))
-    dial: Any = lambda *_, **__: None  # noqa: E731
-    peers.start(dial)
+    for server_id in range(3):
+        sessions.replica.put(0.0, "server", server_id, (1.0, 0.0))
+    connect: Any = lambda *_, **__: None  # noqa: E731
+    sessions.start(connect)
     stream: Any = recorder
-    peers.on_message(stream, Hello(1, "assigner", 1, 0, "t", incarnation=1))
+    sessions.on_message(stream, Hello(1, "assigner", 1, 0, "t", incarnation=1))
     recorder.writable, recorder.sent = False, []
-    peers.on_message(stream, VersionDigest([]))
+    sessions.on_message(stream, VersionDigest([]))
     clock.pump([0.5] * 10)
     assert recorder.sent == []
     recorder.writable = True
-    peers.on_message(stream, VersionDigest([]))
+    sessions.on_message(stream, VersionDigest([]))
     clock.pump([0.5])
-    assert [len(x.rows) for x in recorder.sent if isinstance(x, ReplicationDelta)] == [3]
-    assert any(isinstance(x, VersionDigest) for x in recorder.sent)
+    assert [len(sent.rows) for sent in recorder.sent if isinstance(sent, ReplicationDelta)] == [3]
+    assert any(isinstance(sent, VersionDigest) for sent in recorder.sent)
--- a/tests/test_row_validation.py
+++ b/tests/test_row_validation.py
@@ -1,4 +1,4 @@
-"""Rows that cannot be true are dropped by themselves."""
+"""Validation of replicated rows: each invalid row is dropped individually."""
 
 from __future__ import annotations
 
@@ -13,36 +13,45 @@
 from puffintide.replication.row_validation import validate_delta
 from puffintide.replication.table_replicas import pack_table
 
-GOOD = ReplicatedRow("server", 3, 2, 1.0, (1.0, 0.0))
-
-
-ROWS = [
-    (ReplicatedRow("colour", 3, 2, 1.0, (1.0,)), "no such type"),
-    (ReplicatedRow("server", 3, 9, 1.0, (1.0, 0.0)), "sequence 9 is not from 0 to 5"),
-    (ReplicatedRow("server", 3, 2, -1.0, (1.0, 0.0)), "age -1 s"),
-    (ReplicatedRow("server", 3, 2, 1.0, (1.0,)), "1 figures of 2"),
-    (ReplicatedRow("fleet", -1, 2, 1.0, (float("inf"),)), "is out of range"),
-    (ReplicatedRow("fleet", -1, 2, 1.0, ("5",)), "is out of range"),
-    (ReplicatedRow(RowType.TABLE, 4, 2, 1.0, pack_table(1, 1, [])), "table 4 is not among the 4"),
-    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, (1.0, 1.0, 7.0)), "no token, batch and entries of four"),
-    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)), "value 4 is of the wrong type"),
+VALID_ROW = ReplicatedRow("server", 3, 2, 1.0, (1.0, 0.0))
+
+
+INVALID_ROWS = [
+    (ReplicatedRow("colour", 3, 2, 1.0, (1.0,)), "unknown row type"),
+    (ReplicatedRow("server", 3, 9, 1.0, (1.0, 0.0)), "sequence 9 is outside (0, 5]"),
+    (ReplicatedRow("server", 3, 2, -1.0, (1.0, 0.0)), "age -1 s is out of range"),
+    (ReplicatedRow("server", 3, 2, 1.0, (1.0,)), "1 values instead of 2"),
+    (ReplicatedRow("fleet", -1, 2, 1.0, (float("inf"),)), "value (inf,) is not numeric or is out of range"),
+    (ReplicatedRow("fleet", -1, 2, 1.0, ("5",)), "value ('5',) is not numeric or is out of range"),
+    (
+        ReplicatedRow(RowType.TABLE, 4, 2, 1.0, pack_table(1, 1, [])),
+        "table of slice 4: slice id is not below the slice count 4",
+    ),
+    (
+        ReplicatedRow(RowType.TABLE, 1, 2, 1.0, (1.0, 1.0, 7.0)),
+        "3 values do not form a token, a batch and entries of 4 values",
+    ),
+    (
+        ReplicatedRow(RowType.TABLE, 1, 2, 1.0, (1.0, 1.0, 7.0, 1.0, 2.0, 0.0)),
+        "value 4 has the wrong type: 2.0",
+    ),
     (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, pack_table(1, 1, [TableEntry(7, -1.0)])), "weight -1"),
-    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, pack_table(-1, 1, [])), "below 0"),
+    (ReplicatedRow(RowType.TABLE, 1, 2, 1.0, pack_table(-1, 1, [])), "token -1.0 or batch 1.0 is negative"),
 ]
 
 
-@pytest.mark.parametrize(("row", "words"), ROWS, ids=[words for _, words in ROWS])
-def test_invalid_row_is_dropped_by_itself(row: ReplicatedRow, words: str) -> None:
-    reasons, sound = validate_delta(
-        ReplicationDelta(1, 1, 0, 5, 5, 0, [GOOD, row], [("server", 2, 1), ("x", 2, 1)]), 4
+@pytest.mark.parametrize(("row", "expected_reason"), INVALID_ROWS, ids=[reason for _, reason in INVALID_ROWS])
+def test_invalid_row_is_dropped_individually(row: ReplicatedRow, expected_reason: str) -> None:
+    reasons, valid_delta = validate_delta(
+        ReplicationDelta(1, 1, 0, 5, 5, 0, [VALID_ROW, row], [("server", 2, 1), ("x", 2, 1)]), 4
     )
     assert len(reasons) == 2
-    assert words in reasons[0]
+    assert expected_reason in reasons[0]
     assert "deletion" in reasons[1]
-    assert sound is not None
-    assert sound.rows == [GOOD]
-    assert sound.deletions == [("server", 2, 1)]
+    assert valid_delta is not None
+    assert valid_delta.rows == [VALID_ROW]
+    assert valid_delta.deletions == [("server", 2, 1)]
 
 
-def test_delta_whose_bounds_are_not_in_order_is_dropped() -> None:
-    assert validate_delta(ReplicationDelta(1, 1, 6, 5, 5, 0, [GOOD]), 4)[1] is None
+def test_delta_with_unordered_bounds_is_dropped() -> None:
+    assert validate_delta(ReplicationDelta(1, 1, 6, 5, 5, 0, [VALID_ROW]), 4)[1] is None
