--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicas converge whatever the order, loss, duplication and restarts."""
+"""Convergence of replicas under reordering, loss and duplication of messages, and under restarts."""
 
 from __future__ import annotations
 
@@ -11,77 +11,84 @@
     ReplicationDelta,
 )
 from puffintide.replication import origin_state
-from puffintide.replication import replica as core
+from puffintide.replication import replica as replica_module
 from puffintide.replication.replica import Replica
 
-COUNT = 4
+REPLICA_COUNT = 4
 
 
-class Group:
-    """Replicas whose messages wait in a bag until they are delivered, duplicated or lost."""
+class ReplicaGroup:
+    """Replicas whose deltas stay pending until they are delivered in random order, duplicated or lost."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = 0.0
-        self.nodes = [self.new(k) for k in range(COUNT)]
-        self.bag: list[tuple[int, ReplicationDelta]] = []
+        self.replicas = [self.new_replica(origin_id) for origin_id in range(REPLICA_COUNT)]
+        self.pending: list[tuple[int, ReplicationDelta]] = []  # Receiver and delta.
 
-    def new(self, k: int) -> Replica:
-        return Replica(k, 1, COUNT, self.draw.getrandbits(core.NONCE_BITS))
+    def new_replica(self, origin_id: int) -> Replica:
+        return Replica(origin_id, 1, REPLICA_COUNT, self.rng.getrandbits(replica_module.NONCE_BITS))
 
-    def step(self, what: str) -> None:
-        self.now += self.draw.random()
-        k, other = self.draw.sample(range(COUNT), 2)
-        node = self.nodes[k]
-        match what:
+    def step(self, operation: str) -> None:
+        self.now += self.rng.random()
+        origin_id, other_id = self.rng.sample(range(REPLICA_COUNT), 2)
+        replica = self.replicas[origin_id]
+        match operation:
             case "put":
                 for _ in range(3):
-                    number = self.draw.randrange(12)
-                    node.put(self.now, self.draw.choice("ab"), number, (float(self.draw.randrange(100)),))
-            case "drop":
-                for kind, number in self.draw.sample(
-                    sorted(node.origin_states[k].rows), min(2, len(node.origin_states[k].rows))
-                ):
-                    node.delete(kind, number)
-            case "ask":
-                self.send_missing(k, other)
-            case "deliver" if self.bag:
-                to, piece = self.bag.pop(self.draw.randrange(len(self.bag)))
-                self.nodes[to].apply(self.now, piece)
-            case "double" if self.bag:
-                self.bag.append(self.draw.choice(self.bag))
-            case "lose" if self.bag:
-                self.bag.pop(self.draw.randrange(len(self.bag)))
-            case "restart":  # without state, under an incarnation that was used before
-                self.nodes[k] = self.new(k)
-
-    def send_missing(self, k: int, other: int) -> None:
-        digest = self.nodes[k].digest()
-        self.nodes[other].is_behind(digest)
-        self.bag += [
-            (k, p) for p in self.nodes[other].deltas_for(self.now, digest, self.draw.choice([1, 5, 50]))
-        ]
-
-    def heal(self) -> None:
+                    row_id = self.rng.randrange(12)
+                    replica.put(self.now, self.rng.choice("ab"), row_id, (float(self.rng.randrange(100)),))
+            case "delete":
+                rows = replica.origin_states[origin_id].rows
+                for row_type, row_id in self.rng.sample(sorted(rows), min(2, len(rows))):
+                    replica.delete(row_type, row_id)
+            case "request":
+                self.send_missing(origin_id, other_id)
+            case "deliver" if self.pending:
+                receiver_id, delta = self.pending.pop(self.rng.randrange(len(self.pending)))
+                self.replicas[receiver_id].apply(self.now, delta)
+            case "duplicate" if self.pending:
+                self.pending.append(self.rng.choice(self.pending))
+            case "lose" if self.pending:
+                self.pending.pop(self.rng.randrange(len(self.pending)))
+            case "restart":  # The new replica has no state, and its incarnation was used before.
+                self.replicas[origin_id] = self.new_replica(origin_id)
+
+    def send_missing(self, receiver_id: int, sender_id: int) -> None:
+        digest = self.replicas[receiver_id].digest()
+        self.replicas[sender_id].is_behind(digest)
+        deltas = self.replicas[sender_id].deltas_for(self.now, digest, self.rng.choice([1, 5, 50]))
+        self.pending += [(receiver_id, delta) for delta in deltas]
+
+    def deliver_all(self) -> None:
         for _ in range(60):
-            for k in range(COUNT):
-                for other in range(COUNT):
-                    if k != other:
-                        self.send_missing(k, other)
-                        while self.bag:
-                            to, piece = self.bag.pop(0)
-                            self.nodes[to].apply(self.now, piece)
-
-    def picture(self, k: int) -> dict[Any, Any]:
-        found = {}
-        for kind in "ab":
-            for number, rows in self.nodes[k].readings(self.now, kind).items():
-                for r in rows:
-                    found[kind, number, r.origin_id] = (r.version, r.value)
-        return found
-
-
-WORDS = [*["put"] * 3, "drop", *["ask"] * 3, *["deliver"] * 3, "double", "lose", "restart"]
+            for receiver_id in range(REPLICA_COUNT):
+                for sender_id in range(REPLICA_COUNT):
+                    if receiver_id != sender_id:
+                        self.send_missing(receiver_id, sender_id)
+                        while self.pending:
+                            pending_receiver_id, delta = self.pending.pop(0)
+                            self.replicas[pending_receiver_id].apply(self.now, delta)
+
+    def snapshot(self, holder_id: int) -> dict[Any, Any]:
+        """Return version and value by row type, row id and origin."""
+        rows = {}
+        for row_type in "ab":
+            for row_id, readings in self.replicas[holder_id].readings(self.now, row_type).items():
+                for reading in readings:
+                    rows[row_type, row_id, reading.origin_id] = (reading.version, reading.value)
+        return rows
+
+
+OPERATIONS = [
+    *["put"] * 3,
+    "delete",
+    *["request"] * 3,
+    *["deliver"] * 3,
+    "duplicate",
+    "lose",
+    "restart",
+]
 
 
 @pytest.mark.parametrize("max_deletions", [0, 2, 100])
@@ -90,31 +97,35 @@
     max_deletions: int, first: int
 ) -> None:
     for seed in range(first, first + 20):
-        one_history(seed, max_deletions)
+        check_convergence(seed, max_deletions)
 
 
-def one_history(seed: int, max_deletions: int) -> None:
+def check_convergence(seed: int, max_deletions: int) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(origin_state, "MAX_DELETIONS", max_deletions)
-        patch.setattr(core, "MAX_ROWS_PER_DELTA", 2)
-        group = Group(seed)
-        for word in group.draw.choices(WORDS, k=150):
-            group.step(word)
-        group.heal()
-        pictures = [group.picture(k) for k in range(COUNT)]
-        assert all(picture == pictures[0] for picture in pictures)
-        for k, node in enumerate(group.nodes):  # what is held of each is what it wrote itself
-            own = {key: row.value for key, row in node.origin_states[k].rows.items()}
-            assert {key[:2]: value for key, (_, value) in pictures[0].items() if key[2] == k} == own
-            assert len(node.origin_states[k].deletions) <= max_deletions
+        patch.setattr(replica_module, "MAX_ROWS_PER_DELTA", 2)
+        group = ReplicaGroup(seed)
+        for operation in group.rng.choices(OPERATIONS, k=150):
+            group.step(operation)
+        group.deliver_all()
+        snapshots = [group.snapshot(holder_id) for holder_id in range(REPLICA_COUNT)]
+        assert all(snapshot == snapshots[0] for snapshot in snapshots)
+        for origin_id, replica in enumerate(group.replicas):
+            # The rows held of each origin are those that it wrote itself.
+            state = replica.origin_states[origin_id]
+            written = {key: row.value for key, row in state.rows.items()}
+            held = {key[:2]: value for key, (_, value) in snapshots[0].items() if key[2] == origin_id}
+            assert held == written
+            assert len(state.deletions) <= max_deletions
 
 
 def test_delayed_delta_of_earlier_incarnation_is_ignored() -> None:
-    former, present, other = Replica(0, 1, 2), Replica(0, 2, 2), Replica(1, 1, 2)
-    for node, value in ((former, 1.0), (present, 2.0)):
-        for number in range(3):
-            node.put(0.0, "a", number, (value,))
-    delayed = former.deltas_for(0.0, [], 10)
-    assert [other.apply(1.0, piece) for piece in present.deltas_for(0.0, [], 10)] == [True]
-    assert [other.apply(1.0, piece) for piece in delayed] == [False]
-    assert {r.value for rows in other.readings(1.0, "a").values() for r in rows} == {(2.0,)}
+    earlier, current, receiver = Replica(0, 1, 2), Replica(0, 2, 2), Replica(1, 1, 2)
+    for replica, value in ((earlier, 1.0), (current, 2.0)):
+        for row_id in range(3):
+            replica.put(0.0, "a", row_id, (value,))
+    delayed_deltas = earlier.deltas_for(0.0, [], 10)
+    assert [receiver.apply(1.0, delta) for delta in current.deltas_for(0.0, [], 10)] == [True]
+    assert [receiver.apply(1.0, delta) for delta in delayed_deltas] == [False]
+    values = {reading.value for rows in receiver.readings(1.0, "a").values() for reading in rows}
+    assert values == {(2.0,)}
