--- a/puffintide/replication/row_validation.py
+++ b/puffintide/replication/row_validation.py
@@ -32,7 +32,7 @@
 def table_problem(slice_id: int, value: Value, slice_count: int) -> str | None:
     """Return the reason why a value is not a valid table of a slice, or None if it is valid."""
     if not 0 <= slice_id < slice_count:
-        return f"table of slice {slice_id}: slice id is not below the slice count {slice_count}"
+        return f"table of slice {slice_id}: slice id is outside [0, {slice_count})"
     if len(value) < TABLE_HEADER_VALUES or (len(value) - TABLE_HEADER_VALUES) % VALUES_PER_ENTRY:
         return (
             f"table of slice {slice_id}: {len(value)} values do not form a token, a batch "
--- a/puffintide/replication/table_replicas.py
+++ b/puffintide/replication/table_replicas.py
@@ -141,6 +141,6 @@
     same_token = all(reading.value[0] == token for reading in by_holder.values())
     rule = "latest write" if same_token else "highest token"
     return (
-        f"slice {slice_id}: table at {', '.join(differing)} differs from the one that assigner "
+        f"slice {slice_id}: table at {', '.join(differing)} is missing or differs from the one that assigner "
         f"{newest.origin_id} wrote with token {token:.0f}, batch {batch:.0f}; the {rule} wins"
     )
