--- a/puffintide/proxy/connection_pools.py
+++ b/puffintide/proxy/connection_pools.py
@@ -15,16 +15,17 @@
 
 
 class ConnectionPools:
-    """Gives each attempt a connection of its own: an idle one, or one that is opened for it."""
+    """Assigns a separate connection to each attempt: an idle one, or a newly opened one."""
 
     def __init__(self, proxy: HttpProxy) -> None:
         self.proxy = proxy
-        self._attempts: dict[int, ConnectionAttempts] = {}  # by server
-        self._idle: dict[int, list[UpstreamConnection]] = {}  # by server
-        self._waiting: dict[int, tuple[int, HttpExchange]] = {}  # by attempt: server, and its request
+        self._attempts: dict[int, ConnectionAttempts] = {}  # Keyed by server id.
+        self._idle: dict[int, list[UpstreamConnection]] = {}  # Keyed by server id.
+        # Server id and exchange of each attempt that waits for a connection, keyed by attempt id.
+        self._waiting: dict[int, tuple[int, HttpExchange]] = {}
 
     def begin_attempt(self, server_id: int, attempt_id: int, exchange: HttpExchange) -> None:
-        """Send an attempt on an idle connection, or let it wait for a new one."""
+        """Send an attempt on an idle connection, or queue it until a connection is ready."""
         attempts = self._attempts.get(server_id)
         if attempts is None:
             attempts = self._attempts[server_id] = ConnectionAttempts(self.proxy.process.pool_most)
@@ -44,7 +45,7 @@
         self._open_connections(server_id)
 
     def cancel_waiting(self, attempt_id: int) -> bool:
-        """Let an attempt wait no more. False if it was not waiting."""
+        """Remove an attempt from the queue for a connection. Return False if it was not waiting."""
         waiting = self._waiting.pop(attempt_id, None)
         if waiting is None:
             return False
@@ -52,10 +53,10 @@
         return True
 
     def _open_connections(self, server_id: int) -> None:
-        """Open as many connections as the waiting attempts may have."""
+        """Open as many connections as the waiting attempts need, within the limit of ConnectionAttempts."""
         host, _, port = self.proxy.engine.tables.addresses.get(server_id, "").rpartition(":")
         attempts = self._attempts.get(server_id)
-        if attempts is None or not port:  # a server without an address has left all tables
+        if attempts is None or not port:  # A server without an address is in no table any more.
             return
         for _ in range(attempts.begin_connecting()):
             factory = UpstreamFactory(self.proxy, server_id)
@@ -66,12 +67,12 @@
                 self.proxy.reactor.connectSSL(host, int(port), factory, self.proxy.tls, timeout_s)
 
     def on_established(self, upstream: UpstreamConnection) -> None:
-        """A new connection is established."""
+        """Count an established connection and make it available to attempts."""
         self._attempts[upstream.server_id].on_established()
         self.on_connection_ready(upstream)
 
     def on_connection_ready(self, upstream: UpstreamConnection) -> None:
-        """A connection is new or has completed an exchange: the next attempt takes it, else it is kept idle."""
+        """Give a new or released connection to the next waiting attempt, or keep it idle."""
         server_id = upstream.server_id
         attempts = self._attempts[server_id]
         while (attempt_id := attempts.pop_waiting()) is not None:
@@ -82,11 +83,13 @@
         else:
             self._idle.setdefault(server_id, []).append(upstream)
             idle_s = self.proxy.process.idle_s
-            upstream.idle_timeout = self.proxy.reactor.callLater(idle_s, close_gracefully, upstream.transport)
+            upstream.pending_timeout = self.proxy.reactor.callLater(
+                idle_s, close_gracefully, upstream.transport
+            )
         self._open_connections(server_id)
 
     def _open_exchange(self, attempt_id: int) -> HttpExchange | None:
-        """The request of an attempt that waited, unless it has ended."""
+        """Return the exchange of an attempt that waited for a connection; None if the request has ended."""
         waiting = self._waiting.pop(attempt_id, None)
         if waiting is None or attempt_id not in self.proxy.engine.requests:
             return None
@@ -94,13 +97,13 @@
         return None if exchange.finished else exchange
 
     def on_connect_failed(self, server_id: int) -> None:
-        """A connection could not be established."""
+        """Fail the attempts that wait for a connection to a server that could not be reached."""
         self._fail_attempts(server_id, self._attempts[server_id].on_connect_failed())
         self._open_connections(server_id)
         self._forget_if_unused(server_id)
 
     def on_connection_lost(self, upstream: UpstreamConnection) -> None:
-        """An established connection is closed."""
+        """Remove a lost connection from the pool and report it to the proxy."""
         server_id = upstream.server_id
         self._attempts[server_id].on_connection_lost()
         idle = self._idle.get(server_id, [])
@@ -111,7 +114,7 @@
         self._forget_if_unused(server_id)
 
     def _on_wait_timeout(self, server_id: int, attempt_id: int) -> None:
-        """An attempt has waited for as long as a connection may take to be established."""
+        """Fail an attempt that got no connection within the connect timeout."""
         attempts = self._attempts.get(server_id)
         if attempts is not None and attempts.discard(attempt_id):
             self.proxy.count(HttpCounter.CONNECTION_WAIT_TIMEOUTS)
@@ -123,7 +126,10 @@
             self.proxy.on_attempt_not_sent(server_id, attempt_id)
 
     def _forget_if_unused(self, server_id: int) -> None:
-        """A server without connections starts as a new one, and leaves nothing behind if it is removed."""
+        """Delete the state of a server without connections or waiting attempts.
+
+        A server that returns starts like a new one, and a removed server occupies no memory.
+        """
         attempts = self._attempts.get(server_id)
         if attempts is not None and attempts.is_unused():
             del self._attempts[server_id]
--- a/puffintide/proxy/control_plane.py
+++ b/puffintide/proxy/control_plane.py
@@ -1,4 +1,4 @@
-"""The proxy's streams to the assigners, which send weights and levels, and to the store, which has the tables."""
+"""The proxy's streams to the assigners (weights, admission levels) and to the store (tables)."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 from puffintide.proxy.reactor import DelayedCall, Reactor, cancel_if_active
 from puffintide.tls.context import TlsContextFactory
 
-WRITE_CHECK_INTERVAL_S = 0.02  # how often writes in flight delay a checkpoint's reply
-STORE_ID = -1  # beside the assigners' ids
+# Interval at which a delayed checkpoint reply checks again for writes in flight, in seconds.
+WRITE_CHECK_INTERVAL_S = 0.02
+STORE_ID = -1  # Peer id of the store; the ids of assigners start at 0.
 
 
 class ControlPlane:
-    """Applies what assigners and store send to all engines of one proxy.
+    """Applies the messages of assigners and store to all engines of one proxy.
 
     Args:
-        reactor: Clock and connections.
-        config: Deployment and intervals.
-        process: Identity of this proxy, addresses of assigners and store.
-        log: Gets losses of assigners.
-        drivers: Those of the proxy's engines, which share their tables; the first one owns them.
-        random: Jitter of reconnects.
-        tls: Context factory of outgoing streams; None: without TLS.
+        reactor: Clock, timers and outgoing connections.
+        config: Deployment name, and intervals of reports and table reads.
+        process: Identity of this proxy, and the addresses of assigners and store.
+        log: Receives a warning for each lost connection to an assigner.
+        drivers: Drivers of the proxy's engines, which share their tables; the first one owns the tables.
+        random: Source of the jitter of reconnects, uniform in [0, 1).
+        tls: Context factory of outgoing streams; None disables TLS.
     """
 
     def __init__(
@@ -51,18 +52,18 @@
         self.log = log
         self.drivers = drivers
         self.engine = drivers[0].engine
-        self.assigners: dict[int, Stream] = {}  # those connected
+        self.assigners: dict[int, Stream] = {}  # Streams of the connected assigners, keyed by assigner id.
         self.store: Stream | None = None
-        self._contacted: set[int] = set()  # assigners, and STORE_ID
-        self._store_revision: tuple[int, str] = (-1, "")  # and store id, of the last complete reading
-        self._next_reading: DelayedCall | None = None
-        self._diallers = [
-            self._assigner_dialler(assigner_id, address, random, tls)
+        self._contacted: set[int] = set()  # Peers greeted before: assigner ids and STORE_ID.
+        self._store_revision: tuple[int, str] = (-1, "")  # Revision and store id of the last complete read.
+        self._next_table_read: DelayedCall | None = None
+        self._stream_clients = [
+            self._create_assigner_client(assigner_id, address, random, tls)
             for assigner_id, address in enumerate(process.assigners)
         ]
-        self._diallers.append(self._store_dialler(process.store, random, tls))
+        self._stream_clients.append(self._create_store_client(process.store, random, tls))
 
-    def _assigner_dialler(
+    def _create_assigner_client(
         self, assigner_id: int, address: str, random: Random, tls: TlsContextFactory | None
     ) -> StreamClient:
         return StreamClient(
@@ -75,7 +76,9 @@
             tls=tls,
         )
 
-    def _store_dialler(self, address: str, random: Random, tls: TlsContextFactory | None) -> StreamClient:
+    def _create_store_client(
+        self, address: str, random: Random, tls: TlsContextFactory | None
+    ) -> StreamClient:
         return StreamClient(
             self.reactor,
             address,
@@ -88,8 +91,8 @@
 
     def start(self) -> None:
         """Connect to the assigners and the store."""
-        for dialler in self._diallers:
-            dialler.start()
+        for client in self._stream_clients:
+            client.start()
 
     def _greeting(self, peer_id: int) -> m.Hello:
         is_first_connection = peer_id not in self._contacted
@@ -105,7 +108,7 @@
         )
 
     def send_usage_reports(self) -> None:
-        """Report to each connected assigner what was counted for it."""
+        """Send each connected assigner the usage that was counted for it since its last report."""
         now_s = self.drivers[0].now_s()
         interval_s = self.config.reports.period_s
         for assigner_id, stream in sorted(self.assigners.items()):
@@ -120,7 +123,7 @@
             case m.Welcome():
                 self.assigners[assigner_id] = stream
                 self.engine.tables.on_assigner_connected(assigner_id)
-                self._start_readings()
+                self._start_table_reads()
             case m.ProxyUpdate():
                 error = proxy_update_problem(message)
                 if error is None:
@@ -128,7 +131,7 @@
                 else:
                     stream.reject(f"proxy update: {error}")
             case _:
-                stream.reject(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"unexpected {type(message).__name__} message from an assigner")
 
     def _apply_update(self, assigner_id: int, stream: Stream, update: m.ProxyUpdate) -> None:
         owner = self.drivers[0]
@@ -142,7 +145,10 @@
             driver.run_effects(driver.engine.on_tables_changed(driver.now_s(), admission_changed))
 
     def _reply_to_checkpoint(self, stream: Stream, checkpoint_id: int, cleared_slices: Sequence[int]) -> None:
-        """Acknowledge a checkpoint; with a single writer, once writes to the cleared slices have ended."""
+        """Acknowledge a checkpoint.
+
+        With a single writer per slice, the reply waits until all writes to the cleared slices have ended.
+        """
         if stream.closed:
             return
         if cleared_slices and self.engine.settings.single_writer and self._has_writes(cleared_slices):
@@ -162,19 +168,24 @@
 
     # Store ---------------------------------------------------------------------------------------
 
-    def _start_readings(self) -> None:
-        """Read the store now, a second time for what was on its way to it, and periodically after that.
+    def _start_table_reads(self) -> None:
+        """Read the tables from the store now, once more after a delay, and periodically after that.
 
-        Updates are missed while a stream to an assigner is down; the periodic readings also replace a message lost
-        on a connected stream, which nothing else would show.
+        Updates are missed while the stream to an assigner is down. The second read covers writes that had not
+        reached the store at the first one. The periodic reads also recover a message lost on a connected
+        stream, which is not detected in any other way.
         """
         self._request_tables()
-        cancel_if_active(self._next_reading)
-        self._next_reading = self.reactor.callLater(self.config.charge.reread_s, self._read_periodically)
+        cancel_if_active(self._next_table_read)
+        self._next_table_read = self.reactor.callLater(
+            self.config.charge.reread_s, self._read_tables_periodically
+        )
 
-    def _read_periodically(self) -> None:
+    def _read_tables_periodically(self) -> None:
         self._request_tables()
-        self._next_reading = self.reactor.callLater(self.config.charge.refresh_s, self._read_periodically)
+        self._next_table_read = self.reactor.callLater(
+            self.config.charge.refresh_s, self._read_tables_periodically
+        )
 
     def _request_tables(self) -> None:
         if self.store is not None:
@@ -184,19 +195,19 @@
         match message:
             case m.Welcome():
                 self.store = stream
-                self._start_readings()
+                self._start_table_reads()
             case m.SliceOwnerships():
                 self._apply_ownerships(stream, message.ownerships)
             case m.ReadComplete():
                 self._store_revision = (message.revision, message.store_id)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"unexpected {type(message).__name__} message from the store")
 
     def _apply_ownerships(self, stream: Stream, ownerships: Sequence[m.SliceOwnership]) -> None:
         for ownership in ownerships:
             error = weights_problem(ownership.entries)
             if error is not None:
-                stream.reject(f"ownerships: {error}")
+                stream.reject(f"slice ownerships: {error}")
                 return
         owner = self.drivers[0]
         owner.run_effects(self.engine.on_slice_ownerships(owner.now_s(), ownerships))
--- a/puffintide/proxy/dispatcher.py
+++ b/puffintide/proxy/dispatcher.py
@@ -105,7 +105,7 @@
         return self._last_attempt_id
 
     def dispatch(self, now_s: float, attempt_id: int) -> list[Effect]:
-        """Select a server for an attempt; without one the request is queued for a while."""
+        """Select a server for an attempt; queue the request for a limited time if there is none."""
         request = self.requests[attempt_id]
         request.assigner_id = self.tables.owner_of(request.slice_id)
         server_id = self._select_server(now_s, request)
--- a/puffintide/proxy/downstream.py
+++ b/puffintide/proxy/downstream.py
@@ -1,4 +1,4 @@
-"""The HTTP server side: connections from clients."""
+"""The server side of the HTTP proxy: connections from clients."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class DownstreamConnection(Protocol):
-    """A client's connection: one request at a time, pipelined ones after it, in order."""
+    """A client's connection. It handles one request at a time and pipelined requests in order."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -45,10 +45,10 @@
         self._timeout: DelayedCall | None = None
         self._paused = False
         self._processing = False
-        self._is_head_request = False  # its response has no body
+        self._is_head_request = False  # The response to a HEAD request has no body.
 
     def connectionMade(self) -> None:
-        """Accept the connection, unless there are too many."""
+        """Accept the connection, or abort it if the limit of clients is reached."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         if len(self.proxy.downstreams) >= self.limits.clients_most:
@@ -58,14 +58,14 @@
         self._set_timeout(self.limits.idle_s)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002
-        """The client is gone."""
+        """Release the connection's state and abandon its request."""
         self.closing = True
         self._set_timeout(None)
         self.proxy.downstreams.discard(self)
         self._abandon_exchange()
 
     def close_if_idle(self) -> None:
-        """The proxy shuts down: close unless a response is still to be sent."""
+        """Close the connection if no request is open; used when the proxy shuts down."""
         if self.exchange is None and not self.closing:
             self._close()
 
@@ -76,7 +76,7 @@
             self.exchange = None
 
     def _close(self) -> None:
-        """Close once all is written; a client that does not read it in time is cut off."""
+        """Close once all data is written; abort if the client does not read it within `head_s`."""
         self.closing = True
         close_gracefully(self.transport)
         self._set_timeout(self.limits.head_s)
@@ -90,18 +90,20 @@
             self._timeout = self.proxy.reactor.callLater(timeout_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        """A head that does not arrive, a body that stops, a response that is not read: the connection closes."""
+        """Close a connection that is idle, or whose request or response makes no progress."""
         self.proxy.count(HttpCounter.DOWNSTREAM_TIMEOUTS)
         awaits_head = self.exchange is None and self.http.their_state is h11.IDLE
         if not self.closing and awaits_head and self.http.trailing_data[0]:
-            self._reject(HTTPStatus.REQUEST_TIMEOUT, "the head took too long")
+            self._reject(
+                HTTPStatus.REQUEST_TIMEOUT, f"request head not received within {self.limits.head_s:g} s"
+            )
         else:
             self.transport.abortConnection()
 
     # Requests ------------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:
-        """Data from the client."""
+        """Parse data from the client and process the events in it."""
         if self.closing:
             return
         if self.exchange is None and self.http.their_state is h11.IDLE:
@@ -114,7 +116,8 @@
 
     def _process_events(self) -> None:
         if self._processing:
-            return  # an immediate response from within the loop, which goes on with the next request
+            # An immediate response, sent from the loop below; the loop continues with the next request.
+            return
         self._processing = True
         try:
             while not self.closing and self._process_event(self.http.next_event()):
@@ -125,7 +128,7 @@
             self._processing = False
 
     def _process_event(self, event: Any) -> bool:
-        """Handle one event. Returns whether to look for more."""
+        """Handle one event. Return whether to look for more events."""
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
         if isinstance(event, h11.ConnectionClosed):
@@ -143,7 +146,7 @@
     def _begin_request(self, request: h11.Request) -> None:
         self._is_head_request = request.method == b"HEAD"
         if self.proxy.stopping:
-            raise HttpRequestError(HTTPStatus.SERVICE_UNAVAILABLE, "this proxy stops")
+            raise HttpRequestError(HTTPStatus.SERVICE_UNAVAILABLE, "the proxy is shutting down")
         headers = dict(request.headers)
         check_request(request, headers, self.limits.head_most, self.limits.body_most)
         routing = parse_routing_headers(request.target, headers, self.proxy.classes)
@@ -160,7 +163,7 @@
         exchange.receive_body(data, self.limits.replay_most)
 
     def _reject(self, status_code: int, reason: str) -> None:
-        """Send an error response and close."""
+        """Send an error response and close the connection."""
         self.proxy.count(HttpCounter.REQUESTS_REJECTED)
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             body = reason.encode() + b"\n"
@@ -187,7 +190,7 @@
         self._send(h11.Data(data=data))
 
     def send_response_end(self) -> None:
-        """The response is complete: go on with the next request."""
+        """End the response and continue with the next request."""
         self._send(h11.EndOfMessage())
         self._next_request()
 
@@ -200,7 +203,7 @@
         self._next_request()
 
     def truncate_response(self) -> None:
-        """Close within a response, so that the client sees that it is incomplete."""
+        """Close the connection within a response, so that the client detects that it is incomplete."""
         self._close()
 
     def _next_request(self) -> None:
@@ -220,7 +223,7 @@
     # Flow control --------------------------------------------------------------------------------
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading from the client while its body can't be forwarded, or read on."""
+        """Pause reading from the client while its request body cannot be forwarded, or resume it."""
         if paused == self._paused or self.closing:
             return
         self._paused = paused
@@ -230,23 +233,23 @@
             self.transport.resumeProducing()
 
     def pauseProducing(self) -> None:
-        """The client reads slowly: the server has to wait, but not for ever."""
+        """Pause reading from the server while the client reads slowly, and abort after `head_s`."""
         self._set_timeout(self.limits.head_s)
         if self.exchange is not None and self.exchange.upstream is not None:
             self.exchange.upstream.set_paused(True)
 
     def resumeProducing(self) -> None:
-        """The client has read on."""
+        """Resume reading from the server after the client has read on."""
         self._set_timeout(None)
         if self.exchange is not None and self.exchange.upstream is not None:
             self.exchange.upstream.set_paused(False)
 
     def stopProducing(self) -> None:
-        """The transport is closed; connectionLost follows."""
+        """Do nothing: the transport is closed and connectionLost follows."""
 
 
 class DownstreamFactory(Factory):
-    """Accepts clients' connections."""
+    """Creates the protocols of clients' connections."""
 
     noisy = False
 
@@ -254,5 +257,5 @@
         self.proxy = proxy
 
     def buildProtocol(self, addr: IAddress | None) -> DownstreamConnection:  # noqa: ARG002
-        """A protocol for one connection."""
+        """Return the protocol of one connection."""
         return DownstreamConnection(self.proxy)
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -41,7 +41,7 @@
     # Tables --------------------------------------------------------------------------------------
 
     def on_proxy_update(self, now_s: float, assigner_id: int, update: ProxyUpdate) -> list[Effect]:
-        """An assigner has sent an update."""
+        """Apply an assigner's update, grant its write lease, and dispatch queued requests."""
         self.tables.apply_update(assigner_id, update)
         self.routing.write_leases.grant(assigner_id)
         return self.dispatcher.dispatch_queued(now_s, update.admission_levels != [])
--- a/puffintide/proxy/http_counters.py
+++ b/puffintide/proxy/http_counters.py
@@ -1,4 +1,4 @@
-"""What the HTTP side counts, by the names that the log's `stats` have."""
+"""Counters of the HTTP proxy, under their names in the log event `stats`."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class HttpCounter(StrEnum):
-    """Events since the start of the process."""
+    """Names of the events that are counted since the start of the process."""
 
     ATTEMPTS_CANCELLED = "attempts_cancelled"
     CONNECTION_POOL_FULL = "connection_pool_full"
     CONNECTION_WAIT_TIMEOUTS = "connection_wait_timeouts"
     DOWNSTREAM_TIMEOUTS = "downstream_timeouts"
-    REQUESTS_REJECTED = "requests_rejected"  # invalid ones, or too large
+    REQUESTS_REJECTED = "requests_rejected"  # Invalid, too large, too slow, or received during shutdown.
     RESPONSES_TRUNCATED = "responses_truncated"
     UNSOLICITED_RESPONSES = "unsolicited_responses"
     UPSTREAM_CERTIFICATE_MISMATCHES = "upstream_certificate_mismatches"
--- a/puffintide/proxy/http_messages.py
+++ b/puffintide/proxy/http_messages.py
@@ -1,9 +1,14 @@
-"""HTTP/1.1 as the proxy speaks it: headers of its own, what it requires of requests, and its own responses.
+"""The proxy's own HTTP headers, its checks of requests, and the responses that it creates itself.
 
-Request headers: `x-puffintide-class` (a class's name; the first class if absent), `x-puffintide-key` (else the path
-is the key), `x-puffintide-deadline-ms` (how long the client waits; else the class's deadline), `idempotency-key`
-(forwarded). Responses of the proxy itself carry `x-puffintide-ran: yes|no`, rejections also `retry-after` and
-`x-puffintide-again-ms`.
+Request headers:
+
+- `x-puffintide-class`: name of the request class; the first class if absent.
+- `x-puffintide-key`: key of the request; the path if absent.
+- `x-puffintide-deadline-ms`: how long the client waits, in milliseconds; the class's deadline if absent.
+- `idempotency-key`: forwarded to the server.
+
+Responses created by the proxy carry `x-puffintide-ran: yes|no`, which says whether the request may have been
+executed. Rejections also carry `retry-after` and `x-puffintide-again-ms`.
 """
 
 from __future__ import annotations
@@ -46,13 +51,13 @@
     AttemptStatus.UNREACHABLE: HTTPStatus.SERVICE_UNAVAILABLE,
     AttemptStatus.TIMEOUT: HTTPStatus.GATEWAY_TIMEOUT,
 }
-MAX_DEADLINE_MS = 10**7
-HEADER_LINE_OVERHEAD_BYTES = 4  # colon, space and line end
+DEADLINE_LIMIT_MS = 10**7  # A deadline must be below this value.
+HEADER_LINE_OVERHEAD_BYTES = 4  # Colon, space, carriage return and line feed.
 MS_PER_S = 1000
 
 
 class HttpRequestError(ProxyError):
-    """A request that the proxy rejects without forwarding it; `status_code` says how."""
+    """A request that the proxy rejects with `status_code`, without forwarding it."""
 
     def __init__(self, status_code: int, reason: str) -> None:
         super().__init__(reason)
@@ -61,39 +66,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingHeaders:
-    """What a request says about its routing."""
+    """The routing parameters of a request."""
 
     class_index: int
     key: bytes
-    timeout_s: float  # how long the client waits
+    timeout_s: float  # How long the client waits, in seconds.
 
 
 def parse_routing_headers(
     target: bytes, headers: Mapping[bytes, bytes], classes: Mapping[str, ClassSection]
 ) -> RoutingHeaders:
-    """Class, key and timeout of a request.
+    """Return the class, key and timeout of a request.
+
+    Args:
+        target: The request's target, whose path is the default key.
+        headers: The request's headers by name.
+        classes: The configured request classes by name, in order.
 
     Raises:
-        HttpRequestError: An unknown class or an invalid deadline.
+        HttpRequestError: The class is unknown or the deadline is invalid.
     """
     class_names = list(classes)
     class_name = headers.get(CLASS_HEADER, class_names[0].encode()).decode("ascii", "replace")
     if class_name not in class_names:
         raise HttpRequestError(
-            HTTPStatus.BAD_REQUEST, f"class {class_name!r} is unknown; there are {', '.join(class_names)}"
+            HTTPStatus.BAD_REQUEST,
+            f"unknown request class {class_name!r}; configured classes: {', '.join(class_names)}",
         )
     key = headers.get(KEY_HEADER, target.split(b"?")[0])
-    timeout_s = _deadline_s(headers.get(DEADLINE_HEADER, b""), classes[class_name].deadline_s)
+    timeout_s = _parse_deadline_s(headers.get(DEADLINE_HEADER, b""), classes[class_name].deadline_s)
     return RoutingHeaders(class_names.index(class_name), key, timeout_s)
 
 
-def _deadline_s(value: bytes, default_s: float) -> float:
+def _parse_deadline_s(value: bytes, default_s: float) -> float:
     if not value:
         return default_s
-    if not (value.isdigit() and 0 < int(value) < MAX_DEADLINE_MS):
+    if not (value.isdigit() and 0 < int(value) < DEADLINE_LIMIT_MS):
         shown = value.decode("ascii", "replace")
         raise HttpRequestError(
-            HTTPStatus.BAD_REQUEST, f"{DEADLINE_HEADER.decode()} {shown!r} is no number of ms"
+            HTTPStatus.BAD_REQUEST,
+            f"invalid {DEADLINE_HEADER.decode()} {shown!r}: not an integer from 1 to {DEADLINE_LIMIT_MS - 1}",
         )
     return int(value) / MS_PER_S
 
@@ -103,44 +115,55 @@
 ) -> None:
     """Check a request's size and framing.
 
+    Args:
+        request: The request's head.
+        headers: The request's headers by name.
+        max_head_bytes: Maximum size of target and headers, in bytes.
+        max_body_bytes: Maximum size of the body, in bytes.
+
     Raises:
-        HttpRequestError: It is too large, or its body's length is given in two ways.
+        HttpRequestError: The head or body is too large, or the request has both framing headers.
     """
     header_bytes = sum(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in request.headers)
     if header_bytes + len(request.target) > max_head_bytes:
         raise HttpRequestError(
-            HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"the head is over {max_head_bytes} bytes"
+            HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
+            f"request head of {header_bytes + len(request.target)} bytes exceeds {max_head_bytes} bytes",
         )
     if headers.keys() >= FRAMING_HEADERS:
-        raise HttpRequestError(HTTPStatus.BAD_REQUEST, "a body's length is given in two ways")
+        raise HttpRequestError(
+            HTTPStatus.BAD_REQUEST, "request has both a content-length and a transfer-encoding header"
+        )
     if int(headers.get(b"content-length", b"0")) > max_body_bytes:
         raise body_too_large(max_body_bytes)
 
 
 def body_too_large(max_body_bytes: int) -> HttpRequestError:
-    """The error for a body over the limit."""
-    return HttpRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body is over {max_body_bytes} bytes")
+    """Return the error for a request body above the limit."""
+    return HttpRequestError(
+        HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"request body exceeds {max_body_bytes} bytes"
+    )
 
 
 def has_body(headers: Mapping[bytes, bytes]) -> bool:
-    """Whether a request announces a body."""
+    """Return whether a request's headers announce a body."""
     return b"transfer-encoding" in headers or headers.get(b"content-length", b"0") != b"0"
 
 
 def expects_continue(headers: Mapping[bytes, bytes]) -> bool:
-    """Whether the client waits for a 100 response before it sends the body."""
+    """Return whether the client waits for a 100 response before it sends the body."""
     return headers.get(b"expect", b"").lower() == b"100-continue"
 
 
 def is_rejection(response: h11.Response) -> bool:
-    """Whether a server's response proves that it did not execute the request."""
+    """Return whether a server's response proves that it did not execute the request."""
     if response.status_code != HTTPStatus.SERVICE_UNAVAILABLE:
         return False
     return dict(response.headers).get(EXECUTED_HEADER) == b"no"
 
 
 def forwarded_response_headers(response: h11.Response) -> Headers:
-    """A server's response headers as the client gets them."""
+    """Return the headers of a server's response that are forwarded to the client."""
     return [
         (name, value)
         for name, value in response.headers
@@ -149,12 +172,19 @@
 
 
 def error_headers(body: bytes) -> Headers:
-    """Headers of the response to a request that the proxy rejects; the connection closes after it."""
+    """Return the headers of the response to a rejected request, after which the connection closes."""
     return [(b"content-length", b"%d" % len(body)), CLOSE_HEADER, (EXECUTED_HEADER, b"no")]
 
 
 def final_response(status: int, retry_after_s: float, may_have_executed: bool, close: bool) -> h11.Response:
-    """The proxy's own final response to a request that no server answered."""
+    """Return the proxy's own response to a request that no server answered.
+
+    Args:
+        status: Final status of the request, an AttemptStatus.
+        retry_after_s: Delay after which the client may retry, in seconds; 0 omits the headers for it.
+        may_have_executed: Whether a server may have executed the request.
+        close: Whether the connection closes after the response.
+    """
     executed = b"yes" if may_have_executed else b"no"
     headers = [(b"content-length", b"0"), (EXECUTED_HEADER, executed)]
     if retry_after_s:
--- a/puffintide/proxy/http_proxy.py
+++ b/puffintide/proxy/http_proxy.py
@@ -1,7 +1,7 @@
-"""The proxy for HTTP/1.1: h11 on both sides, the engine between them decides about routing.
+"""The proxy for HTTP/1.1: h11 parses both sides, and the engine between them routes requests.
 
-A server proves that it did not execute a request by 503 with `x-puffintide-ran: no`. The headers are described in
-`http_messages`.
+A server proves by a 503 response with `x-puffintide-ran: no` that it did not execute a request. The headers
+are described in `http_messages`.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 
 class HttpProxy(EngineDriver):
-    """The HTTP side of one proxy. Its engine shares tables and counters with that of the line protocol.
+    """The HTTP side of one proxy. Its engine shares tables and counters with the engine of the line protocol.
 
     Args:
-        reactor: Clock and connections.
-        process: Limits of this proxy.
+        reactor: Clock, timers and outgoing connections.
+        process: Limits and timeouts of this proxy.
         classes: Request classes by name, in order.
-        engine: Decides about routing.
-        count: Called for each event that the log's statistics count.
-        deployment: The deployment's name, for the servers' certificates.
-        tls: Context factory of outgoing connections; None: without TLS.
+        engine: State machine that routes the requests.
+        count: Function called with the name of each counted event, an HttpCounter.
+        deployment: The deployment's name, which the names in the servers' certificates contain.
+        tls: Context factory of outgoing connections; None disables TLS.
     """
 
     def __init__(
@@ -63,17 +63,17 @@
         self.deployment = deployment
         self.tls = tls
         self.downstreams: set[DownstreamConnection] = set()
-        self.exchanges: dict[int, HttpExchange] = {}  # by handle
+        self.exchanges: dict[int, HttpExchange] = {}  # Keyed by handle.
         self.pools = ConnectionPools(self)
         self.stopping = False
         self._last_handle = 0
 
     def factory(self) -> DownstreamFactory:
-        """Accepts clients' connections."""
+        """Return the factory that accepts clients' connections."""
         return DownstreamFactory(self)
 
     def stop(self) -> None:
-        """Shut down gracefully: connections close once their response is sent, those without a request now."""
+        """Shut down gracefully: close idle connections now, and others once their response is sent."""
         self.stopping = True
         for downstream in list(self.downstreams):
             downstream.close_if_idle()
@@ -83,14 +83,14 @@
     def begin_request(
         self, downstream: DownstreamConnection, request: h11.Request, routing: RoutingHeaders
     ) -> None:
-        """A client has sent a request's head."""
+        """Create the exchange of a received request head and pass the request to the engine."""
         self._last_handle += 1
         handle = self._last_handle
         exchange = HttpExchange(downstream, request, handle)
         self.exchanges[handle] = exchange
         downstream.exchange = exchange
         if exchange.has_no_body():
-            downstream.http.next_event()  # the end of a message without a body follows its head at once
+            downstream.http.next_event()  # EndOfMessage, which directly follows a head without a body.
             exchange.request_complete = True
         slice_id = slice_for_key(routing.key, self.engine.settings.slice_count)
         self.run_effects(
@@ -100,7 +100,7 @@
         )
 
     def on_client_disconnected(self, exchange: HttpExchange) -> None:
-        """The client of an open request is gone."""
+        """Cancel the request of a disconnected client, and abort its connection to a server."""
         self.run_effects(self.engine.on_client_disconnected(self.now_s(), exchange.handle))
         self.exchanges.pop(exchange.handle, None)
         upstream = exchange.detach_upstream()
@@ -110,11 +110,11 @@
     # Servers -------------------------------------------------------------------------------------
 
     def on_attempt_not_sent(self, server_id: int, attempt_id: int) -> None:
-        """There was no connection for an attempt."""
+        """Report to the engine that there was no connection for an attempt."""
         self.run_effects(self.engine.on_attempt_not_sent(self.now_s(), server_id, attempt_id))
 
     def on_upstream_lost(self, upstream: UpstreamConnection) -> None:
-        """A connection was closed, maybe within an exchange."""
+        """Report the current attempt of a lost connection to the engine, if there is one."""
         exchange = upstream.exchange
         upstream.exchange = None
         if exchange is None:
@@ -125,12 +125,12 @@
         )
 
     def on_rejected_by_server(self, server_id: int, attempt_id: int) -> None:
-        """A server proves that it did not execute an attempt."""
+        """Report an attempt to the engine that its server provably did not execute."""
         status = AttemptStatus.SATURATED
         self.run_effects(self.engine.on_response(self.now_s(), server_id, attempt_id, status, []))
 
     def on_response_complete(self, exchange: HttpExchange, server_id: int, attempt_id: int) -> None:
-        """A server's response is forwarded to its end."""
+        """End an exchange whose response was forwarded completely, and report success to the engine."""
         self.exchanges.pop(exchange.handle, None)
         if not exchange.finished:
             exchange.finished = True
@@ -149,7 +149,8 @@
                 self._complete(effect)
             case CancelAttempt():
                 self._cancel(effect.attempt_id)
-            case ConnectServer():  # each exchange has a connection of its own: there is nothing to wait for
+            case ConnectServer():
+                # Each attempt gets a separate connection from the pool: there is nothing to wait for.
                 self.run_effects(self.engine.on_server_connected(self.now_s(), effect.server_id))
             case DisconnectServer():
                 pass
--- a/puffintide/proxy/line_proxy.py
+++ b/puffintide/proxy/line_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy for the program's own line protocol: streams of clients and servers, the engine between them."""
+"""The proxy for the program's own line protocol, with the engine between streams of clients and servers."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 from puffintide.proxy.request_timings import RequestTimings
 from puffintide.tls.context import TlsContextFactory
 
-MAX_TIMEOUT_S = 1e4  # that a client may wait; over HTTP too
-MAX_KEY = 2**64
-DURATION_DIGITS = 2  # decimal places of milliseconds in the log
+# Maximum time that a client may wait for a response, in seconds. HTTP has the same limit.
+MAX_TIMEOUT_S = 1e4
+KEY_LIMIT = 2**64  # A key must be below this value.
+DURATION_DIGITS = 2  # Decimal places of durations in the log, which are in milliseconds.
 MS_PER_S = 1000
 
 
@@ -37,22 +38,22 @@
     """An open request of a client."""
 
     stream: Stream
-    request_id: int  # the client's own
+    request_id: int  # The id that the client has given the request.
     key: int
-    work_s: float  # for emulated servers
+    work_s: float  # Work that an emulated server does for the request, in seconds.
 
 
 class LineProxy(EngineDriver):
-    """The line protocol's side of one proxy.
+    """The line protocol side of one proxy.
 
     Args:
-        reactor: Clock and connections.
+        reactor: Clock, timers and outgoing connections.
         process: Identity and limits of this proxy.
-        engine: Decides about routing.
-        timings: Measures how long requests take.
-        log: Gets a sample of the requests.
+        engine: State machine that routes the requests.
+        timings: Measures the durations of requests.
+        log: Receives an entry for each sampled request.
         deployment: The deployment's name.
-        tls: Context factory of outgoing streams; None: without TLS.
+        tls: Context factory of outgoing streams; None disables TLS.
     """
 
     def __init__(
@@ -72,20 +73,20 @@
         self.deployment = deployment
         self.tls = tls
         self.stopping = False
-        self.clients: dict[int, Stream] = {}  # by id() of the stream
-        self.calls: dict[int, ClientCall] = {}  # by handle
-        self.upstreams: dict[int, LineUpstream] = {}  # by server
-        self.server_streams: dict[int, Stream] = {}  # to servers that are connected
+        self.clients: dict[int, Stream] = {}  # Keyed by id() of the stream.
+        self.calls: dict[int, ClientCall] = {}  # Keyed by handle.
+        self.upstreams: dict[int, LineUpstream] = {}  # Keyed by server id.
+        self.server_streams: dict[int, Stream] = {}  # Streams to connected servers, keyed by server id.
         self._last_handle = 0
 
     def greeting(self) -> m.Hello:
-        """The first message to a server."""
+        """Return the first message to a server."""
         return m.Hello(m.PROTOCOL_VERSION, "proxy", self.process.id, self.process.zone, self.deployment)
 
     # Clients -------------------------------------------------------------------------------------
 
     def factory(self) -> StreamServerFactory:
-        """Accepts clients' streams."""
+        """Return the factory that accepts clients' streams."""
         return StreamServerFactory(
             self.reactor, self._welcome, self._on_client_message, self._on_client_lost, self._greeting_error
         )
@@ -95,7 +96,7 @@
 
     def _greeting_error(self, _greeting: Greeting) -> str | None:
         if len(self.clients) >= self.process.clients_most:
-            return f"{self.process.clients_most} clients are connected already"
+            return f"the limit of {self.process.clients_most} connected clients is reached"
         return None
 
     def close_clients(self) -> None:
@@ -114,19 +115,23 @@
                 else:
                     stream.reject(error)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"unexpected {type(message).__name__} message from a client")
 
     def _request_error(self, request: m.ClientRequest) -> str | None:
-        """Why a request is invalid, if it is."""
+        """Return why a request is invalid; None if it is valid."""
         class_count = len(self.engine.settings.request_classes)
         if not 0 <= request.class_index < class_count:
-            return f"class {request.class_index} is not among the {class_count}"
-        if not (0 <= request.key < MAX_KEY and 0 < request.remaining_s <= MAX_TIMEOUT_S):
-            return f"a key must be from 0 to 2^64 - 1, the time left above 0, up to {MAX_TIMEOUT_S:g} s"
+            return f"invalid request: class {request.class_index} is not from 0 to {class_count - 1}"
+        if not (0 <= request.key < KEY_LIMIT and 0 < request.remaining_s <= MAX_TIMEOUT_S):
+            return (
+                f"invalid request: key {request.key} is not from 0 to 2^64 - 1, or"
+                f" time left {request.remaining_s:g} s is not above 0 and at most {MAX_TIMEOUT_S:g} s"
+            )
         return None
 
     def _begin_request(self, stream: Stream, request: m.ClientRequest) -> None:
-        if self.stopping:  # nothing of it was executed: another proxy can take it
+        if self.stopping:
+            # The response says that nothing was executed, so that the client can use another proxy.
             status = AttemptStatus.SATURATED
             stream.send(m.ClientResponse(request.request_id, status, 0.0, may_have_executed=False))
             return
@@ -152,10 +157,10 @@
     # Servers -------------------------------------------------------------------------------------
 
     def on_upstream_lost(self, upstream: LineUpstream) -> None:
-        """A stream to a server was lost or not established."""
+        """Report a lost or failed stream to the engine, unless it was closed or replaced."""
         server_id = upstream.server_id
         if self.upstreams.get(server_id) is not upstream:
-            return  # it was closed, and maybe replaced
+            return  # This proxy closed the stream; another one may have replaced it.
         del self.upstreams[server_id]
         self.server_streams.pop(server_id, None)
         self.run_effects(self.engine.on_server_disconnected(self.now_s(), server_id))
--- a/puffintide/proxy/line_upstream.py
+++ b/puffintide/proxy/line_upstream.py
@@ -1,4 +1,4 @@
-"""The stream of the line protocol to one server."""
+"""The stream to one server in the line protocol."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class LineUpstream:
-    """Connects to one server once, and passes its responses to the engine."""
+    """Connects to one server without reconnecting, and passes its responses to the engine."""
 
     def __init__(self, proxy: LineProxy, server_id: int, address: str) -> None:
         self.proxy = proxy
         self.server_id = server_id
-        self._dialler = StreamClient(
+        self._stream_client = StreamClient(
             proxy.reactor,
             address,
             proxy.greeting,
@@ -36,12 +36,12 @@
         )
 
     def connect(self) -> None:
-        """Begin to connect."""
-        self._dialler.start()
+        """Start to connect."""
+        self._stream_client.start()
 
     def close(self) -> None:
         """Close the stream, or stop connecting."""
-        self._dialler.stop()
+        self._stream_client.stop()
 
     def _on_message(self, stream: Stream, message: AnyMessage) -> None:
         engine = self.proxy.engine
@@ -56,7 +56,7 @@
                 )
                 self.proxy.run_effects(effects)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for a proxy")
+                stream.reject(f"unexpected {type(message).__name__} message from a server")
 
     def _on_lost(self, _reason: str) -> None:
         self.proxy.on_upstream_lost(self)
--- a/puffintide/proxy/reactor.py
+++ b/puffintide/proxy/reactor.py
@@ -1,4 +1,4 @@
-"""What the proxy uses of a Twisted reactor and its transports, as types."""
+"""Types of the parts of a Twisted reactor and its transports that the proxy uses."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class DelayedCall(Protocol):
-    """A scheduled call, as of Twisted's IDelayedCall."""
+    """A scheduled call; a subset of Twisted's IDelayedCall."""
 
     def active(self) -> bool:
-        """Whether the call is still to be made."""
+        """Return whether the call is still pending."""
 
     def cancel(self) -> None:
-        """Prevent the call."""
+        """Cancel the call."""
 
     def getTime(self) -> float:  # noqa: N802
-        """When the call is to be made, in seconds of the reactor's clock."""
+        """Return the time of the call, in seconds of the reactor's clock."""
 
 
 class Reactor(Protocol):
-    """Clock, timers and outgoing connections, as of Twisted's IReactorTime, IReactorTCP and IReactorSSL."""
+    """Clock, timers and connections; a subset of Twisted's IReactorTime, IReactorTCP and IReactorSSL."""
 
     def seconds(self) -> float:
-        """The current time in seconds."""
+        """Return the current time in seconds."""
 
     def callLater(self, delay: float, callable: Callable[..., object], /, *args: object) -> DelayedCall:
         """Schedule a call after a delay in seconds."""
@@ -40,13 +40,13 @@
 
 
 class Transport(Protocol):
-    """A connection, as of Twisted's ITCPTransport and IPushProducer."""
+    """A connection; a subset of Twisted's ITCPTransport and IPushProducer."""
 
     def write(self, data: bytes) -> None:
-        """Send data."""
+        """Send data, or buffer it until it can be sent."""
 
     def abortConnection(self) -> None:
-        """Close at once, without sending what is buffered."""
+        """Close immediately and discard buffered data."""
 
     def loseConnection(self) -> None:
         """Close once all buffered data is sent."""
@@ -55,19 +55,19 @@
         """Stop reading."""
 
     def resumeProducing(self) -> None:
-        """Read on."""
+        """Resume reading."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:
-        """Call the producer's pauseProducing while the peer reads more slowly than we write."""
+        """Register the producer to pause while the peer reads more slowly than data is written."""
 
     def unregisterProducer(self) -> None:
-        """Undo registerProducer."""
+        """Remove the registered producer."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Send small segments without delay."""
+        """Set whether small segments are sent without delay (TCP_NODELAY)."""
 
 
 def cancel_if_active(call: DelayedCall | None) -> None:
-    """Prevent a scheduled call that was not made yet."""
+    """Cancel a scheduled call if it is still pending."""
     if call is not None and call.active():
         call.cancel()
--- a/puffintide/proxy/service.py
+++ b/puffintide/proxy/service.py
@@ -1,4 +1,4 @@
-"""One proxy process's wiring: line protocol, HTTP, control plane, state file, statistics, shutdown."""
+"""The service of one proxy: line protocol, HTTP, control plane, state file, statistics and shutdown."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 
 class ListeningPort(Protocol):
-    """A port on which clients connect, as of Twisted's IListeningPort."""
+    """A port that accepts clients; a subset of Twisted's IListeningPort."""
 
     def stopListening(self) -> object:
-        """Accept no more connections."""
+        """Stop accepting connections."""
 
 
 class ProxyService:
-    """One proxy. Several may live in one process; they share nothing but the reactor.
+    """One proxy. Several proxies may run in one process; they share only the reactor.
 
     Args:
-        reactor: Clock and connections.
+        reactor: Clock, timers and outgoing connections.
         config: Deployment, request classes and intervals.
         process: Identity, addresses and limits of this proxy.
-        log: Structured log.
-        tls: Context factory of outgoing streams; None: without TLS.
+        log: Structured log of this proxy.
+        tls: Context factory of outgoing streams; None disables TLS.
     """
 
     def __init__(
@@ -59,12 +59,12 @@
         self.config = config
         self.process = process
         self.log = log
-        self.listening_ports: list[ListeningPort] = []  # closed at shutdown
+        self.listening_ports: list[ListeningPort] = []  # Closed at shutdown.
         self._random: Random = random.Random(f"proxy:{process.id}").random
         self._counts: Counter[str] = Counter()
         self._timings = RequestTimings(process.access_every)
         self._saved_version = 0
-        self._on_stopped: Callable[[], None] | None = None  # set while shutting down
+        self._on_stopped: Callable[[], None] | None = None  # Set during shutdown.
         deployment = config.deployment.name
         settings = engine_settings(config, process)
         self.engine = Engine(settings, self._random)
@@ -80,11 +80,11 @@
         self.control_plane = ControlPlane(reactor, config, process, log, drivers, self._random, tls)
 
     def factory(self) -> StreamServerFactory:
-        """Accepts clients of the line protocol."""
+        """Return the factory that accepts clients of the line protocol."""
         return self.line_proxy.factory()
 
     def start(self) -> None:
-        """Load the state file, and connect to assigners and store."""
+        """Load the state file, connect to assigners and store, and start the periodic tasks."""
         if self.process.state:
             self._load_state()
             self.reactor.callLater(SAVE_INTERVAL_S, self._save_state)
@@ -98,8 +98,11 @@
     def stop(self, on_stopped: Callable[[], None]) -> None:
         """Shut down gracefully, then call `on_stopped`.
 
-        No new request is accepted, and open ones get their response, at most for the longest deadline of a class.
-        A second call ends this at once.
+        New requests are rejected. Open requests may complete within the longest deadline of a class. A second
+        call ends the wait immediately.
+
+        Args:
+            on_stopped: Called once no request is open and no client is connected, or at the end of the wait.
         """
         if self._on_stopped is not None:
             on_stopped()
@@ -124,7 +127,7 @@
         return bool(self.line_proxy.clients) or http_clients
 
     def _check_stopped(self) -> None:
-        """Close the clients' streams after the last response; end once they are closed."""
+        """Close the clients' streams after the last response, and call `on_stopped` once they are closed."""
         had_clients = self._has_clients()
         if not self._open_requests():
             self.line_proxy.close_clients()
@@ -133,7 +136,7 @@
                 return
         self.reactor.callLater(SHUTDOWN_CHECK_INTERVAL_S, self._check_stopped)
 
-    # Periodic work -------------------------------------------------------------------------------
+    # Periodic tasks ------------------------------------------------------------------------------
 
     def _count(self, event: str) -> None:
         self._counts[event] += 1
--- a/puffintide/proxy/upstream.py
+++ b/puffintide/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""The HTTP client side: connections to servers."""
+"""The client side of the HTTP proxy: connections to servers."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 if TYPE_CHECKING:
     from puffintide.proxy.http_proxy import HttpProxy
 
-NO_ATTEMPT = 0
+NO_ATTEMPT = 0  # Attempt id of a connection that has not served an attempt yet; real ids start at 1.
 
 
 @implementer(IHandshakeListener)
 class UpstreamConnection(Protocol):
-    """A connection to a server, one exchange at a time; kept open after a complete one.
+    """A connection to a server. It carries one exchange at a time and stays open after a complete one.
 
-    With TLS it is established once the server has shown the certificate of its id. Nothing of a request is written
-    before.
+    With TLS it is established once the server has presented a certificate for its id. No part of a request is
+    written before that.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -40,22 +40,23 @@
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=proxy.process.head_most)
         self.exchange: HttpExchange | None = None
         self.attempt_id = NO_ATTEMPT
-        self.idle_timeout: DelayedCall | None = None
+        # Timeout of the TLS handshake, later of an idle connection.
+        self.pending_timeout: DelayedCall | None = None
         self.established = False
         self.closed = False
 
     def connectionMade(self) -> None:
-        """TCP is connected; with TLS the handshake follows."""
+        """Set up the TCP connection; with TLS, limit the duration of the handshake that follows."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         if self.proxy.tls is None:
             self._on_established()
         else:
             timeout_s = self.proxy.process.connect_s
-            self.idle_timeout = self.proxy.reactor.callLater(timeout_s, self.transport.abortConnection)
+            self.pending_timeout = self.proxy.reactor.callLater(timeout_s, self.transport.abortConnection)
 
     def handshakeCompleted(self) -> None:
-        """The server has shown its certificate."""
+        """Check that the server's certificate is for its id; abort the connection otherwise."""
         expected_name = certificate_name("server", self.server_id, self.proxy.deployment)
         if expected_name in (peer_dns_names(self.transport) or set()):
             self._on_established()
@@ -68,16 +69,16 @@
         self.proxy.pools.on_established(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002
-        """The connection is closed, or its handshake failed."""
+        """Report a lost connection or a failed handshake to the connection pools."""
         self.closed = True
-        cancel_if_active(self.idle_timeout)
+        cancel_if_active(self.pending_timeout)
         if self.established:
             self.proxy.pools.on_connection_lost(self)
         else:
             self.proxy.pools.on_connect_failed(self.server_id)
 
     def abort(self) -> None:
-        """The response is no longer awaited: nobody could receive it."""
+        """Close the connection immediately, because no client waits for the response any more."""
         self.exchange = None
         self.closed = True
         self.transport.abortConnection()
@@ -85,8 +86,8 @@
     # Request -------------------------------------------------------------------------------------
 
     def begin_exchange(self, exchange: HttpExchange, attempt_id: int) -> None:
-        """Send a request: its head, and what of its body was received."""
-        cancel_if_active(self.idle_timeout)
+        """Send a request's head and the part of its body that was received so far."""
+        cancel_if_active(self.pending_timeout)
         self.exchange = exchange
         self.attempt_id = attempt_id
         exchange.upstream = self
@@ -108,14 +109,14 @@
             self._send(h11.Data(data=data))
 
     def send_end(self) -> None:
-        """The request is complete."""
+        """Send the end of the request."""
         if self.http.our_state is h11.SEND_BODY:
             self._send(h11.EndOfMessage())
 
     # Response ------------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:
-        """Data from the server."""
+        """Parse data from the server and process the events in it."""
         try:
             self.http.receive_data(data)
             while not self.closed:
@@ -158,7 +159,8 @@
         attempt_id = self.attempt_id
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
-            self.proxy.pools.on_connection_ready(self)  # first, so that the client's next request finds it
+            # Release the connection before the response ends, so that the client's next request can use it.
+            self.proxy.pools.on_connection_ready(self)
         else:
             self.closed = True
             close_gracefully(self.transport)
@@ -171,7 +173,7 @@
     # Flow control --------------------------------------------------------------------------------
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading from the server while the client reads slowly, or read on."""
+        """Pause reading from the server while the client reads slowly, or resume it."""
         if self.closed:
             return
         if paused:
@@ -180,21 +182,21 @@
             self.transport.resumeProducing()
 
     def pauseProducing(self) -> None:
-        """The server reads slowly: the client has to wait."""
+        """Pause reading from the client while the server reads slowly."""
         if self.exchange is not None:
             self.exchange.downstream.set_paused(True)
 
     def resumeProducing(self) -> None:
-        """The server has read on."""
+        """Resume reading from the client after the server has read on."""
         if self.exchange is not None:
             self.exchange.downstream.set_paused(False)
 
     def stopProducing(self) -> None:
-        """The transport is closed; connectionLost follows."""
+        """Do nothing: the transport is closed and connectionLost follows."""
 
 
 class UpstreamFactory(ClientFactory):
-    """Opens one connection to a server."""
+    """Creates the protocol of one connection to a server."""
 
     noisy = False
 
@@ -203,9 +205,9 @@
         self.server_id = server_id
 
     def buildProtocol(self, addr: IAddress | None) -> UpstreamConnection:  # noqa: ARG002
-        """A protocol for the connection."""
+        """Return the protocol of the connection."""
         return UpstreamConnection(self.proxy, self.server_id)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002
-        """The connection could not be established."""
+        """Report a failed connection to the connection pools."""
         self.proxy.pools.on_connect_failed(self.server_id)
--- a/puffintide/proxy/weight_tables.py
+++ b/puffintide/proxy/weight_tables.py
@@ -1,7 +1,8 @@
-"""What a proxy routes by: weight tables of the slices, their owners, withdrawn servers. No I/O, no clock.
+"""The routing tables of a proxy: weights and owners of the slices, and withdrawn servers. No I/O, no clock.
 
-Tables are received from the store (SliceOwnership) and from assigners (ProxyUpdate). A weight entry whose fencing
-token is older than the slice's is dropped, a newer one is adopted. All of an update takes effect together.
+Tables are received from the store (SliceOwnership) and from assigners (ProxyUpdate). A weight entry whose
+fencing token is older than the slice's token is dropped, and a newer token is adopted. All changes of an
+update take effect together.
 """
 
 from __future__ import annotations
@@ -41,7 +42,10 @@
         return 0 < ownership.tenure_token == self.tenure_token
 
     def is_older_than_update(self, ownership: SliceOwnership) -> bool:
-        """Whether the ownership was read before the last update was stored: then the weights here are newer."""
+        """Return whether the ownership was read before the last update was stored.
+
+        The weights in this table are then newer.
+        """
         same_tenure = ownership.fencing_token == self.fencing_token or self.continues_tenure(ownership)
         return same_tenure and ownership.batch < self.batch
 
@@ -53,7 +57,7 @@
         self.early_weights = None
 
     def adopt_newer_token(self, assigner_id: int, fencing_token: int) -> None:
-        """An update shows a newer token than known: its assigner owns the slice."""
+        """Adopt an update's newer fencing token, and its assigner as the owner of the slice."""
         if self.owner_id != assigner_id:
             self.tenure_token = UNKNOWN_TENURE
         self.owner_id = assigner_id
@@ -180,7 +184,7 @@
                 table.invalidate_balancers()
 
     def apply_update(self, assigner_id: int, update: ProxyUpdate) -> None:
-        """Apply all of an assigner's update."""
+        """Apply all changes of an assigner's update."""
         for slice_id in update.cleared_slices:
             self._clear_slice(assigner_id, slice_id, update.batch)
         for entry in update.weights:
--- a/puffintide/proxy/write_lease.py
+++ b/puffintide/proxy/write_lease.py
@@ -6,13 +6,16 @@
 
 
 class WriteLeases:
-    """Until when the slices of each assigner take writes. There is no lease before the assigner's first update."""
+    """The write lease of each assigner: the time until which its slices accept writes.
+
+    An assigner has no lease before its first update.
+    """
 
     def __init__(self) -> None:
         self._expires_at_s: dict[int, float] = {}  # by assigner
 
     def grant(self, assigner_id: int) -> None:
-        """The assigner has sent an update: its slices take writes until the connection to it is lost."""
+        """Let the assigner's slices accept writes until the connection to it is lost."""
         self._expires_at_s[assigner_id] = math.inf
 
     def limit(self, assigner_id: int, expires_at_s: float) -> None:
--- a/puffintide/tls/__init__.py
+++ b/puffintide/tls/__init__.py
@@ -1,1 +1,1 @@
-"""Certificates: a development authority, and TLS contexts that follow their files."""
+"""Certificates of a development authority, and TLS contexts that are reloaded when their files change."""
--- a/puffintide/tls/context.py
+++ b/puffintide/tls/context.py
@@ -1,4 +1,4 @@
-"""TLS contexts that follow their files: a new certificate holds for the next stream, and no stream is dropped."""
+"""TLS contexts that are reloaded when their files change, without closing open streams."""
 
 from __future__ import annotations
 
@@ -18,23 +18,25 @@
     pass
 
 
-def _keep_verdict(*arguments: Any) -> bool:
-    """Verification callback: accept what OpenSSL accepts."""
+def _accept_openssl_result(*arguments: Any) -> bool:
+    """Return the result of OpenSSL's own verification; used as its verification callback."""
     return bool(arguments[-1])
 
 
 @implementer(IOpenSSLContextFactory)
 class TlsContextFactory:
-    """Gives Twisted the context of each new stream. Both ends show a certificate of the same authority.
+    """Provides Twisted with the context of each new stream.
+
+    Both peers must present a certificate of the same authority.
 
     Args:
-        ca: File of the authority's certificate, PEM.
-        cert: File of the own certificate chain, PEM.
-        key: File of the own private key, PEM.
-        warn: Called with a text when a file has changed and can't be used; the last good context remains.
+        ca: Path of the authority's certificate, in PEM format.
+        cert: Path of this process's certificate chain, in PEM format.
+        key: Path of this process's private key, in PEM format.
+        warn: Called with an error text if changed files cannot be loaded; the last valid context stays.
 
     Raises:
-        TlsError: A file can't be used at the start.
+        TlsError: A file cannot be loaded at the start.
     """
 
     def __init__(self, ca: str, cert: str, key: str, warn: Callable[[str], None] = _ignore_warning) -> None:
@@ -46,7 +48,7 @@
         self._context = self._load()
 
     def _read_file_state(self) -> object:
-        """Changes whenever one of the files does."""
+        """Return a value that differs from the previous one if one of the files has changed."""
         try:
             stats = [os.stat(path) for path in (self.ca, self.cert, self.key)]
         except OSError as error:
@@ -58,16 +60,16 @@
             _require_readable(path)
         context = SSL.Context(SSL.TLS_METHOD)
         context.set_min_proto_version(SSL.TLS1_2_VERSION)
-        _use_file(self.ca, lambda: context.load_verify_locations(self.ca))
-        _use_file(self.cert, lambda: context.use_certificate_chain_file(self.cert))
-        _use_file(self.key, lambda: context.use_privatekey_file(self.key))
-        _use_file(self.key, context.check_privatekey)
-        context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, _keep_verdict)
-        context.set_session_cache_mode(SSL.SESS_CACHE_OFF)  # a resumed session would not be verified anew
+        _load_file(self.ca, lambda: context.load_verify_locations(self.ca))
+        _load_file(self.cert, lambda: context.use_certificate_chain_file(self.cert))
+        _load_file(self.key, lambda: context.use_privatekey_file(self.key))
+        _load_file(self.key, context.check_privatekey)
+        context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, _accept_openssl_result)
+        context.set_session_cache_mode(SSL.SESS_CACHE_OFF)  # A resumed session would skip verification.
         return context
 
     def getContext(self) -> SSL.Context:
-        """The context of the next stream."""
+        """Return the context of the next stream, after reloading changed files."""
         file_state = self._read_file_state()
         if file_state != self._file_state:
             self._file_state = file_state
@@ -83,20 +85,20 @@
         with open(path, "rb"):
             pass
     except OSError as error:
-        raise TlsError(f"{path}: {error.strerror}") from error
+        raise TlsError(f"cannot read {path}: {error.strerror}") from error
 
 
-def _use_file(path: str, use: Callable[[], object]) -> None:
+def _load_file(path: str, load: Callable[[], object]) -> None:
     try:
-        use()
+        load()
     except SSL.Error as error:
         reasons = error.args[0] if error.args else []
         text = "; ".join(str(reason[-1]) for reason in reasons)
-        raise TlsError(f"{path}: {text or 'unusable'}") from error
+        raise TlsError(f"cannot load {path}: {text or 'OpenSSL gives no reason'}") from error
 
 
 def peer_dns_names(transport: Any) -> set[str] | None:
-    """The DNS names in the peer's certificate; None on a stream without TLS."""
+    """Return the DNS names in the peer's certificate; None for a stream without TLS."""
     if not ISSLTransport.providedBy(transport):
         return None
     peer_certificate = transport.getPeerCertificate()
--- a/puffintide/tls/errors.py
+++ b/puffintide/tls/errors.py
@@ -4,8 +4,8 @@
 
 
 class TlsError(Exception):
-    """Files of certificates or keys can't be used; the text says which and why."""
+    """A certificate or key file cannot be loaded; the text names the file and the reason."""
 
 
 class KeyCreationError(TlsError):
-    """A key or certificate can't be created. Nothing is overwritten."""
+    """A key or certificate cannot be created. No file is overwritten."""
--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -200,7 +200,7 @@
             (m.ClientRequest(1, 9, 5, 1.0), "class 9"),
             (m.ClientRequest(1, 0, -5, 1.0), "key"),
             (m.ClientRequest(1, 0, 5, 0.0), "time left"),
-            (m.UsageReport(0.5), "not for a proxy"),
+            (m.UsageReport(0.5), "unexpected UsageReport message from a client"),
         ]:
             bad = setting.client()
             bad.send(message)
