--- a/tests/test_replication_processes.py
+++ b/tests/test_replication_processes.py
@@ -21,7 +21,7 @@
 
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
-from tests.peers import MAX_WAIT_S, PORTS, ListeningPeer, dial, process
+from tests.peers import LIMIT_S, PORTS, Door, dial, process
 
 pytestmark = pytest.mark.processes
 ROOT = Path(__file__).parent.parent
@@ -37,7 +37,7 @@
 
     def __init__(self, folder: Path, stack: contextlib.ExitStack) -> None:
         self.folder, self.stack = folder, stack
-        self.store_port, self.endpoint_list = PORTS.take(), ListeningPeer()
+        self.store_port, self.endpoint_list = PORTS.take(), Door()
         self.assigner_ports = [PORTS.take() for _ in range(ASSIGNER_COUNT)]
         self.processes: dict[str, Any] = {}
         rows = [
@@ -85,7 +85,7 @@
 
     def run_until(self, is_done: Callable[[Any], bool], *arguments: str) -> subprocess.CompletedProcess[str]:
         """Repeat a command until its result satisfies is_done."""
-        deadline = time.monotonic() + MAX_WAIT_S
+        deadline = time.monotonic() + LIMIT_S
         while not is_done(result := self.run_command(*arguments)):
             assert time.monotonic() < deadline, result.stdout + result.stderr
             time.sleep(0.2)
@@ -121,13 +121,13 @@
         assert str(SLICE_COUNT) not in ownerships.stdout, ownerships.stdout
         cluster.run_until(lambda result: result.returncode == 0, "store", "refill")
         reader = dial(cluster.store_port, m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, "t"))
-        reader.wait_for(lambda message: isinstance(message, m.Welcome))
+        reader.until(lambda message: isinstance(message, m.Welcome))
         restored: dict[int, m.SliceOwnership] = {}
-        deadline = time.monotonic() + MAX_WAIT_S
+        deadline = time.monotonic() + LIMIT_S
         while len(restored) < SLICE_COUNT or any(item.owner_id != 0 for item in restored.values()):
             assert time.monotonic() < deadline, restored
             reader.send(m.ReadRequest())
-            reply = reader.wait_for(lambda message: isinstance(message, m.SliceOwnerships | m.ReadComplete))
+            reply = reader.until(lambda message: isinstance(message, m.SliceOwnerships | m.ReadComplete))
             restored |= (
                 {item.slice_id: item for item in reply.ownerships}
                 if isinstance(reply, m.SliceOwnerships)
