--- a/puffintide/__init__.py
+++ b/puffintide/__init__.py
@@ -1,1 +1,1 @@
-"""puffintide: a traffic director for plain sidecar proxies."""
+"""puffintide: a control plane that tells sidecar proxies which servers handle each slice of keys."""
--- a/puffintide/__main__.py
+++ b/puffintide/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: python -m puffintide."""
+"""Entry point of the command line: `python -m puffintide`."""
 
 from puffintide.cli.main import cli
 
--- a/puffintide/logs.py
+++ b/puffintide/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: JSON lines on stderr or to a file, by structlog."""
+"""Structured logging with structlog: JSON lines on stderr or in a file."""
 
 from __future__ import annotations
 
@@ -10,27 +10,30 @@
 
 
 class Logger(Protocol):
-    """What the program uses of structlog's loggers: an event name, and its fields."""
+    """The part of structlog's logger interface that the program uses: an event name and its fields."""
 
     def info(self, event: str, **fields: Any) -> Any:
-        """Log something that is to be expected."""
+        """Log an expected event."""
 
     def warning(self, event: str, **fields: Any) -> Any:
-        """Log something that an operator should know of."""
+        """Log an event that an operator should know about."""
 
     def error(self, event: str, **fields: Any) -> Any:
-        """Log something that an operator has to act upon."""
+        """Log an event that requires action by an operator."""
 
 
 def setup(process: str, path: str = "", level: str = "info") -> Any:
-    """Configure logging, and return the logger of this process.
+    """Configure logging and return the logger of this process.
 
-    Each line has the process, its level, the event and the wall-clock time (UTC).
+    Each line holds the process name, the level, the event and the wall-clock time in UTC.
 
     Args:
-        process: Name of the process.
-        path: The file that is appended to; empty: stderr.
-        level: The lowest level that is logged.
+        process: Name of the process, added to each line.
+        path: File to which lines are appended; stderr if empty.
+        level: Lowest level that is logged.
+
+    Returns:
+        The structlog logger, bound to the process name.
     """
     target = open(path, "a", encoding="utf-8", buffering=1) if path else sys.stderr  # noqa: SIM115
     structlog.configure(
--- a/puffintide/protocol/__init__.py
+++ b/puffintide/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The program's own protocol: typed messages, one codec, a session without I/O, and its Twisted protocol."""
+"""The line-based JSON protocol: typed messages, codec, a session without I/O, and its Twisted transport."""
--- a/puffintide/protocol/client.py
+++ b/puffintide/protocol/client.py
@@ -1,4 +1,4 @@
-"""A client that keeps a stream to one address, and reconnects with backoff."""
+"""A client that maintains a stream to one address and reconnects with backoff."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class _StreamClientFactory(ClientFactory):
-    """Makes the stream of one connection of a StreamClient."""
+    """Twisted factory that creates the Stream of each connection of a StreamClient."""
 
     noisy = False
 
@@ -32,28 +32,30 @@
     def buildProtocol(self, _addr: IAddress | None) -> Stream:
         client = self.client
         session = Session(client.greeting_factory(), client.heartbeat_interval_s, client.heartbeat_timeout_s)
-        return Stream(client.reactor, session, client.on_message, client.stream_lost)
+        return Stream(client.reactor, session, client.on_message, client.handle_stream_lost)
 
     def clientConnectionFailed(self, _connector: Any, reason: Failure) -> None:
-        self.client.connection_failed(reason.getErrorMessage())
+        self.client.handle_connection_failed(reason.getErrorMessage())
 
 
 class StreamClient:
-    """Keeps a stream to one address: reconnects after a backoff that doubles up to its limit, with jitter.
+    """Maintains a stream to one address and reconnects when it is lost.
+
+    The delay between attempts doubles up to a limit and is randomized by jitter.
 
     Args:
-        reactor: For connections and timers.
-        address: HOST:PORT.
-        greeting_factory: Returns this end's Hello, once for each connection.
-        on_message: As of Stream.
-        on_lost: Called with the reason for each stream that was lost, and each connection that failed.
-        jitter: Returns a number from 0 to 1 for each backoff, which is then 0.5 to 1.5 times as long.
-        backoff_s: The first and the longest backoff.
-        reconnect: Whether to connect more than once.
-        heartbeat_interval_s: As of Session.
-        heartbeat_timeout_s: As of Session.
-        connect_timeout_s: Until an attempt to connect has failed.
-        tls: Certificates; None for plain TCP.
+        reactor: Reactor that opens connections and schedules timers.
+        address: Address of the peer, as HOST:PORT.
+        greeting_factory: Returns this end's Hello. Called once for each connection.
+        on_message: Handler of messages, as in Stream.
+        on_lost: Called with the reason after each lost stream and each failed connection attempt.
+        jitter: Returns a number from 0 to 1 for each backoff, which scales the backoff by 0.5 to 1.5.
+        backoff_s: Minimum and maximum backoff in seconds.
+        reconnect: Whether to reconnect after a failure or a lost stream.
+        heartbeat_interval_s: Interval of heartbeats in seconds, as in Session.
+        heartbeat_timeout_s: Timeout of heartbeats in seconds, as in Session.
+        connect_timeout_s: Time in seconds after which a connection attempt fails.
+        tls: TLS configuration; None for plain TCP.
     """
 
     def __init__(
@@ -90,7 +92,11 @@
         self._connector: Any = None
 
     def start(self) -> StreamClient:
-        """Begins to connect, unless stopped; returns itself."""
+        """Start connecting unless the client is stopped.
+
+        Returns:
+            The client itself.
+        """
         self._reconnect_timer = None
         if self.stopped:
             return self
@@ -103,14 +109,14 @@
             )
         return self
 
-    def stream_lost(self, stream: Stream, reason: AnyMessage) -> None:
-        """The stream was closed; a complete handshake resets the backoff."""
+    def handle_stream_lost(self, stream: Stream, reason: AnyMessage) -> None:
+        """Handle a closed stream; a completed handshake resets the backoff."""
         if stream.established:
             self.consecutive_failures = 0
-        self.connection_failed(reason.reason if isinstance(reason, ConnectionRejected) else "")
+        self.handle_connection_failed(reason.reason if isinstance(reason, ConnectionRejected) else "")
 
-    def connection_failed(self, reason: str) -> None:
-        """There is no connection any more, or there was none; schedules the next."""
+    def handle_connection_failed(self, reason: str) -> None:
+        """Report a lost or failed connection and schedule the next attempt."""
         self.consecutive_failures += 1
         if self.on_lost is not None:
             self.on_lost(reason)
@@ -124,7 +130,7 @@
         return min(self.max_backoff_s, self.min_backoff_s * factor)
 
     def stop(self) -> None:
-        """Closes the stream and does not connect again."""
+        """Close the stream and stop reconnecting."""
         self.stopped = True
         if self._reconnect_timer is not None:
             self._reconnect_timer.cancel()
--- a/puffintide/protocol/clock.py
+++ b/puffintide/protocol/clock.py
@@ -1,4 +1,4 @@
-"""What the program takes of a Twisted reactor, and the process's reactor on the monotonic clock."""
+"""Interfaces of the Twisted reactor that the program uses, and the reactor on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -8,36 +8,40 @@
 
 
 class Timer(Protocol):
-    """A call that is scheduled."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Makes the call not happen. Raises twisted.internet.error.AlreadyCalled when it has."""
+        """Cancel the call.
+
+        Raises:
+            twisted.internet.error.AlreadyCalled: The call has already happened.
+        """
 
 
 class Clock(Protocol):
-    """Time and timers, as of Twisted's IReactorTime."""
+    """Time and timers, as in Twisted's IReactorTime."""
 
     def seconds(self) -> float:
-        """The present time in seconds; its origin is arbitrary."""
+        """Return the current time in seconds since an arbitrary origin."""
 
     def callLater(self, delay: float, callable: Callable[..., object], /, *args: object) -> Timer:
-        """Schedules a call after a delay in seconds."""
+        """Schedule a call after a delay in seconds."""
 
 
 class ConnectingReactor(Clock, Protocol):
-    """A clock that also opens connections, as of Twisted's IReactorTCP and IReactorSSL."""
+    """A clock that also opens connections, as in Twisted's IReactorTCP and IReactorSSL."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float, /) -> Any:
-        """Opens a TCP connection within a timeout in seconds; returns an IConnector."""
+        """Open a TCP connection with a timeout in seconds and return its IConnector."""
 
     def connectSSL(self, host: str, port: int, factory: Any, context: Any, timeout: float, /) -> Any:
-        """Opens a TLS connection within a timeout in seconds; returns an IConnector."""
+        """Open a TLS connection with a timeout in seconds and return its IConnector."""
 
 
 def monotonic_reactor() -> Any:
-    """The process's reactor, its seconds() being the machine's monotonic clock.
+    """Return the process's reactor with seconds() replaced by the monotonic clock.
 
-    A wall clock that is set then affects no timer. To be called before any timer is set.
+    Adjustments of the wall clock then affect no timer. Must be called before the first timer is scheduled.
     """
     from twisted.internet import reactor
 
--- a/puffintide/protocol/errors.py
+++ b/puffintide/protocol/errors.py
@@ -1,27 +1,27 @@
-"""Errors of the protocol. Whoever catches one closes the stream."""
+"""Errors of the protocol. The code that catches one closes the stream."""
 
 from __future__ import annotations
 
 
 class ProtocolError(Exception):
-    """A peer broke the protocol, or a message can't be sent by it; the text says what and where."""
+    """Base of protocol errors: a peer violated the protocol, or a message cannot be sent."""
 
 
 class MessageTooLongError(ProtocolError):
-    """A message is longer than a line may be."""
+    """An encoded message exceeds the maximum length of a line."""
 
 
 class MessageDecodeError(ProtocolError):
-    """A line is not a message, or one of its fields is missing or of the wrong type."""
+    """A line is not a message, or a field is missing or has the wrong type."""
 
 
 class HandshakeError(ProtocolError):
-    """A peer's first message is missing, repeated, or one that is not accepted here."""
+    """A peer's greeting is missing, repeated or not accepted by this end."""
 
 
 class PeerRejectedError(ProtocolError):
-    """The peer has rejected this end of the stream, and closes it."""
+    """The peer has rejected this end and closes the stream."""
 
 
 class HeartbeatTimeoutError(ProtocolError):
-    """Nothing was received from the peer for too long."""
+    """No message was received from the peer within the heartbeat timeout."""
--- a/puffintide/protocol/messages/__init__.py
+++ b/puffintide/protocol/messages/__init__.py
@@ -1,7 +1,8 @@
-"""Messages of the program's own protocol, one a line of JSON. docs/wire.md describes their keys on the wire.
+"""Messages of the line-based JSON protocol. docs/wire.md describes their keys on the wire.
 
-Times are in seconds, ids are integers. The codec skips keys that are not known, so that a newer peer of the same
-protocol version may send more. Each module holds the messages of one counterpart; this package exports them all.
+Times are in seconds and ids are integers. The codec ignores unknown keys, so that a newer peer with the same
+protocol version may send additional ones. Each module holds the messages exchanged with one kind of peer;
+this package exports all of them.
 """
 
 from __future__ import annotations
--- a/puffintide/protocol/messages/base.py
+++ b/puffintide/protocol/messages/base.py
@@ -1,4 +1,4 @@
-"""Base class of all messages, and the version of the protocol that they make up."""
+"""Base class of all messages, and the protocol version."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class Message(msgspec.Struct, frozen=True, omit_defaults=True, tag_field="t"):
-    """Base of all messages. A message is one JSON object whose key `t` names its type.
+    """Base of all messages: one JSON object whose key `t` names the message type.
 
-    Fields that have their default value are left out on the wire. The key of a field on the wire is the field's
-    name unless the class maps it by `rename`.
+    Fields with their default value are omitted on the wire. The key of a field on the wire is its name,
+    unless the class maps it with `rename`.
     """
--- a/puffintide/protocol/messages/emulator_control.py
+++ b/puffintide/protocol/messages/emulator_control.py
@@ -1,4 +1,4 @@
-"""Messages by which a scenario controls emulators, and the result of a command."""
+"""Messages with which a scenario controls emulators, and the reply to a completed command."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class EmulatorCommand(Message, tag="control", frozen=True, rename={"operation": "what", "arguments": "args"}):
-    """Makes an emulator or a recording proxy inject a fault; the names are those of the scenario's faults."""
+    """Command to an emulator or a recording proxy to inject a fault; operations are named as in scenarios."""
 
     operation: str
     arguments: dict[str, float | int | str | list[int]] = field(default_factory=dict)
 
 
 class CommandCompleted(Message, tag="done", frozen=True):
-    """A command has been carried out."""
+    """Reply that a command has been completed."""
 
-    note: str = ""  # for the person who gave the command
+    note: str = ""  # Text for the operator who issued the command.
--- a/puffintide/protocol/messages/handshake.py
+++ b/puffintide/protocol/messages/handshake.py
@@ -1,4 +1,4 @@
-"""Messages of every stream: the handshake, a rejection, and heartbeats."""
+"""Messages common to all streams: handshake, rejection and heartbeats."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class PeerRole(StrEnum):
-    """What a party of the protocol is.
+    """Role of a peer in the protocol.
 
-    The fields of messages stay plain strings, so that a role which is not known here is rejected with a reason.
+    Message fields hold plain strings, so that a peer with an unknown role is rejected with a reason.
     """
 
     ASSIGNER = "assigner"
@@ -28,36 +28,37 @@
     frozen=True,
     rename={"incarnation": "start", "first_connection": "fresh", "highest_token": "token"},
 ):
-    """First message of the party that connected: who it is."""
+    """First message from the peer that opened the connection, which identifies it."""
 
-    version: int  # of the protocol
-    role: str  # a PeerRole
-    id: int  # number of the party within its role
+    version: int  # Protocol version.
+    role: str  # One of PeerRole.
+    id: int  # Number of the sender within its role.
     zone: int = 0
-    deployment: str = ""  # name of the deployment that the party belongs to
-    incarnation: int = 0  # rises at each start of the process
-    first_connection: bool = False  # of a proxy to this peer since the proxy started
-    highest_token: int = 0  # highest fencing token seen, by which a store notices that it is an older copy
+    deployment: str = ""  # Name of the deployment that the sender belongs to.
+    incarnation: int = 0  # Increases each time the sender's process starts.
+    first_connection: bool = False  # Whether this is a proxy's first connection to the peer since its start.
+    # Highest fencing token that the sender has seen. It tells a store that it runs on an outdated copy.
+    highest_token: int = 0
 
 
 class Welcome(Message, tag="welcome", frozen=True, rename={"incarnation": "start"}):
-    """First message of the party that was connected to; nothing else is sent to that party before."""
+    """First message from the peer that accepted the connection; until then the other sends only its Hello."""
 
-    version: int  # of the protocol
-    role: str  # a PeerRole
-    id: int  # number of the party within its role
-    incarnation: int = 0  # rises at each start of the process
+    version: int  # Protocol version.
+    role: str  # One of PeerRole.
+    id: int  # Number of the sender within its role.
+    incarnation: int = 0  # Increases each time the sender's process starts.
 
 
 class ConnectionRejected(Message, tag="refuse", frozen=True):
-    """Last message before its sender closes the stream."""
+    """Last message before its sender closes the stream, with the reason."""
 
-    reason: str  # for a person who reads the log
+    reason: str  # Human-readable text for the log.
 
 
 class Ping(Message, tag="ping", frozen=True):
-    """Heartbeat, to be answered with a Pong."""
+    """Heartbeat that the peer answers with a Pong."""
 
 
 class Pong(Message, tag="pong", frozen=True):
-    """Answer to a Ping."""
+    """Reply to a Ping."""
--- a/puffintide/protocol/messages/proxy_channel.py
+++ b/puffintide/protocol/messages/proxy_channel.py
@@ -1,4 +1,4 @@
-"""Messages between an assigner and a proxy: weights and withdrawals one way, usage the other way."""
+"""Messages between assigners and proxies: weights and withdrawals to proxies, usage reports to assigners."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class WeightEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Sets the weight of one server in the table of one slice."""
+    """Weight of one server in the table of one slice."""
 
     slice_id: int
     server_id: int
-    weight: float  # relative to the other servers of the slice; 0 removes the server
-    fencing_token: int = 0  # of the slice's ownership
-    address: str = ""  # HOST:PORT of the server; empty if not given
-    zone: int = -1  # of the server; -1 if not given
+    weight: float  # Relative to the other servers of the slice; 0 removes the server.
+    fencing_token: int = 0  # Fencing token of the slice's ownership.
+    address: str = ""  # HOST:PORT of the server; empty if not given.
+    zone: int = -1  # Zone of the server; -1 if not given.
 
 
 class AdmissionLevel(msgspec.Struct, frozen=True, array_like=True):
-    """Fraction of the requests of some classes that is admitted to a slice, and how failed attempts are retried."""
+    """Admitted fraction of requests and retry mode for some request classes of one slice."""
 
-    slice_id: int  # 65535: all slices that the sender owns
-    class_mask: int  # sum of 2 ** class_index; 0: all classes
-    fraction: float  # of requests that is admitted, 1 being all
-    retry_mode: int  # 0 to 3, as docs/wire.md lists them
+    slice_id: int  # 65535: all slices that the sender owns.
+    class_mask: int  # Bit mask with bit class_index set for each class; 0: all classes.
+    fraction: float  # Fraction of requests that are admitted; 1 admits all.
+    retry_mode: int  # 0 to 3, as listed in docs/wire.md.
 
 
 class ProxyUpdate(
@@ -43,50 +43,52 @@
         "checkpoint_id": "mark",
     },
 ):
-    """What an assigner changes at one proxy at one time. All of it takes effect together."""
+    """Set of changes from an assigner that a proxy applies atomically."""
 
-    batch: int  # rises by one with each update of this assigner, the same for all proxies concerned
-    ordered_at_s: float  # on the assigner's monotonic clock
-    channel_cost: float  # in entries that the update counts for in the channel, its head included
+    # Increases by one with each update of this assigner. The update has the same batch at all proxies.
+    batch: int
+    ordered_at_s: float  # Time at which the update was issued, on the assigner's monotonic clock.
+    channel_cost: float  # Cost of the update in the channel, in entries, including its fixed overhead.
     weights: list[WeightEntry] = field(default_factory=list)
-    cleared_slices: list[int] = field(
-        default_factory=list
-    )  # lose all weights and levels, before the weights are set
-    withdrawn_servers: list[int] = field(
-        default_factory=list
-    )  # get no further attempts until they are readmitted
+    # Slices that lose all weights and admission levels before the new weights are set.
+    cleared_slices: list[int] = field(default_factory=list)
+    # Servers that receive no further attempts until they are readmitted.
+    withdrawn_servers: list[int] = field(default_factory=list)
     readmitted_servers: list[int] = field(default_factory=list)
     admission_levels: list[AdmissionLevel] = field(default_factory=list)
-    checkpoint_id: int | None = None  # to be answered with a CheckpointReply
+    checkpoint_id: int | None = None  # Checkpoint that the proxy confirms with a CheckpointReply.
 
 
 class CheckpointReply(Message, tag="applied", frozen=True, rename={"checkpoint_id": "mark"}):
-    """The proxy has applied the update with this checkpoint and all before it."""
+    """Confirmation that a proxy has applied the update with this checkpoint and all earlier ones."""
 
     checkpoint_id: int
 
 
 class ServerUsage(msgspec.Struct, frozen=True, array_like=True):
-    """Attempts of one proxy at one server over the interval of a usage report."""
+    """Counters of one proxy's attempts at one server over the interval of a usage report."""
 
     server_id: int
     attempts: int
     failed_attempts: int
-    success_latency_total_s: float  # sum over the successful attempts
-    load_values: list[float] = []  # newest load report of the server, in the order of [reports] names
+    success_latency_total_s: float  # Sum of the latencies of the successful attempts.
+    load_values: list[float] = []  # Latest load report of the server, in the order of `names` in [reports].
 
 
 class SliceUsage(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one class for one slice over the interval of a usage report."""
+    """Counters of the requests of one class for one slice over the interval of a usage report."""
 
-    slice_id: int  # 0, standing for the proxy itself, where the deployment has no slices
+    slice_id: int  # 0 in a deployment without slices, where it stands for the proxy itself.
     class_index: int
     requests: int
-    unanswered: int  # admitted requests without a successful response
+    unanswered: int  # Number of admitted requests without a successful response.
 
 
 class UsageReport(Message, tag="sums", frozen=True, rename={"interval_s": "span_s"}):
-    """Usage counters of a proxy since its last report on this stream; each request and attempt counts once."""
+    """Usage counters of a proxy since its last report on this stream.
+
+    Each request and each attempt is counted in exactly one report.
+    """
 
     interval_s: float
     servers: list[ServerUsage] = field(default_factory=list)
--- a/puffintide/protocol/messages/replication.py
+++ b/puffintide/protocol/messages/replication.py
@@ -1,4 +1,4 @@
-"""Messages between assigners that replicate their state, and from an empty store that is restored from replicas."""
+"""Messages that replicate state between assigners and restore an empty store from the replicas."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 from puffintide.protocol.messages.base import Message
 
-Value = tuple[float | str, ...]  # its layout depends on the type of the row: docs/replication.md
+Value = tuple[float | str, ...]  # The layout depends on the row type; see docs/replication.md.
 
 
 class ReplicaVersion(msgspec.Struct, frozen=True, array_like=True):
-    """How much the sender has of what one assigner wrote."""
+    """Version of one origin's state that the sender holds."""
 
-    origin_id: int  # number of the assigner that wrote it
-    incarnation: int  # of the origin
-    sequence: int  # up to which the sender has all
-    compacted_sequence: int = 0  # up to which deletions are forgotten
+    origin_id: int  # Number of the assigner that wrote the state.
+    incarnation: int  # Incarnation of the origin.
+    sequence: int  # The sender holds all changes up to this sequence number.
+    compacted_sequence: int = 0  # Deletions up to this sequence number are no longer recorded.
 
 
 class VersionDigest(Message, tag="digest", frozen=True, rename={"request_missing": "ask"}):
-    """What the sender has of each origin, or is being sent by other peers."""
+    """Versions of all origins that the sender holds or is receiving from other peers."""
 
     versions: list[ReplicaVersion]
-    request_missing: bool = True  # whether the receiver is to send what it has beyond that
+    request_missing: bool = True  # Whether the receiver is to send the changes that the sender lacks.
 
 
 class ReplicatedRow(msgspec.Struct, frozen=True, array_like=True):
-    """One row of replicated state."""
+    """Row of replicated state."""
 
     row_type: str
-    row_id: int  # of a slice or server; -1 where there is one row of the type
-    sequence: int  # of the write, at its origin
-    age_s: float  # since the origin observed it, when this was written
+    row_id: int  # Id of a slice or server; -1 for a row type that has only one row.
+    sequence: int  # Sequence number that the origin gave the write.
+    age_s: float  # Time between the origin's observation of the row and the writing of this message.
     value: Value
 
 
@@ -50,27 +50,27 @@
         "deletions": "gone",
     },
 ):
-    """All that changed of one origin after one sequence and up to another."""
+    """All changes of one origin in a range of sequence numbers."""
 
     origin_id: int
-    incarnation: int  # of the origin
-    after_sequence: int  # 0: from the beginning
-    through_sequence: int
-    latest_sequence: int  # up to which the sender has more to send
-    compacted_sequence: int  # deletions up to here are forgotten; a receiver that lacks some starts anew
+    incarnation: int  # Incarnation of the origin.
+    after_sequence: int  # Exclusive lower bound of the range; 0: from the beginning.
+    through_sequence: int  # Inclusive upper bound of the range.
+    latest_sequence: int  # Latest sequence number that the sender holds and will send.
+    # Deletions up to this sequence number are no longer recorded. A receiver that lacks some starts over.
+    compacted_sequence: int
     rows: list[ReplicatedRow] = field(default_factory=list)
-    deletions: list[tuple[str, int, int]] = field(
-        default_factory=list
-    )  # (row_type, row_id, sequence of the deletion)
+    # Tuples of row type, row id and the sequence number of the deletion.
+    deletions: list[tuple[str, int, int]] = field(default_factory=list)
 
 
 class RestoreFromReplicas(Message, tag="refill", frozen=True, rename={"operator": "by"}):
-    """An operator's command to an empty store: continue with the tables of the assigners that are connected."""
+    """Operator command to an empty store to restore its tables from the connected assigners."""
 
-    operator: str = ""  # who gave the command, for the log
+    operator: str = ""  # Operator who issued the command, for the log.
 
 
 class ReplicaRequest(Message, tag="ask_copies", frozen=True, rename={"tables_only": "tables"}):
-    """From the store, or an operator: asks an assigner for the state that it replicates."""
+    """Request from the store or an operator for the replicated state that an assigner holds."""
 
-    tables_only: bool = True  # False: rows of all types
+    tables_only: bool = True  # If False, rows of all types are sent.
--- a/puffintide/protocol/messages/requests.py
+++ b/puffintide/protocol/messages/requests.py
@@ -1,4 +1,4 @@
-"""Messages of the request path: client to proxy, proxy to server, and an assigner's health checks of servers."""
+"""Messages of the request path from client to proxy to server, and health checks of servers by assigners."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class AttemptStatus(IntEnum):
-    """Outcome of an attempt, a request or a health check, numbered as on the wire.
+    """Outcome of an attempt, a request or a health check, with its number on the wire.
 
-    The fields of messages stay plain integers, so that a number which is not known here is no error.
+    Message fields hold plain integers, so that an unknown number is not an error.
     """
 
     OK = 0
     ERROR = 1
-    SATURATED = 2  # rejected without being executed, for lack of capacity
+    SATURATED = 2  # The server rejected the request without executing it, for lack of capacity.
     TIMEOUT = 3
     UNREACHABLE = 4
-    RESET = 5  # the connection was lost before the response
+    RESET = 5  # The connection was lost before the response arrived.
 
 
 class ClientRequest(
@@ -29,13 +29,13 @@
     frozen=True,
     rename={"request_id": "id", "class_index": "request_class", "remaining_s": "left_s"},
 ):
-    """A client's request to its proxy."""
+    """Request from a client to its proxy."""
 
-    request_id: int  # chosen by the client, unique on its stream
+    request_id: int  # Chosen by the client; unique on its stream.
     class_index: int
-    key: int  # determines the slice
-    remaining_s: float  # until the client gives up
-    work_s: float = 0.0  # for emulated servers only: virtual work at a core of speed 1
+    key: int  # Determines the slice.
+    remaining_s: float  # Time until the client gives up.
+    work_s: float = 0.0  # Used by emulated servers only: simulated CPU time on a core of speed 1.
 
 
 class ClientResponse(
@@ -44,12 +44,12 @@
     frozen=True,
     rename={"request_id": "id", "retry_after_s": "again_s", "may_have_executed": "ran"},
 ):
-    """The final response to a client's request."""
+    """Final response to a client's request."""
 
     request_id: int
-    status: int  # an AttemptStatus
-    retry_after_s: float = 0.0  # with a rejection: how long to wait before a retry
-    may_have_executed: bool = True  # False: certain that no server executed the request
+    status: int  # One of AttemptStatus.
+    retry_after_s: float = 0.0  # Time to wait before a retry, if the request was rejected.
+    may_have_executed: bool = True  # False only if it is certain that no server executed the request.
 
 
 class AttemptRequest(
@@ -66,46 +66,48 @@
         "remaining_s": "left_s",
     },
 ):
-    """One attempt of a request at a server."""
+    """Attempt of a request at one server."""
 
-    attempt_id: int  # unique on this stream
-    request_id: int  # with proxy_id it names the client's request, the same for all its attempts
+    attempt_id: int  # Unique on this stream.
+    request_id: int  # Identifies the client's request together with proxy_id; the same for all attempts.
     proxy_id: int
     slice_id: int
     class_index: int
     key: int
-    attempt_number: int  # 0 for the first attempt of the request
-    remaining_s: float  # until the client gives up
-    work_s: float = 0.0  # for emulated servers only: virtual work at a core of speed 1
+    attempt_number: int  # 0 for the first attempt of the request.
+    remaining_s: float  # Time until the client gives up.
+    work_s: float = 0.0  # Used by emulated servers only: simulated CPU time on a core of speed 1.
 
 
 class AttemptResponse(
     Message, tag="answer", frozen=True, rename={"attempt_id": "id", "load_values": "values"}
 ):
-    """A server's response to an attempt."""
+    """Response of a server to an attempt."""
 
     attempt_id: int
-    status: int  # an AttemptStatus
-    load_values: list[float] = field(default_factory=list)  # load report, in the order of [reports] names
+    status: int  # One of AttemptStatus.
+    # Load report, in the order of `names` in [reports].
+    load_values: list[float] = field(default_factory=list)
 
 
 class CancelAttempt(Message, tag="cancel", frozen=True, rename={"attempt_id": "id"}):
-    """The response to an attempt is no longer awaited; the server may go on with it."""
+    """Notice that the response to an attempt is no longer awaited; the server may still complete it."""
 
     attempt_id: int
 
 
 class HealthCheckRequest(Message, tag="probe", frozen=True, rename={"check_id": "id"}):
-    """An assigner's health check of a server."""
+    """Health check of a server by an assigner."""
 
-    check_id: int  # unique on this stream
+    check_id: int  # Unique on this stream.
 
 
 class HealthCheckResponse(
     Message, tag="probed", frozen=True, rename={"check_id": "id", "load_values": "values"}
 ):
-    """A server's response to a health check."""
+    """Response of a server to a health check."""
 
     check_id: int
-    status: int  # an AttemptStatus
-    load_values: list[float] = field(default_factory=list)  # load report, in the order of [reports] names
+    status: int  # One of AttemptStatus.
+    # Load report, in the order of `names` in [reports].
+    load_values: list[float] = field(default_factory=list)
--- a/puffintide/protocol/messages/store.py
+++ b/puffintide/protocol/messages/store.py
@@ -1,4 +1,4 @@
-"""Messages between the store and assigners, proxies and operators: tables, ownership and backups."""
+"""Messages between the store and assigners, proxies and operators: tables, slice ownership and backups."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class TableEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One server of a slice's table, as the store has it."""
+    """One server in a slice's table as recorded by the store."""
 
     server_id: int
-    weight: float  # relative to the other servers of the slice, above 0
-    address: str = ""  # HOST:PORT of the server; empty if not known
-    zone: int = -1  # of the server; -1 if not known
+    weight: float  # Relative to the other servers of the slice; above 0.
+    address: str = ""  # HOST:PORT of the server; empty if unknown.
+    zone: int = -1  # Zone of the server; -1 if unknown.
 
 
 class SliceOwnership(
@@ -32,92 +32,93 @@
         "tenure_token": "since",
     },
 ):
-    """A slice's table and the assigner that owns it. For that assigner it grants the slice."""
+    """Table and owner of a slice. Sent to the owner, it grants the ownership."""
 
     slice_id: int
-    fencing_token: int  # rises with each change of ownership; a write with an older one is rejected
-    owner_id: int  # number of the assigner; -1: nobody
+    fencing_token: int  # Increases with each change of ownership; a write with an older token is rejected.
+    owner_id: int  # Number of the owning assigner; -1: none.
     entries: list[TableEntry] = field(default_factory=list)
-    batch: int = 0  # of the last write in this tenure; a proxy that has a later update keeps its weights
-    tenure_token: int = 0  # first token of this unbroken ownership by one incarnation of the assigner
+    batch: int = 0  # Batch of the last write in this tenure; a proxy with a later update keeps its weights.
+    tenure_token: int = 0  # First fencing token of this tenure: uninterrupted ownership by one incarnation.
 
 
 class SliceOwnerships(Message, tag="charges", frozen=True, rename={"ownerships": "charges"}):
-    """Part of a read, or all that one event changed."""
+    """Part of the response to a read, or all ownerships that one event changed."""
 
-    ownerships: list[SliceOwnership]  # MAX_OWNERSHIPS_PER_MESSAGE at most
+    ownerships: list[SliceOwnership]  # At most MAX_OWNERSHIPS_PER_MESSAGE.
 
 
 class OwnershipRevoked(
     Message, tag="taken", frozen=True, rename={"slice_id": "slice", "fencing_token": "token"}
 ):
-    """The assigner that gets this no longer owns the slice."""
+    """Notice to an assigner that it no longer owns a slice."""
 
     slice_id: int
-    fencing_token: int  # of the next owner
+    fencing_token: int  # Fencing token of the next owner.
 
 
 class WriteRequest(Message, tag="write", frozen=True, rename={"weights": "lines"}):
-    """Weights of slices that the writer owns; each entry is taken or rejected by itself."""
+    """Weights of slices that the writer owns; the store accepts or rejects each entry individually."""
 
-    batch: int  # of the update to the proxies that says the same
+    batch: int  # Batch of the proxy update with the same weights.
     weights: list[WeightEntry]
 
 
 class WriteRejected(Message, tag="refused", frozen=True, rename={"slice_id": "slice"}):
-    """The store did not take what a write said of one slice."""
+    """Rejection of the entries that a write holds for one slice."""
 
-    batch: int  # of the write
+    batch: int  # Batch of the rejected write.
     slice_id: int
-    reason: str  # for a person who reads the log
+    reason: str  # Human-readable text for the log.
 
 
 class ReadRequest(
     Message, tag="read", frozen=True, rename={"since_revision": "since", "store_id": "identity"}
 ):
-    """Asks the store for tables and ownership; the response is SliceOwnerships, then ReadComplete.
+    """Request for tables and ownership; the store responds with SliceOwnerships, then ReadComplete.
 
-    With the identity and revision of an earlier ReadComplete of the same store, only what changed since is sent.
+    If the identity and revision of an earlier ReadComplete of the same store are given, it sends only what
+    has changed since that revision.
     """
 
-    since_revision: int = -1  # -1: everything
+    since_revision: int = -1  # -1: everything.
     store_id: str = ""
 
 
 class ReadComplete(
     Message, tag="read_end", frozen=True, rename={"slice_count": "slices", "store_id": "identity"}
 ):
-    """All that a read asked for has been sent."""
+    """End of the response to a read."""
 
-    slice_count: int  # slices sent in response to the read
-    revision: int = 0  # as of which they were read
-    store_id: str = ""  # identity of the store; a restored backup has another
+    slice_count: int  # Number of slices sent in response to the read.
+    revision: int = 0  # Store revision at which the slices were read.
+    store_id: str = ""  # Identity of the store; a restored backup has a different one.
 
 
 class AssignerMembership(Message, tag="members", frozen=True, rename={"assigner_ids": "assigners"}):
-    """The assigners that own slices, or may own some again within their lease; sent to every assigner."""
+    """Assigners that own slices or may regain theirs within their lease; sent to every assigner."""
 
     assigner_ids: list[int]
 
 
 class WriteAcknowledged(Message, tag="written", frozen=True):
-    """This writer's writes up to a batch are durable, but for those rejected."""
+    """Confirmation that the receiver's writes up to a batch are durable, except rejected entries."""
 
     batch: int
-    revision: int  # of the store, that includes them
+    revision: int  # Store revision that includes these writes.
 
 
 class MigrateSlices(
     Message, tag="move", frozen=True, rename={"slice_ids": "slices", "assigner_id": "to", "operator": "by"}
 ):
-    """An operator's command: make an assigner the home of some slices. The response is ZoneCommands."""
+    """Operator command to make an assigner the home of some slices; the store responds with ZoneCommands."""
 
     slice_ids: list[int]
-    assigner_id: int  # -1: the home is that of the slice's number again
-    operator: str = ""  # who gave the command, for the log
+    assigner_id: int  # -1: restore the default home, which is derived from the slice's number.
+    operator: str = ""  # Operator who issued the command, for the log.
 
 
 class BackupRequest(Message, tag="backup", frozen=True):
-    """An operator's command: write a backup into the store's folder for them. Answered by CommandCompleted."""
+    """Operator command to write a backup to the store's backup directory; answered with CommandCompleted."""
 
-    name: str  # of the file, without a folder
+    name: str  # File name of the backup, without a directory.
--- a/puffintide/protocol/session.py
+++ b/puffintide/protocol/session.py
@@ -1,4 +1,4 @@
-"""One end of a stream without I/O: handshake, heartbeats and the order of messages. Time is passed in."""
+"""One end of a stream without I/O: handshake, heartbeats and message order. The caller passes the time."""
 
 from __future__ import annotations
 
@@ -18,25 +18,27 @@
 )
 
 Greeting = Hello | Welcome
-PeerCheck = Callable[[Greeting], str | None]  # returns the reason for which a peer is rejected, if any
+# Returns the reason for rejecting the peer, or None to accept it.
+PeerCheck = Callable[[Greeting], str | None]
 
 
 def accept_any_peer(_: Greeting) -> str | None:
-    """A PeerCheck that rejects nobody."""
+    """Accept every peer; used as the default PeerCheck."""
     return None
 
 
 class Session:
-    """Sends a Hello, or answers one with a Welcome; then passes messages on and exchanges heartbeats.
+    """Protocol state of one end of a stream.
 
-    A peer that breaks the protocol raises a ProtocolError: the owner sends a ConnectionRejected with its text, and
-    closes the stream. `due_heartbeats` is to be called from time to time; it is how a half-open stream is noticed.
+    The session performs the handshake, then passes messages to its owner and exchanges heartbeats. A protocol
+    violation by the peer raises a ProtocolError: the owner sends its text in a ConnectionRejected and closes
+    the stream. The owner calls `due_heartbeats` periodically, which also detects half-open streams.
 
     Args:
-        greeting: First message of this end: a Hello if it connected, a Welcome if it was connected to.
-        heartbeat_interval_s: Silence after which a Ping is sent.
-        heartbeat_timeout_s: Silence after which the peer is regarded as gone.
-        check_peer: Decides whether the peer's greeting is accepted.
+        greeting: First message of this end: a Hello if it opened the connection, a Welcome if it accepted it.
+        heartbeat_interval_s: Time in seconds without a message from the peer after which a Ping is sent.
+        heartbeat_timeout_s: Time in seconds without a message after which the peer is considered lost.
+        check_peer: Returns the reason for rejecting the peer's greeting, or None to accept it.
     """
 
     def __init__(
@@ -50,24 +52,24 @@
         self.heartbeat_interval_s = heartbeat_interval_s
         self.heartbeat_timeout_s = heartbeat_timeout_s
         self.check_peer = check_peer
-        self.peer_greeting: Greeting | None = None  # None until the handshake is complete
+        self.peer_greeting: Greeting | None = None  # None until the handshake completes.
         self.last_received_s = 0.0
         self.last_ping_s = 0.0
 
-    def connected(self, now_s: float) -> list[Message]:
-        """The transport is connected; returns the messages to send."""
+    def handle_connected(self, now_s: float) -> list[Message]:
+        """Record that the transport is connected and return the messages to send."""
         self.last_received_s = now_s
         self.last_ping_s = now_s
         return [self.greeting] if isinstance(self.greeting, Hello) else []
 
-    def received(self, now_s: float, line: bytes) -> tuple[list[AnyMessage], list[Message]]:
-        """Takes a line from the peer.
+    def receive_line(self, now_s: float, line: bytes) -> tuple[list[AnyMessage], list[Message]]:
+        """Process a line from the peer.
 
         Returns:
-            The messages for the owner, and the messages to send back.
+            The messages for the owner and the messages to send back.
 
         Raises:
-            ProtocolError: The line can't be decoded, comes out of order, or is a rejection.
+            ProtocolError: The line cannot be decoded, is out of order, or is a rejection.
         """
         self.last_received_s = now_s
         message = decode(line)
@@ -80,20 +82,22 @@
                 return [], []
             case ConnectionRejected(reason=reason):
                 peer = self.peer_greeting
-                raise PeerRejectedError(f"refused by {peer.role} {peer.id}: {reason}")
+                raise PeerRejectedError(f"connection rejected by {peer.role} {peer.id}: {reason}")
             case Hello() | Welcome():
-                raise HandshakeError("greeted twice")
+                raise HandshakeError(f"unexpected {type(message).__name__} after the handshake")
         return [message], []
 
     def _complete_handshake(self, message: AnyMessage) -> tuple[list[AnyMessage], list[Message]]:
         if isinstance(message, ConnectionRejected):
-            raise PeerRejectedError(f"refused: {message.reason}")
+            raise PeerRejectedError(f"connection rejected during the handshake: {message.reason}")
         expected: type[Greeting] = Welcome if isinstance(self.greeting, Hello) else Hello
         if not isinstance(message, expected):
             found = type(message).__name__
-            raise HandshakeError(f"first line must be a {expected.__name__}, not a {found}")
+            raise HandshakeError(f"first message must be a {expected.__name__}, not a {found}")
         if message.version != PROTOCOL_VERSION:
-            raise HandshakeError(f"version {message.version} is not spoken here, only {PROTOCOL_VERSION}")
+            raise HandshakeError(
+                f"protocol version {message.version} is not supported, only {PROTOCOL_VERSION}"
+            )
         reason = self.check_peer(message)
         if reason is not None:
             raise HandshakeError(reason)
@@ -101,14 +105,14 @@
         return [message], [self.greeting] if isinstance(self.greeting, Welcome) else []
 
     def due_heartbeats(self, now_s: float) -> list[Message]:
-        """Returns the heartbeats to send now.
+        """Return the heartbeats to send now.
 
         Raises:
-            HeartbeatTimeoutError: The peer has been silent for heartbeat_timeout_s.
+            HeartbeatTimeoutError: Nothing was received from the peer for heartbeat_timeout_s.
         """
-        unresponsive_s = now_s - self.last_received_s
-        if unresponsive_s > self.heartbeat_timeout_s:
-            raise HeartbeatTimeoutError(f"peer silent for {unresponsive_s:.1f} s")
+        silence_s = now_s - self.last_received_s
+        if silence_s > self.heartbeat_timeout_s:
+            raise HeartbeatTimeoutError(f"heartbeat timeout: peer silent for {silence_s:.1f} s")
         last_activity_s = max(self.last_received_s, self.last_ping_s)
         if self.peer_greeting is not None and now_s - last_activity_s >= self.heartbeat_interval_s:
             self.last_ping_s = now_s
--- a/puffintide/protocol/stream.py
+++ b/puffintide/protocol/stream.py
@@ -1,4 +1,4 @@
-"""The session on a Twisted transport, and the factory of those that a listening port accepts."""
+"""A session on a Twisted transport, and the factory for streams accepted by a listening port."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 HEARTBEAT_INTERVAL_S = 0.5
 HEARTBEAT_TIMEOUT_S = 2.0
-MAX_REASON_LENGTH = 500  # characters of a rejection's reason that are sent
+MAX_REASON_LENGTH = 500  # Maximum length of the reason sent with a rejection, in characters.
 
 MessageHandler = Callable[["Stream", AnyMessage], None]
 
 
 class PeerIdentity(NamedTuple):
-    """Who is at the other end of a stream; its number is unique within the role."""
+    """Identity of the peer at the other end of a stream. The id is unique within the role."""
 
     role: str
     id: int
@@ -36,22 +36,23 @@
 
 
 def close_gracefully(transport: Any) -> None:
-    """Closes a transport once all is written.
+    """Close a transport after its buffered data is written.
 
-    The producer goes first, as a TLS transport would otherwise wait for its end.
+    The producer is unregistered first, because a TLS transport would otherwise wait for it to finish.
     """
     transport.unregisterProducer()
     transport.loseConnection()
 
 
 class Stream(LineOnlyReceiver):
-    """A connection to a peer: lines in, messages out.
+    """A connection to a peer that sends and receives messages as lines.
 
     Args:
-        clock: For heartbeats.
-        session: The protocol's state of this connection.
-        on_message: Called with the stream and each message, the peer's greeting first.
-        on_lost: Called once with the stream and a ConnectionRejected that has the reason.
+        clock: Clock that schedules heartbeats.
+        session: Protocol state of this connection.
+        on_message: Called with the stream and each message, starting with the peer's greeting.
+        on_lost: Called once when the stream is closed, with the stream and a ConnectionRejected that holds
+            the reason.
     """
 
     delimiter = b"\n"
@@ -65,27 +66,27 @@
         self.session = session
         self.on_message = on_message
         self.on_lost = on_lost
-        self.writable = True  # False while the peer reads more slowly than this end writes
-        self.established = False  # the handshake is complete
+        self.writable = True  # False while the transport's write buffer is full.
+        self.established = False  # True once the handshake is complete.
         self.closed = False
-        self.close_reason = ""  # why this end closed it; empty if it did not
-        self.peer = UNIDENTIFIED_PEER  # set by the owner
-        self.on_writable: Callable[[], None] | None = None  # called when the stream is writable again
+        self.close_reason = ""  # Reason why this end closed the stream; empty if it did not.
+        self.peer = UNIDENTIFIED_PEER  # Set by the owner.
+        self.on_writable: Callable[[], None] | None = None  # Called when the stream is writable again.
         self._heartbeat_timer: Timer | None = None
 
     def connectionMade(self) -> None:
-        """The transport is connected."""
+        """Send the greeting and start the heartbeats."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._send_all(self.session.connected(self.clock.seconds()))
+        self._send_all(self.session.handle_connected(self.clock.seconds()))
         self._schedule_heartbeat()
 
     def lineReceived(self, line: bytes) -> None:
-        """Passes the message of a line on, or rejects the peer."""
+        """Pass the message of a line to the owner, or reject the peer if the line is invalid."""
         if self.closed:
             return
         try:
-            messages, replies = self.session.received(self.clock.seconds(), line)
+            messages, replies = self.session.receive_line(self.clock.seconds(), line)
         except PeerRejectedError as error:
             self._close(str(error))
             return
@@ -102,7 +103,11 @@
             self.on_message(self, message)
 
     def _certificate_mismatch(self, messages: list[AnyMessage]) -> str | None:
-        """On TLS a peer is whom its certificate names; clients need any certificate of the same authority."""
+        """Return why the peer's TLS certificate does not match its greeting, or None.
+
+        A client may present any certificate of the same authority. Every other peer must present the
+        certificate of its role, id and deployment.
+        """
         certificate_names = peer_dns_names(self.transport)
         if certificate_names is None or not messages:
             return None
@@ -114,18 +119,18 @@
         name = certificate_name(greeting.role, greeting.id, deployment)
         if name in certificate_names:
             return None
-        return f"its certificate is for {', '.join(sorted(certificate_names)) or 'nobody'}, not {name}"
+        return f"peer certificate is for {', '.join(sorted(certificate_names)) or 'no name'}, not {name}"
 
     def lineLengthExceeded(self, _line: bytes) -> None:
-        """Rejects a peer whose line is too long."""
-        self.reject(f"line over the limit of {MAX_LINE_BYTES} bytes")
+        """Reject a peer whose line is too long."""
+        self.reject(f"received line exceeds the limit of {MAX_LINE_BYTES} bytes")
 
     def send(self, message: Message) -> None:
-        """Encodes and sends a message; does nothing once the stream is closed."""
+        """Encode and send a message; do nothing if the stream is closed."""
         self.send_line(encode(message))
 
     def send_line(self, line: bytes) -> None:
-        """Sends a message that is already encoded, for those that go to many peers."""
+        """Send an encoded message, so that a message for many peers is encoded only once."""
         if not self.closed:
             self.transport.write(line + b"\n")
 
@@ -134,7 +139,7 @@
             self.send(message)
 
     def reject(self, reason: str) -> None:
-        """Sends the reason and closes the stream."""
+        """Send the reason and close the stream."""
         if self.closed:
             return
         self.send(ConnectionRejected(reason[:MAX_REASON_LENGTH]))
@@ -147,7 +152,7 @@
             self.transport.abortConnection()
 
     def abort(self, reason: str) -> None:
-        """Closes the stream at once, without sending what is buffered."""
+        """Close the stream immediately and discard buffered data."""
         self.close_reason = self.close_reason or reason
         if not self.closed:
             self.transport.abortConnection()
@@ -166,21 +171,21 @@
         self._schedule_heartbeat()
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full."""
+        """Mark the stream as not writable, because the transport's buffer is full."""
         self.writable = False
 
     def resumeProducing(self) -> None:
-        """The transport's buffer has drained."""
+        """Mark the stream as writable again, because the transport's buffer has drained."""
         self.writable = True
         if self.on_writable is not None:
             self.on_writable()
 
     def stopProducing(self) -> None:
-        """The transport is closing."""
+        """Mark the stream as not writable, because the transport is closing."""
         self.writable = False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The transport is closed, by either end."""
+        """Cancel the heartbeats and tell the owner that the transport was closed by either end."""
         self.closed = True
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
@@ -190,16 +195,16 @@
 
 
 class StreamServerFactory(Factory):
-    """Makes a Stream for each peer that connects to a listening port.
+    """Twisted factory that creates a Stream for each peer that connects to a listening port.
 
     Args:
-        clock: For heartbeats.
-        greeting_factory: Returns this end's Welcome, once for each connection.
-        on_message: As of Stream.
-        on_lost: As of Stream.
-        check_peer: Decides whether the peer's Hello is accepted.
-        heartbeat_interval_s: As of Session.
-        heartbeat_timeout_s: As of Session.
+        clock: Clock that schedules heartbeats.
+        greeting_factory: Returns this end's Welcome. Called once for each connection.
+        on_message: Handler of messages, as in Stream.
+        on_lost: Handler of closed streams, as in Stream.
+        check_peer: Returns the reason for rejecting the peer's Hello, or None to accept it.
+        heartbeat_interval_s: Interval of heartbeats in seconds, as in Session.
+        heartbeat_timeout_s: Timeout of heartbeats in seconds, as in Session.
     """
 
     noisy = False
@@ -223,7 +228,7 @@
         self.heartbeat_timeout_s = heartbeat_timeout_s
 
     def buildProtocol(self, _addr: IAddress | None) -> Stream:
-        """Makes the stream of one connection."""
+        """Create the stream of one connection."""
         session = Session(
             self.greeting_factory(), self.heartbeat_interval_s, self.heartbeat_timeout_s, self.check_peer
         )
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -133,12 +133,12 @@
 
 def test_hello_is_answered_with_welcome_and_passed_to_the_owner() -> None:
     client, server = client_and_server()
-    (hello,) = client.connected(0.0)
-    assert server.connected(0.0) == []
-    received, replies = server.received(0.1, encode(hello))
+    (hello,) = client.handle_connected(0.0)
+    assert server.handle_connected(0.0) == []
+    received, replies = server.receive_line(0.1, encode(hello))
     assert received == [hello]
     assert replies == [server.greeting]
-    received, replies = client.received(0.2, encode(replies[0]))
+    received, replies = client.receive_line(0.2, encode(replies[0]))
     assert received == [server.greeting]
     assert replies == []
 
@@ -146,9 +146,9 @@
 @pytest.mark.parametrize(
     ("line", "words"),
     [
-        (encode(m.Hello(2, "proxy", 1)), "version 2 is not spoken"),
-        (encode(m.CheckpointReply(1)), "first line must be a Hello"),
-        (encode(m.Welcome(1, "store", 0)), "first line must be a Hello"),
+        (encode(m.Hello(2, "proxy", 1)), "protocol version 2 is not supported"),
+        (encode(m.CheckpointReply(1)), "first message must be a Hello"),
+        (encode(m.Welcome(1, "store", 0)), "first message must be a Hello"),
         (encode(m.ConnectionRejected("go away")), "go away"),
     ],
 )
@@ -156,26 +156,26 @@
     _, server = client_and_server()
     expected = PeerRejectedError if words == "go away" else HandshakeError
     with pytest.raises(expected, match=words):
-        server.received(0.0, line)
+        server.receive_line(0.0, line)
     assert server.peer_greeting is None
 
 
 def test_second_greeting_is_rejected() -> None:
     _, server = client_and_server()
     hello = encode(m.Hello(m.PROTOCOL_VERSION, "proxy", 1))
-    server.received(0.0, hello)
-    with pytest.raises(HandshakeError, match="twice"):
-        server.received(0.1, hello)
+    server.receive_line(0.0, hello)
+    with pytest.raises(HandshakeError, match="unexpected Hello after the handshake"):
+        server.receive_line(0.1, hello)
 
 
 def test_silent_peer_times_out_and_a_responsive_one_does_not() -> None:
     client, server = client_and_server()
-    server.connected(0.0)
-    server.received(0.0, encode(client.greeting))
+    server.handle_connected(0.0)
+    server.receive_line(0.0, encode(client.greeting))
     assert server.due_heartbeats(0.4) == []
     assert server.due_heartbeats(0.6) == [m.Ping()]
     assert server.due_heartbeats(0.7) == []  # one ping at a time
-    server.received(1.9, encode(m.Pong()))
+    server.receive_line(1.9, encode(m.Pong()))
     server.due_heartbeats(3.8)
     with pytest.raises(HeartbeatTimeoutError, match="silent"):
         server.due_heartbeats(4.0)
