--- a/tests/peers.py
+++ b/tests/peers.py
@@ -81,7 +81,12 @@
             raise TimeoutError(f"no message received within {limit_s:.2f} s") from None
 
     def wait_for(self, matches: Callable[[m.AnyMessage], bool], limit_s: float = MAX_WAIT_S) -> Any:
-        """Return the next matching message and drop earlier ones; fail at the end of the stream or a timeout."""
+        """Return the next matching message and drop those before it.
+
+        Raises:
+            TimeoutError: No matching message arrived within the limit.
+            AssertionError: The stream ended first.
+        """
         end = time.monotonic() + limit_s
         while True:
             message = self.read(max(0.01, end - time.monotonic()))
@@ -213,6 +218,6 @@
 
 
 def charges(slices: int = 8, server: int = 0, token: int = 1) -> m.SliceOwnerships:
-    """Return ownerships that grant slices to assigner 0, each with one server and consecutive fencing tokens."""
+    """Return ownerships that grant slices to assigner 0, each with the same server and consecutive tokens."""
     entries = [m.TableEntry(server, 1.0, f"127.0.0.1:{9000 + server}")]
     return m.SliceOwnerships([m.SliceOwnership(n, token + n, 0, entries) for n in range(slices)])
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,7 +1,7 @@
 """Messages and stored data recorded from revision 2f88400 are read and written again byte for byte.
 
-The recorded bytes are in tests/data/compatibility. The expected values use the current field names. A test fails
-if a name or a layout on the wire or in storage changes.
+The recorded bytes are in tests/data/compatibility. The expected values use the current field names. A test
+fails if a name or a layout on the wire or in storage changes.
 """
 
 from __future__ import annotations
