--- a/puffintide/audit/__init__.py
+++ b/puffintide/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The audit: whether a deployment kept its rules, worked out from records of what passed between its parties."""
+"""The audit: checks from recorded messages between processes whether a deployment kept its rules."""
--- a/puffintide/audit/audit.py
+++ b/puffintide/audit/audit.py
@@ -1,8 +1,9 @@
-"""Checks all rules on the records of a scenario. No I/O: records and ground truth in, a report out.
+"""Checks all rules on the records of a scenario, without I/O: records and ground truth in, a report out.
 
-All is worked out from what passed between the parties: who was connected to whom and when, what each assigner was
-notified of and when, what tables each proxy had, what was sent where. What an assigner says of itself counts in one
-place only, the time of an update, and there it must agree with its own write to the store.
+Every result is derived from the recorded messages: which processes were connected and when, what each
+assigner was notified of and when, which tables each proxy had, and what was sent where. A statement of an
+assigner about itself is used in one place only, the time of an update. That time is corrected by the
+assigner's own write to the store.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 
 def audit(config: Config, records: list[Record], truth: GroundTruth) -> AuditReport:
-    """Check all rules.
+    """Check all rules and return the report.
 
     Args:
-        config: Of the scenario.
-        records: Of all recording proxies, in any order.
-        truth: Servers' runs, kills and pauses.
+        config: The configuration of the scenario.
+        records: The records of all recording proxies, in any order.
+        truth: The runs of servers, and the kills and pauses of assigners.
     """
     ordered = sorted(records, key=_delivery_order)
     peers = peers_by_connection(ordered)
--- a/puffintide/audit/context.py
+++ b/puffintide/audit/context.py
@@ -1,4 +1,4 @@
-"""What each rule's check works on."""
+"""The input and the output that the checks of all rules share."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditContext:
-    """The records and what follows from them, and the report to add to."""
+    """The records, the data derived from them, and the report that checks add to."""
 
     config: Config
-    records: list[Record]  # in order of delivery
-    peers: dict[int, Peer]  # by connection
+    records: list[Record]  # All records, in order of delivery.
+    peers: dict[int, Peer]  # The initiator of each connection, by connection id.
     truth: GroundTruth
     timeline: Timeline
-    end_s: float  # time of the last record
+    end_s: float  # Time at which the last record was received, in seconds.
     report: AuditReport
 
     def records_in_order_received(self) -> list[Record]:
-        """The records as the recording proxies received them."""
+        """Return the records in the order in which the recording proxies received them."""
         return sorted(self.records, key=lambda record: (record.received_at_s, record.number))
--- a/puffintide/audit/errors.py
+++ b/puffintide/audit/errors.py
@@ -4,8 +4,8 @@
 
 
 class AuditError(Exception):
-    """Base class of the audit's exceptions."""
+    """Base class of the exceptions of the audit package."""
 
 
 class RecordError(AuditError):
-    """A record can't be read; the text names file and line."""
+    """A record can't be read. The message names the file and the line."""
--- a/puffintide/audit/intervals.py
+++ b/puffintide/audit/intervals.py
@@ -1,15 +1,15 @@
-"""Intervals of time, in sorted lists without overlaps."""
+"""Operations on time intervals, which are kept in sorted lists without overlaps."""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 
-Interval = tuple[float, float]  # begin and end in seconds
+Interval = tuple[float, float]  # Begin and end, in seconds.
 FOREVER = float("inf")
 
 
 def intersect(first: list[Interval], second: list[Interval]) -> list[Interval]:
-    """The intervals that lie in both lists."""
+    """Return the intervals that are covered by both lists."""
     result = []
     i = 0
     j = 0
@@ -26,7 +26,7 @@
 
 
 def merge(intervals: list[Interval]) -> list[Interval]:
-    """The intervals sorted, with those that touch made one."""
+    """Sort intervals, and join those that overlap or touch."""
     result: list[Interval] = []
     for begin, end in sorted(intervals):
         if result and begin <= result[-1][1]:
@@ -37,6 +37,6 @@
 
 
 def start_of_interval_at(intervals: list[Interval], at_s: float) -> float | None:
-    """The beginning of the interval that contains this time."""
+    """Return the begin of the interval that contains a time, or None if no interval does."""
     index = bisect_right(intervals, at_s, key=lambda interval: interval[0]) - 1
     return intervals[index][0] if index >= 0 and at_s <= intervals[index][1] else None
--- a/puffintide/audit/linearizability.py
+++ b/puffintide/audit/linearizability.py
@@ -1,14 +1,15 @@
-"""Is a history of the store linearizable? One slice is a register with a fencing token, and a value under it.
+"""Checks whether a history of the store is linearizable; a slice is a register with a token and a value.
 
-A history is what clients observed: when each operation was invoked and when its response came. It is linearizable
-if each operation can be given one moment between the two so that, one after the other, all responses are those of a
-register that
-  - accepts a token only above the one it has, its value unchanged,
-  - accepts a value only under its present token,
-  - reads as it is.
-A write without a response may have happened at any time after it was invoked, or never. A rejection changes nothing
-and is always allowed: this checks safety, not how much is accepted. Search with memory, after Wing and Gong,
-"Testing and Verifying Concurrent Objects" (1993).
+A history holds what clients observed: when each operation was invoked, and when its response arrived. It is
+linearizable if each operation can be assigned one moment between the two, such that in the order of these
+moments all responses are those of a register that
+  - accepts a token only if it is above the current token, and then keeps its value,
+  - accepts a value only with its current token,
+  - returns its current token and value to a read.
+A write without a response may have taken effect at any time after it was invoked, or never. A rejection
+changes nothing and is always allowed: the check covers safety, not how many operations are accepted. The
+algorithm is the search with memoized states of Wing and Gong, "Testing and Verifying Concurrent Objects"
+(1993).
 """
 
 from __future__ import annotations
@@ -20,31 +21,31 @@
 
 
 class OperationType(StrEnum):
-    """What an operation does to the register."""
+    """The effect of an operation on the register."""
 
-    GIVE = "give"  # a new fencing token
+    GRANT = "give"  # Sets a new fencing token.
     WRITE = "write"
     READ = "read"
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation; times are of one clock."""
+    """An operation on the register. All times of a history are from the same clock."""
 
     kind: OperationType
     token: int
-    value: int  # of a write or a read; not used by GIVE
+    value: int  # The value that is written or was read; unused for GRANT.
     invoked_at_s: float
-    responded_at_s: float  # infinite without a response (writes alone)
+    responded_at_s: float  # Infinity if there was no response, which only a write may lack.
 
     @property
     def is_complete(self) -> bool:
-        """Whether its response came."""
+        """Return whether the response arrived."""
         return not math.isinf(self.responded_at_s)
 
 
 def is_linearizable(history: Iterable[Operation], token: int = 0, value: int = 0) -> bool:
-    """Whether the history of one slice is linearizable, from this state on."""
+    """Return whether the history of one slice is linearizable, starting from a token and a value."""
     operations = sorted(history, key=lambda operation: (operation.invoked_at_s, operation.responded_at_s))
     visited: set[tuple[frozenset[int], int, int]] = set()
     stack = [(frozenset(range(len(operations))), token, value)]
@@ -59,17 +60,17 @@
         earliest_response_s = min(operations[k].responded_at_s for k in remaining)
         for k in remaining:
             if operations[k].invoked_at_s > earliest_response_s:
-                continue  # another was complete before this one was invoked
-            following = _apply(operations[k], token, value)
-            if following is not None:
-                stack.append((remaining - {k}, *following))
+                continue  # Another remaining operation completed before this one was invoked.
+            next_state = _apply(operations[k], token, value)
+            if next_state is not None:
+                stack.append((remaining - {k}, *next_state))
     return False
 
 
 def _apply(operation: Operation, token: int, value: int) -> tuple[int, int] | None:
-    """Token and value after an operation; None if its response is not that of a register in this state."""
+    """Return token and value after an operation, or None if its response does not match this state."""
     match operation.kind:
-        case OperationType.GIVE if operation.token > token:
+        case OperationType.GRANT if operation.token > token:
             return operation.token, value
         case OperationType.WRITE if operation.token == token:
             return token, operation.value
--- a/puffintide/audit/report.py
+++ b/puffintide/audit/report.py
@@ -1,4 +1,4 @@
-"""The audit's report: its rules, the violations found, and how near to their limits the rules came."""
+"""The report of the audit: the rules, their violations, and the peak ratio of value to limit per rule."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Rule(StrEnum):
-    """The rules; the values are their names in the operators' tables."""
+    """The rules. The values are the names that are printed in tables for operators."""
 
     AVAILABLE_SERVERS = "nobody left"
     NO_DUPLICATE_EXECUTION = "no effect twice"
@@ -24,31 +24,33 @@
 
     rule: Rule
     at_s: float
-    subject: str  # who violated it
+    subject: str  # The processes and slices concerned, as text.
     value: float
     limit: float
-    records: tuple[int, ...]  # numbers of the records that show it
+    records: tuple[int, ...]  # Numbers of the records that show the violation.
 
 
 @dataclass
 class AuditReport:
-    """What the audit found."""
+    """The findings and measurements of an audit."""
 
     findings: list[Finding] = field(default_factory=list)
-    peak_ratios: dict[Rule, float] = field(default_factory=lambda: dict.fromkeys(Rule, 0.0))  # value / limit
+    # Largest ratio of value to limit.
+    peak_ratios: dict[Rule, float] = field(default_factory=lambda: dict.fromkeys(Rule, 0.0))
     case_counts: dict[Rule, int] = field(default_factory=lambda: dict.fromkeys(Rule, 0))
-    drain_durations_s: list[float] = field(default_factory=list)  # notice of a loss to the last attempt there
+    # Times from the notification of a server's loss to the last attempt at that server, in seconds.
+    drain_durations_s: list[float] = field(default_factory=list)
 
     def add_case(
         self, rule: Rule, at_s: float, subject: str, value: float, limit: float, *records: int
     ) -> None:
-        """Count a case of a rule; it is a violation if its value is above the limit."""
+        """Count a case to which a rule applies. It is a violation if its value is above the limit."""
         self.case_counts[rule] += 1
         self.peak_ratios[rule] = max(self.peak_ratios[rule], value / limit if limit > 0 else 0.0)
         if value > limit:
             self.findings.append(Finding(rule, at_s, subject, value, limit, records))
 
     def add_violation(self, rule: Rule, at_s: float, subject: str, *records: int) -> None:
-        """Add a violation of a rule that has no limit."""
+        """Add a violation of a rule without counting a case. Its value has no limit to compare with."""
         self.peak_ratios[rule] = max(self.peak_ratios[rule], 1.0)
         self.findings.append(Finding(rule, at_s, subject, 1.0, 0.0, records))
--- a/puffintide/audit/rules/__init__.py
+++ b/puffintide/audit/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The rules, a module each. Each has a `check` that adds to the report of an AuditContext."""
+"""The rules, one module each. The `check` function of a module adds to the report of an AuditContext."""
 
 from __future__ import annotations
 
--- a/puffintide/audit/rules/available_servers.py
+++ b/puffintide/audit/rules/available_servers.py
@@ -1,7 +1,7 @@
-"""Rule: no slice is without a server at a proxy for long, while its owner has one to assign.
+"""Rule: no slice is without a server at a proxy for too long while its owner could assign one.
 
-Each proxy's tables are replayed. A time without a server counts while the slice is owned, the proxy is connected to
-the owner, and the owner knows of a server that is ready and has warmed up.
+The tables of each proxy are replayed. Time without a server counts while the slice is owned, the proxy is
+connected to the owner, and the owner knows of a server that is ready and has warmed up.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from puffintide.protocol import messages as m
 from puffintide.proxy.weight_tables import WeightTables
 
-NO_JITTER = 0.5  # any number does: nothing is picked
+RANDOM_VALUE = 0.5  # Has no effect, as the replay picks no server.
 
 
 class _TableReplay:
-    """The tables of all proxies, and the times in which a slice has no server."""
+    """A replay of the tables of all proxies, which records the intervals in which a slice has no server."""
 
     def __init__(self, context: AuditContext) -> None:
         self.context = context
-        self.tables: dict[int, WeightTables] = {}  # by proxy
-        self.empty: dict[tuple[int, int], list[tuple[float, float, int]]] = defaultdict(
-            list
-        )  # by proxy and slice: begin, end, first record
-        self._empty_since: dict[tuple[int, int], tuple[float, int]] = {}  # when, and the record
+        self.tables: dict[int, WeightTables] = {}  # Tables by proxy.
+        # Begin, end and first record of each interval without a server, by proxy and slice.
+        self.empty_intervals: dict[tuple[int, int], list[tuple[float, float, int]]] = defaultdict(list)
+        # Begin and first record of the intervals that have not ended, by proxy and slice.
+        self._empty_since: dict[tuple[int, int], tuple[float, int]] = {}
 
     def run(self) -> None:
-        """Replay all records that were delivered to proxies."""
+        """Replay all messages that were delivered to proxies."""
         for record in self.context.records:
             peer = self.context.peers.get(record.connection_id)
             if peer is None or peer.role != "proxy" or not record.to_initiator:
                 continue
             if record.delivered_at_s is not None:
                 changed = self._apply(self._tables_of(peer.id), record)
-                self._observe(peer.id, changed, record.delivered_at_s, record.number)
+                self._update_empty_intervals(peer.id, changed, record.delivered_at_s, record.number)
         for key, (since_s, record_number) in self._empty_since.items():
-            self.empty[key].append((since_s, self.context.end_s, record_number))
+            self.empty_intervals[key].append((since_s, self.context.end_s, record_number))
 
     def _tables_of(self, proxy_id: int) -> WeightTables:
         if proxy_id not in self.tables:
@@ -49,13 +49,13 @@
                 deployment.slices,
                 deployment.retry_default,
                 deployment.pick,
-                lambda: NO_JITTER,
+                lambda: RANDOM_VALUE,
                 single_writer=deployment.single_writer,
             )
         return self.tables[proxy_id]
 
     def _apply(self, tables: WeightTables, record: Record) -> Iterable[int]:
-        """Apply a message to a proxy's tables. Returns the slices that may have changed."""
+        """Apply a message to the tables of a proxy, and return the slices that may have changed."""
         message = record.message
         if isinstance(message, m.SliceOwnerships):
             for ownership in message.ownerships:
@@ -72,14 +72,16 @@
             return sorted(changed & tables.slices.keys())
         return []
 
-    def _observe(self, proxy_id: int, slice_ids: Iterable[int], at_s: float, record_number: int) -> None:
+    def _update_empty_intervals(
+        self, proxy_id: int, slice_ids: Iterable[int], at_s: float, record_number: int
+    ) -> None:
         for slice_id in slice_ids:
             key = (proxy_id, slice_id)
             if not self.tables[proxy_id].available_weights(slice_id):
                 self._empty_since.setdefault(key, (at_s, record_number))
             elif key in self._empty_since:
                 since_s, first_record = self._empty_since.pop(key)
-                self.empty[key].append((since_s, at_s, first_record))
+                self.empty_intervals[key].append((since_s, at_s, first_record))
 
 
 def _owned_slices(tables: WeightTables, assigner_id: int) -> list[int]:
@@ -87,7 +89,7 @@
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule."""
+    """Check the rule for each assigner and proxy."""
     if not context.config.deployment.slices:
         return
     replay = _TableReplay(context)
@@ -106,7 +108,7 @@
     for slice_id, owned in sorted(timeline.ownerships[assigner_id].items()):
         context.report.case_counts[Rule.AVAILABLE_SERVERS] += 1
         subject = f"proxy {proxy_id}, slice {slice_id}, assigner {assigner_id}"
-        for begin_s, end_s, record_number in replay.empty.get((proxy_id, slice_id), []):
+        for begin_s, end_s, record_number in replay.empty_intervals.get((proxy_id, slice_id), []):
             counted = intersect(intersect(intersect([(begin_s, end_s)], connected), owned), warm)
             for since_s, until_s in counted:
                 context.report.add_case(
--- a/puffintide/audit/rules/channel_capacity.py
+++ b/puffintide/audit/rules/channel_capacity.py
@@ -1,7 +1,8 @@
-"""Rule: what an assigner has ordered and not yet sent stays within the channel's capacity.
+"""Rule: the entries that an assigner has ordered and not yet sent stay within the capacity of the channel.
 
-The time of an update is what the assigner says, but no later than its own write of the same batch to the store. The
-number of messages to one proxy within a window is limited too, if the deployment does that.
+An update counts from the time that the assigner states, but no later than its own write of the same batch to
+the store. If the deployment limits the number of messages to one proxy within a window, that limit is checked
+too.
 """
 
 from __future__ import annotations
@@ -13,20 +14,21 @@
 from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 
-Connection = tuple[int, int, float]  # assigner, proxy, since when
+Connection = tuple[int, int, float]  # Assigner, proxy, begin of the connection.
 
 
-class _Channel:
-    """Queue changes of each assigner, and the messages on each connection."""
+class _ChannelHistory:
+    """The queue changes of each assigner, and the messages on each connection."""
 
     def __init__(self, context: AuditContext) -> None:
         self.context = context
-        self.changes: dict[int, list[tuple[float, float, int]]] = defaultdict(list)  # when, size, record
-        self.messages: dict[Connection, list[tuple[float, int]]] = defaultdict(list)  # when, record
-        self._written_at_s: dict[tuple[int, int], float] = {}  # by assigner and batch
+        # Time, change of the queued entries, and record, by assigner.
+        self.queue_changes: dict[int, list[tuple[float, float, int]]] = defaultdict(list)
+        self.messages: dict[Connection, list[tuple[float, int]]] = defaultdict(list)  # Time and record.
+        self._written_at_s: dict[tuple[int, int], float] = {}  # Times of writes, by assigner and batch.
 
     def run(self) -> None:
-        """Read all updates and writes, in the order they were sent."""
+        """Collect all updates and writes in the order in which they were sent."""
         for record in self.context.records_in_order_received():
             peer = self.context.peers.get(record.connection_id)
             message = record.message
@@ -46,13 +48,13 @@
         written_at_s = self._written_at_s.get((assigner_id, update.batch), FOREVER)
         ordered_at_s = min(update.ordered_at_s, sent_at_s, written_at_s)
         header_entries = self.context.config.channel.head_lines
-        size = max(update.channel_cost, _entries(update) + header_entries)
-        self.changes[assigner_id].append((ordered_at_s, size, record_number))
-        self.changes[assigner_id].append((sent_at_s, -size, record_number))
+        size = max(update.channel_cost, _entry_count(update) + header_entries)
+        self.queue_changes[assigner_id].append((ordered_at_s, size, record_number))
+        self.queue_changes[assigner_id].append((sent_at_s, -size, record_number))
 
 
-def _entries(update: m.ProxyUpdate) -> int:
-    """The entries of an update, as the channel counts them."""
+def _entry_count(update: m.ProxyUpdate) -> int:
+    """Return the number of entries of an update, as the channel counts them."""
     lists = (
         update.weights,
         update.cleared_slices,
@@ -64,11 +66,11 @@
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule."""
-    channel = _Channel(context)
-    channel.run()
+    """Check the queue of each assigner, and the message rate of each connection if it is limited."""
+    history = _ChannelHistory(context)
+    history.run()
     limit = context.config.channel.limit
-    for assigner_id, changes in sorted(channel.changes.items()):
+    for assigner_id, changes in sorted(history.queue_changes.items()):
         queued = 0.0
         for at_s, size, record_number in sorted(changes):
             queued += size
@@ -76,7 +78,7 @@
                 subject = f"assigner {assigner_id}"
                 context.report.add_case(Rule.CHANNEL_CAPACITY, at_s, subject, queued, limit, record_number)
     if context.config.channel.messages_most:
-        for connection, messages in sorted(channel.messages.items()):
+        for connection, messages in sorted(history.messages.items()):
             _check_message_rate(context, connection, messages)
 
 
--- a/puffintide/audit/rules/duplicate_execution.py
+++ b/puffintide/audit/rules/duplicate_execution.py
@@ -1,8 +1,8 @@
-"""Rule: no request is executed twice where its class does not allow it.
+"""Rule: no request is executed twice unless its request class allows it.
 
-A non-idempotent request is not sent again after an attempt that may have been executed; one with an idempotency key
-only within its deduplication window and scope. An attempt that was not executed is one that was answered as
-saturated before the next.
+A non-idempotent request is not sent again after an attempt that may have been executed. A request with an
+idempotency key is sent again only within its deduplication window and scope. Only an attempt whose last
+delivered response is SATURATED is known not to have been executed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from puffintide.decisions.settings import RepeatSafety
 from puffintide.protocol import messages as m
 
-AttemptKey = tuple[int, int]  # connection, attempt
+AttemptKey = tuple[int, int]  # Connection and attempt id.
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,33 +28,33 @@
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule."""
-    statuses: dict[AttemptKey, int] = {}  # of the last delivered response to each attempt
+    """Check the attempts of each request."""
+    statuses: dict[AttemptKey, int] = {}  # Status of the last delivered response to each attempt.
     for record in context.records:
         if isinstance(record.message, m.AttemptResponse) and record.delivered_at_s is not None:
             statuses[record.connection_id, record.message.attempt_id] = record.message.status
-    attempts: dict[tuple[int, int], list[_Attempt]] = defaultdict(list)  # by proxy and request
+    attempts: dict[tuple[int, int], list[_Attempt]] = defaultdict(list)  # By proxy and request.
     for record in context.records_in_order_received():
         message = record.message
         if isinstance(message, m.AttemptRequest):
             attempt = _Attempt(record, message, record.link_number)
             attempts[message.proxy_id, message.request_id].append(attempt)
-    for of_request in attempts.values():
-        if len(of_request) > 1:
-            _check_request(context, of_request, statuses)
+    for request_attempts in attempts.values():
+        if len(request_attempts) > 1:
+            _check_request(context, request_attempts, statuses)
         context.report.case_counts[Rule.NO_DUPLICATE_EXECUTION] += 1
 
 
 def _check_request(context: AuditContext, attempts: list[_Attempt], statuses: dict[AttemptKey, int]) -> None:
     request_class = list(context.config.classes.values())[attempts[0].message.class_index]
-    first: _Attempt | None = None  # that may have been executed
+    first_executed: _Attempt | None = None  # The first attempt that may have been executed.
     for attempt in attempts:
-        if first is not None:
-            _check_repeat(context, request_class, first, attempt)
+        if first_executed is not None:
+            _check_repeat(context, request_class, first_executed, attempt)
             continue
         key = (attempt.record.connection_id, attempt.message.attempt_id)
         if statuses.get(key) != m.AttemptStatus.SATURATED:
-            first = attempt
+            first_executed = attempt
 
 
 def _check_repeat(
@@ -63,7 +63,7 @@
     rule = Rule.NO_DUPLICATE_EXECUTION
     at_s = repeat.record.received_at_s
     message = repeat.message
-    subject = f"proxy {message.proxy_id}, request {message.request_id}, try {message.attempt_number}"
+    subject = f"proxy {message.proxy_id}, request {message.request_id}, attempt {message.attempt_number}"
     records = (first.record.number, repeat.record.number)
     if request_class.effect == RepeatSafety.NON_IDEMPOTENT:
         context.report.add_violation(rule, at_s, subject, *records)
--- a/puffintide/audit/rules/graceful_draining.py
+++ b/puffintide/audit/rules/graceful_draining.py
@@ -1,7 +1,7 @@
-"""Rule: proxies send nothing to a server that drains or is removed, once its grace period is over.
+"""Rule: proxies send no attempt to a draining or removed server after its grace period.
 
-The grace period begins when the slice's owner is notified of the server's loss, or later when the proxy connects to
-the owner or the slice is given to it.
+The grace period begins when the owner of the slice is notified that the server is lost, when the proxy
+connects to the owner, or when the owner receives the slice, whichever is latest.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 
-LossKey = tuple[int, int, float]  # assigner, server, when the assigner was notified
+LossKey = tuple[int, int, float]  # Assigner, server, time of the notification.
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule, and measure how long servers get attempts after their loss."""
+    """Check the rule, and measure for how long servers receive attempts after their loss."""
     last_attempts_s: dict[LossKey, float] = {}
     for record in context.records_in_order_received():
         if isinstance(record.message, m.AttemptRequest):
--- a/puffintide/audit/rules/replica_agreement.py
+++ b/puffintide/audit/rules/replica_agreement.py
@@ -1,4 +1,4 @@
-"""Rule: assigners that run have the same tables in the end, worked out from what passed between them."""
+"""Rule: all assigners have the same tables at the end, derived from the deltas that passed between them."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from puffintide.replication.replica import Replica
 from puffintide.replication.row_types import RowType
 
-PROPAGATION_S = 5.0  # what is newer than this at the end may still be on its way
-NO_ORIGIN = -1
-BEFORE_ALL_RECORDS_S = -1.0
+PROPAGATION_S = 5.0  # Rows sent later than this before the end may not have reached all replicas, in seconds.
+NO_ORIGIN = -1  # Origin id of replayed replicas, which write no rows of their own.
+BEFORE_ALL_RECORDS_S = -1.0  # Kill time of an assigner that was never killed.
 
 
 class _ReplicaReplay:
-    """What each assigner has of the others' rows. What it had before it was killed does not count."""
+    """A replay of the rows that each assigner has. Rows from before its last kill do not count."""
 
     def __init__(self, context: AuditContext) -> None:
         self.context = context
         self.assigner_count = context.config.deployment.assigners
         self.replicas = {k: Replica(NO_ORIGIN, 0, self.assigner_count) for k in range(self.assigner_count)}
-        self.first_sent: dict[tuple[int, object], tuple[float, int]] = {}  # by row and value: when, record
+        # Time and record at which a value was first sent, by row id and value.
+        self.first_sent: dict[tuple[int, object], tuple[float, int]] = {}
         self._killed_at_s = {k: max(times) for k, times in context.truth.kills.items() if times}
 
     def run(self) -> None:
@@ -39,7 +40,7 @@
         sender, receiver = (dialled_id, initiator_id) if record.to_initiator else (initiator_id, dialled_id)
         if not 0 <= sender < self.assigner_count:
             return
-        self._apply(sender, record.received_at_s, delta)  # it has what it sends, even if that is lost
+        self._apply(sender, record.received_at_s, delta)  # The sender has the rows even if the delta is lost.
         self._apply(receiver, record.delivered_at_s, delta)
         for row in delta.rows:
             self.first_sent.setdefault((row.row_id, row.value), (record.received_at_s, record.number))
@@ -49,7 +50,7 @@
             self.replicas[assigner_id].apply(at_s, delta)
 
     def tables(self) -> dict[int, dict[int, m.Value]]:
-        """By slice and assigner: the table that the assigner has in the end."""
+        """Return the table that each assigner has at the end, by slice and assigner."""
         tables: dict[int, dict[int, m.Value]] = {}
         for assigner_id, replica in self.replicas.items():
             for slice_id, rows in replica.readings(self.context.end_s, RowType.TABLE).items():
@@ -60,7 +61,7 @@
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule."""
+    """Check that each assigner has the newest table of each slice."""
     replay = _ReplicaReplay(context)
     replay.run()
     for slice_id, tables in sorted(replay.tables().items()):
--- a/puffintide/audit/rules/single_owner.py
+++ b/puffintide/audit/rules/single_owner.py
@@ -1,4 +1,4 @@
-"""Rule: with a single writer per slice, no two servers have writes in flight, and none goes to a former owner."""
+"""Rule: with one writer per slice, its writes are in flight at one server only, never at a former owner."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffintide.decisions.settings import RepeatSafety
 from puffintide.protocol import messages as m
 
-NO_ASSIGNMENT = -1
+NO_ASSIGNMENT = -1  # Index that is below those of all assignments.
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,17 +23,20 @@
 
 
 class _WritesInFlight:
-    """Writes at servers, by slice."""
+    """The delivered writes that were not answered yet, by slice and server."""
 
     def __init__(self, context: AuditContext) -> None:
-        self._open: dict[tuple[int, int], tuple[int, int]] = {}  # connection, attempt: slice, server
-        self._counts: dict[int, dict[int, int]] = defaultdict(lambda: defaultdict(int))  # by slice and server
+        self._open: dict[
+            tuple[int, int], tuple[int, int]
+        ] = {}  # Slice and server, by connection and attempt.
+        # Number of writes in flight, by slice and server.
+        self._counts: dict[int, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         runs = context.truth.server_runs
         ends = sorted((run.ended_at_s, run.server_id) for run in runs if run.ended_at_s < FOREVER)
         self._server_ends = deque(ends)
 
-    def forget_ended_servers(self, now_s: float) -> None:
-        """A server that has ended has no writes in flight."""
+    def remove_ended_servers(self, now_s: float) -> None:
+        """Remove the writes at servers that have ended by now."""
         while self._server_ends and self._server_ends[0][0] <= now_s:
             _, ended_id = self._server_ends.popleft()
             self._open = {key: write for key, write in self._open.items() if write[1] != ended_id}
@@ -41,31 +44,31 @@
                 by_server.pop(ended_id, None)
 
     def add(self, connection_id: int, attempt: m.AttemptRequest, server_id: int) -> None:
-        """A write was delivered."""
+        """Add a write that was delivered to a server."""
         self._open[connection_id, attempt.attempt_id] = (attempt.slice_id, server_id)
         self._counts[attempt.slice_id][server_id] += 1
 
     def remove(self, connection_id: int, response: m.AttemptResponse) -> None:
-        """An attempt was answered."""
+        """Remove the write that a response answers, if there is one."""
         write = self._open.pop((connection_id, response.attempt_id), None)
         if write is not None:
             slice_id, server_id = write
             self._counts[slice_id][server_id] -= 1
 
-    def at_other_server(self, slice_id: int, server_id: int) -> bool:
-        """Whether a server other than this one has writes of the slice in flight."""
+    def has_writes_at_other_server(self, slice_id: int, server_id: int) -> bool:
+        """Return whether another server has writes of the slice in flight."""
         return any(count > 0 for other, count in self._counts[slice_id].items() if other != server_id)
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule."""
+    """Check each delivered write if the deployment has a single writer per slice."""
     if not context.config.deployment.single_writer:
         return
     assignments = _assignments(context)
     in_flight = _WritesInFlight(context)
-    latest_used: dict[int, int] = {}  # by slice: index of the latest assignment that got a write
+    latest_used: dict[int, int] = {}  # Index of the latest assignment that received a write, by slice.
     for event in _events(context):
-        in_flight.forget_ended_servers(event.at_s)
+        in_flight.remove_ended_servers(event.at_s)
         message = event.record.message
         if isinstance(message, m.AttemptResponse):
             in_flight.remove(event.record.connection_id, message)
@@ -85,9 +88,9 @@
     slice_id = write.slice_id
     subject = f"slice {slice_id}, server {event.server_id}"
     context.report.case_counts[Rule.SINGLE_OWNER] += 1
-    if in_flight.at_other_server(slice_id, event.server_id):
+    if in_flight.has_writes_at_other_server(slice_id, event.server_id):
         context.report.add_violation(Rule.SINGLE_OWNER, event.at_s, subject, event.record.number)
-    used = max(
+    assignment_index = max(
         (
             index
             for index, (since_s, server_id) in enumerate(assignments)
@@ -95,13 +98,13 @@
         ),
         default=NO_ASSIGNMENT,
     )
-    if used < latest_used.get(slice_id, NO_ASSIGNMENT):
+    if assignment_index < latest_used.get(slice_id, NO_ASSIGNMENT):
         context.report.add_violation(Rule.SINGLE_OWNER, event.at_s, subject, event.record.number)
-    latest_used[slice_id] = max(used, latest_used.get(slice_id, NO_ASSIGNMENT))
+    latest_used[slice_id] = max(assignment_index, latest_used.get(slice_id, NO_ASSIGNMENT))
 
 
 def _assignments(context: AuditContext) -> dict[int, list[tuple[float, int]]]:
-    """By slice: when it was assigned to a server, and to which."""
+    """Return the time and the server of each assignment, by slice."""
     assignments: dict[int, list[tuple[float, int]]] = defaultdict(list)
     for record in context.records:
         message = record.message
@@ -118,7 +121,7 @@
 
 
 def _events(context: AuditContext) -> list[_WriteEvent]:
-    """Delivered writes, and all responses as they were sent, in order of time."""
+    """Return delivered writes and all sent responses, in order of time."""
     classes = list(context.config.classes.values())
     events = []
     for record in context.records:
--- a/puffintide/audit/rules/slow_start.py
+++ b/puffintide/audit/rules/slow_start.py
@@ -1,7 +1,7 @@
-"""Rule: a server that warms up is not given much more work than it has capacity for.
+"""Rule: a server that warms up is not sent more work than a multiple of its current capacity.
 
-Work in a sliding window counts against the server if most of it was sent by proxies whose assigner knew of the
-server's start.
+The work in a sliding window is checked if at least two thirds of it came from proxies that had an update from
+after their assigner learned of the server's start.
 """
 
 from __future__ import annotations
@@ -15,24 +15,25 @@
 from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 
-CHANCE_MARGIN = 1.1  # for requests that happen to need more work
-INFORMED_PARTS = 2  # of TOTAL_PARTS of the work have to be informed for it to count
-TOTAL_PARTS = 3
-SHOWN_RECORDS = 5
+LIMIT_TOLERANCE = 1.1  # Factor on the limit, for requests that by chance need more work.
+# A window is checked if at least this fraction of its work is informed.
+MIN_INFORMED_NUMERATOR = 2
+MIN_INFORMED_DENOMINATOR = 3
+MAX_SHOWN_RECORDS = 5  # Number of records that a finding shows.
 
-Updates = dict[tuple[int, int], list[tuple[float, float]]]  # by proxy and assigner: delivered, ordered
+Updates = dict[tuple[int, int], list[tuple[float, float]]]  # Delivery and order times, by proxy and assigner.
 
 
 @dataclass(frozen=True, slots=True)
 class _Work:
     at_s: float
     work_s: float
-    is_informed: bool  # the sender's assigner knew of the server's start
+    is_informed: bool  # Whether the proxy could take the server's start into account.
     record_number: int
 
 
 def check(context: AuditContext) -> None:
-    """Check the rule."""
+    """Check each run of a server that does not start warm."""
     work = _work_by_server(context)
     for run in context.truth.server_runs:
         if not run.is_warm:
@@ -66,7 +67,11 @@
 def _is_informed(
     context: AuditContext, attempt: m.AttemptRequest, server_id: int, at_s: float, updates: Updates
 ) -> bool:
-    """Whether the proxy has an update that was made after its assigner knew of the server's last start."""
+    """Return whether a proxy could take the server's last start into account for an attempt.
+
+    It could if it had an update from after its assigner learned of the start, or if the assigner has known of
+    the start for the grace period.
+    """
     owner = context.timeline.owner_at(attempt.slice_id, at_s)
     if owner is None:
         return False
@@ -83,7 +88,7 @@
 
 
 def _check_run(context: AuditContext, run: ServerRun, work: list[_Work]) -> None:
-    """Check each window of the time in which a server warms up."""
+    """Check each window within the time in which a server warms up."""
     rules = context.config.rules
     warm_at_s = min(run.ended_at_s, run.started_at_s + run.slow_start_duration_s)
     window: deque[_Work] = deque()
@@ -95,9 +100,9 @@
             window.popleft()
         total_s = sum(other.work_s for other in window)
         informed_s = sum(other.work_s for other in window if other.is_informed)
-        limit_s = rules.fall_multiple * run.capacity_at(item.at_s) * rules.fall_s * CHANCE_MARGIN
+        limit_s = rules.fall_multiple * run.capacity_at(item.at_s) * rules.fall_s * LIMIT_TOLERANCE
         context.report.case_counts[Rule.SLOW_START] += 1
-        if informed_s >= total_s * INFORMED_PARTS / TOTAL_PARTS:
-            shown = (other.record_number for other in list(window)[-SHOWN_RECORDS:])
+        if informed_s >= total_s * MIN_INFORMED_NUMERATOR / MIN_INFORMED_DENOMINATOR:
+            shown = (other.record_number for other in list(window)[-MAX_SHOWN_RECORDS:])
             subject = f"server {run.server_id}"
             context.report.add_case(Rule.SLOW_START, item.at_s, subject, total_s, limit_s, *shown)
--- a/puffintide/audit/timeline.py
+++ b/puffintide/audit/timeline.py
@@ -1,4 +1,4 @@
-"""Who was connected to whom, owned what and knew what, over time; worked out from the records."""
+"""Derives connections, slice ownership and the endpoints each assigner knew over time from the records."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.validation import WATCH_EVENT_TYPES, split_valid_endpoints
 
-READY = 1  # status of an endpoint entry
-REMOVED = 0
-STARTED_LONG_AGO = 0.0
+READY = 1  # Status of an endpoint entry that accepts requests.
+REMOVED = 0  # Status of an endpoint entry that is no longer listed.
+STARTED_LONG_AGO = 0.0  # Start time of a server whose age is not known, and which counts as warmed up.
 
 
 @dataclass(slots=True)
 class EndpointHistory:
-    """What an assigner knew of a server from the endpoint list, over time."""
+    """The states of a server over time, as an assigner knew them from the endpoint list."""
 
-    states: list[tuple[float, int, float]] = field(default_factory=list)  # when, status, server's start
+    states: list[tuple[float, int, float]] = field(default_factory=list)  # Time, status, start of the server.
 
     def unavailable_since(self, now_s: float) -> float | None:
-        """Since when the server is known not to be ready; None if it is, or is unknown."""
+        """Return the time since which the server is known not to be ready; None if it is ready or unknown."""
         index = bisect_right(self.states, now_s, key=lambda state: state[0]) - 1
         since_s = None
         while index >= 0 and self.states[index][1] != READY:
@@ -35,13 +35,13 @@
 
 
 class Timeline:
-    """What each party knew, and since when. A paused assigner knows nothing new until it resumes.
+    """The knowledge of each process over time. A paused assigner learns nothing until it resumes.
 
     Args:
-        config: Zones and limits of the deployment.
-        records: In order of delivery.
-        peers: The party that dialled each connection.
-        truth: Kills and pauses of assigners.
+        config: The configuration of the deployment, for its zones and limits.
+        records: All records, in order of delivery.
+        peers: The process that dialled each connection.
+        truth: The kills and pauses of assigners.
     """
 
     def __init__(
@@ -49,26 +49,30 @@
     ) -> None:
         self.config = config
         self.truth = truth
-        self.ownerships: dict[int, dict[int, list[Interval]]] = defaultdict(
-            lambda: defaultdict(list)
-        )  # by assigner and slice
-        self.streams: dict[tuple[int, int], list[Interval]] = defaultdict(list)  # by proxy and assigner
+        # Intervals of ownership, by assigner and slice.
+        self.ownerships: dict[int, dict[int, list[Interval]]] = defaultdict(lambda: defaultdict(list))
+        # Intervals of connection, by proxy and assigner.
+        self.streams: dict[tuple[int, int], list[Interval]] = defaultdict(list)
+        # What each assigner knew of each server, by assigner and server.
         self.endpoints: dict[int, dict[int, EndpointHistory]] = defaultdict(
             lambda: defaultdict(EndpointHistory)
-        )  # by assigner and server
-        self.known_starts: dict[tuple[int, int], list[float]] = defaultdict(list)  # by assigner and server
-        self.zones: dict[int, int] = {}  # by server
-        self._open_ownerships: dict[tuple[int, int], float] = {}  # since when, by assigner and slice
-        self._listed: dict[int, set[int]] = defaultdict(set)  # servers by assigner
-        self._started_at_s: dict[tuple[int, int, int], float] = {}  # by assigner, server and incarnation
+        )
+        # Times at which the assigner learned of a start, by assigner and server.
+        self.known_starts: dict[tuple[int, int], list[float]] = defaultdict(list)
+        self.zones: dict[int, int] = {}  # Zone numbers, by server.
+        # Begins of ownerships that have not ended, by assigner and slice.
+        self._open_ownerships: dict[tuple[int, int], float] = {}
+        self._listed: dict[int, set[int]] = defaultdict(set)  # Listed servers, by assigner.
+        # Start times, by assigner, server and incarnation.
+        self._started_at_s: dict[tuple[int, int, int], float] = {}
         for record in records:
             peer = peers.get(record.connection_id)
             if peer is not None:
                 self._add(record, peer)
-        self._close()
+        self._finish()
 
     def owner_at(self, slice_id: int, at_s: float) -> tuple[int, float] | None:
-        """The assigner that owns a slice at a time, and since when."""
+        """Return the assigner that owns a slice at a time, and since when; None if none does."""
         for assigner_id, by_slice in sorted(self.ownerships.items()):
             since_s = start_of_interval_at(by_slice.get(slice_id, []), at_s)
             if since_s is not None:
@@ -76,7 +80,7 @@
         return None
 
     def warm_server_intervals(self, assigner_id: int) -> list[Interval]:
-        """While the assigner's list has some server that is ready and no longer warming up."""
+        """Return the intervals in which an assigner's list has a ready server that has warmed up."""
         warm_within_s = self.config.rules.warm_within_s
         intervals: list[Interval] = []
         for history in self.endpoints[assigner_id].values():
@@ -91,13 +95,13 @@
         return merge(intervals)
 
     def _observed_at(self, assigner_id: int, at_s: float) -> float:
-        """When an assigner handles what was delivered at a time."""
+        """Return when an assigner handles a message that was delivered at a time."""
         for begin_s, end_s in self.truth.pauses.get(assigner_id, []):
             if begin_s <= at_s <= end_s:
                 return end_s
         return at_s
 
-    def _killed_after(self, assigner_id: int, at_s: float) -> float:
+    def _next_kill_at(self, assigner_id: int, at_s: float) -> float:
         kills = self.truth.kills.get(assigner_id, [])
         return min((kill_s for kill_s in kills if kill_s >= at_s), default=FOREVER)
 
@@ -123,16 +127,16 @@
             self._revoke(peer.id, message.slice_id, record.delivered_at_s)
 
     def _add_stream(self, assigner_id: int, proxy: Peer, connected_at_s: float) -> None:
-        end_s = min(proxy.disconnected_at_s, self._killed_after(assigner_id, connected_at_s))
+        end_s = min(proxy.disconnected_at_s, self._next_kill_at(assigner_id, connected_at_s))
         self.streams[proxy.id, assigner_id].append((connected_at_s, end_s))
 
     def _add_ownership(self, assigner_id: int, record: Record, ownership: m.SliceOwnership) -> None:
-        """A slice is owned once its assigner knows; the former one's ownership ends when the store writes that."""
+        """Begin an ownership when its assigner is notified; end the former one when the store sends it."""
         slice_id = ownership.slice_id
         for (owner_id, other_slice), since_s in list(self._open_ownerships.items()):
             if other_slice == slice_id:
                 del self._open_ownerships[owner_id, other_slice]
-                end_s = min(record.received_at_s, self._killed_after(owner_id, since_s))
+                end_s = min(record.received_at_s, self._next_kill_at(owner_id, since_s))
                 self.ownerships[owner_id][slice_id].append((since_s, end_s))
         if ownership.owner_id == assigner_id and record.delivered_at_s is not None:
             observed_at_s = self._observed_at(assigner_id, record.delivered_at_s)
@@ -169,10 +173,10 @@
         state = (at_s, entry.status, self._started_at_s[key])
         self.endpoints[assigner_id][entry.server_id].states.append(state)
 
-    def _close(self) -> None:
-        """End what is open at the last record, and sort."""
+    def _finish(self) -> None:
+        """End the ownerships that are open after the last record, and sort all intervals."""
         for (assigner_id, slice_id), since_s in self._open_ownerships.items():
-            interval = (since_s, self._killed_after(assigner_id, since_s))
+            interval = (since_s, self._next_kill_at(assigner_id, since_s))
             self.ownerships[assigner_id][slice_id].append(interval)
         for key, intervals in list(self.streams.items()):
             self.streams[key] = merge([(begin, end) for begin, end in intervals if begin < end])
--- a/puffintide/emulators/__init__.py
+++ b/puffintide/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is around the assigner: session servers, their list, plain dispatchers, clients."""
+"""Emulators of the systems around the program: session servers, the endpoint list, clients and etcd."""
--- a/puffintide/emulators/arrivals.py
+++ b/puffintide/emulators/arrivals.py
@@ -1,4 +1,4 @@
-"""The requests of a scenario, drawn ahead from its seed."""
+"""Generates the requests of a scenario in advance from its seed."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from puffintide.config.schema import ClassSection, Fault, Load
 from puffintide.emulators.errors import MissingSectionError
 
-PROXY_WEIGHT_SIGMA = 0.6  # of the log-normal distribution of traffic over proxies
+PROXY_WEIGHT_SIGMA = 0.6  # Sigma of the log-normal distribution of the traffic weights of proxies.
 
-Column = NDArray[Any]  # a value for each request
+Column = NDArray[Any]  # One value per request.
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that a client is to send."""
+    """A request to be sent by a client."""
 
-    at_s: float  # since the start of the scenario
+    at_s: float  # Time since the start of the scenario, in seconds.
     proxy_id: int
     class_index: int
     key: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class _Columns:
-    """All requests, a column for each of their properties, in order of time."""
+    """All requests in order of time, with one column per property."""
 
     times_s: Column
     class_indexes: Column
@@ -54,10 +54,13 @@
 
 
 def draw_arrivals(config: Config) -> list[Arrival]:
-    """All requests of a scenario, in order of time; the same seed gives the same requests.
+    """Generate all requests of a scenario in order of time. The same seed gives the same requests.
+
+    Args:
+        config: The configuration of the scenario.
 
     Raises:
-        MissingSectionError: The configuration describes no load or no day.
+        MissingSectionError: The configuration has no section [load] or no section [day].
     """
     if config.load is None or config.day is None:
         raise MissingSectionError(("load", "day"))
@@ -70,7 +73,7 @@
 
 
 def _draw_times(generator: np.random.Generator, load: Load, length_s: float) -> Column:
-    """Times of a Poisson process whose rate follows the load's shape, by thinning."""
+    """Draw the times of a Poisson process whose rate follows the shape of the load, by thinning."""
     peak = max(level for _, level in load.shape)
     expected = load.requests_per_s * peak * length_s
     times_s = np.sort(generator.uniform(0, length_s, generator.poisson(expected)))
@@ -80,7 +83,7 @@
 
 
 def _draw_columns(generator: np.random.Generator, config: Config, load: Load, times_s: Column) -> _Columns:
-    """The other properties. The order of draws determines what a seed gives."""
+    """Draw the other properties. The order of the draws determines the result for a seed."""
     count = len(times_s)
     proxy_count = config.deployment.proxies
     classes = list(config.classes.values())
@@ -96,7 +99,7 @@
 
 
 def _draw_work(generator: np.random.Generator, classes: list[ClassSection], class_indexes: Column) -> Column:
-    """Log-normal work in seconds, with the mean and coefficient of variation of each request's class."""
+    """Draw log-normal work in seconds, with the mean and coefficient of variation of the request class."""
     work_s = np.empty(len(class_indexes))
     for class_index, request_class in enumerate(classes):
         sigma = np.sqrt(np.log(1 + request_class.work_cv**2))
@@ -108,18 +111,18 @@
 def _apply_fault(
     generator: np.random.Generator, config: Config, key_count: int, fault: Fault, columns: _Columns
 ) -> None:
-    """Change requests within the time of a fault, if it is one of the load."""
+    """Change the requests within the time of a fault, if the fault concerns the load."""
     count = len(columns.times_s)
     during = (columns.times_s >= fault.at_s) & (columns.times_s < fault.at_s + fault.for_s)
     match fault.kind:
-        case "hot_key":  # size: fraction of all traffic that goes to one key
+        case "hot_key":  # size: fraction of all traffic that is moved to one key.
             affected = during & (generator.uniform(size=count) < fault.size)
             hot_key = int(generator.integers(key_count))
             columns.keys = np.where(affected, hot_key, columns.keys)
-        case "heavy_tail":  # extra: fraction of requests that have size times the work
+        case "heavy_tail":  # extra: fraction of requests; size: factor on their work.
             affected = during & (generator.uniform(size=count) < fault.extra)
             columns.work_s = np.where(affected, columns.work_s * fault.size, columns.work_s)
-        case "shift":  # size: fraction of other zones' traffic that comes to this zone's proxies
+        case "shift":  # size: fraction of all traffic that is moved to the proxies of one zone.
             affected = during & (generator.uniform(size=count) < fault.size)
             zone_proxy_ids = _proxies_of_zone(config, fault.zone)
             columns.proxy_ids = np.where(affected, generator.choice(zone_proxy_ids, count), columns.proxy_ids)
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a scenario: they send its requests to proxies, retry, and record the outcome of each request."""
+"""The clients of a scenario. They send requests to proxies, retry, and record the outcome of each request."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
 
-MIN_TIMEOUT_S = 0.005  # with less time left a request is not sent
+MIN_TIMEOUT_S = 0.005  # A request with no more time left than this is not sent, in seconds.
+# Names of outcomes in records, by the status of the response.
 OUTCOMES: dict[int, str] = {
     m.AttemptStatus.SATURATED: "refused",
     m.AttemptStatus.TIMEOUT: "timeout",
-}  # as recorded
+}
 
 
 @dataclass(frozen=True, slots=True)
 class _Request:
-    """A request with one of its attempts."""
+    """A request and the number of its current attempt."""
 
     arrival: Arrival
-    arrived_at_s: float  # by the reactor's clock
-    attempt_number: int  # 0: the first
+    arrived_at_s: float  # Time at which it was due, on the clock of the reactor, in seconds.
+    attempt_number: int  # Zero for the first attempt.
 
     def next_attempt(self) -> _Request:
         return _Request(self.arrival, self.arrived_at_s, self.attempt_number + 1)
@@ -42,20 +43,20 @@
 
 
 class Clients:
-    """Sends a scenario's requests, those of each proxy on a stream of its own.
+    """Sends the requests of a scenario, using one stream per proxy.
 
     Args:
-        reactor: For time and connections.
-        config: Of the scenario.
-        proxy_addresses: HOST:PORT of each proxy, in the order of their ids.
-        record: Receives a JSON object a line for each request that has ended.
+        reactor: The reactor that provides time and connections.
+        config: The configuration of the scenario.
+        proxy_addresses: The address of each proxy as HOST:PORT, in the order of proxy ids.
+        record: The file that receives one line with a JSON object for each request that has ended.
 
     Attributes:
-        streams: to proxies that are connected, by their ids.
-        attempts_sent: the number of attempts of all requests so far; the last one's request id on the wire.
+        streams: The streams to connected proxies, by proxy id.
+        attempts_sent: The number of attempts sent so far, which is the last request id on the wire.
 
     Raises:
-        MissingSectionError: The configuration describes no load or no day.
+        MissingSectionError: The configuration has no section [load] or no section [day].
     """
 
     def __init__(self, reactor: Any, config: Config, proxy_addresses: list[str], record: TextIO) -> None:
@@ -69,7 +70,7 @@
         self._record_file = record
         self._classes: list[ClassSection] = list(config.classes.values())
         self.streams: dict[int, Stream] = {}
-        self._in_flight: dict[int, _InFlight] = {}  # by request id
+        self._in_flight: dict[int, _InFlight] = {}  # Attempts without a response, by request id on the wire.
         self.attempts_sent = 0
         self._next_arrival_index = 0
         self._started_at_s = 0.0
@@ -77,12 +78,12 @@
             self._connect(proxy_id, address)
 
     def start(self) -> None:
-        """Begin the scenario's time; streams are opened before, when the object is made."""
+        """Start the clock of the scenario. The streams are opened earlier, by the constructor."""
         self._started_at_s = self._now_s()
         self._send_arrivals()
 
     def done(self) -> bool:
-        """Whether all requests were sent and none is in flight; one that waits for a retry doesn't count."""
+        """Return whether all requests were sent and none is in flight; requests awaiting retry do not count."""
         return self._next_arrival_index >= len(self.arrivals) and not self._in_flight
 
     def _now_s(self) -> float:
@@ -135,7 +136,7 @@
         )
 
     def _timeout_s(self, request: _Request) -> float:
-        """How long to wait for this attempt."""
+        """Return the time to wait for a response to the current attempt, in seconds."""
         now_s = self._now_s()
         deadline_s = self._class_of(request).deadline_s
         return min(
@@ -143,7 +144,7 @@
         )
 
     def _attempt_timeout_fraction(self, now_s: float) -> float:
-        """The fraction of the deadline after which an attempt is given up; a fault may lower it."""
+        """Return the fraction of the deadline after which an attempt is given up; a fault may lower it."""
         since_start_s = now_s - self._started_at_s
         for _, fault in sorted(self._config.faults.items()):
             if fault.kind == "give_up" and fault.at_s <= since_start_s < fault.at_s + fault.for_s:
@@ -166,7 +167,7 @@
         self._retry(in_flight.request, response.retry_after_s, outcome, response.may_have_executed)
 
     def _retry(self, request: _Request, retry_after_s: float, outcome: str, may_have_executed: bool) -> None:
-        """Schedule a retry if retries, the deadline and the safety of a repetition allow it; else give up."""
+        """Schedule a retry if the retry limit, the deadline and the request class allow it; else give up."""
         arrival = request.arrival
         now_s = self._now_s()
         is_retry_allowed = request.attempt_number < self._load.retries
@@ -180,7 +181,7 @@
         self._reactor.callLater(wait_s, self._send, request.next_attempt())
 
     def _is_repeatable(self, request: _Request, now_s: float) -> bool:
-        """Whether a request that may have been executed may be sent again."""
+        """Return whether a request that may have been executed may be sent again."""
         request_class = self._class_of(request)
         if request_class.effect == "repeatable":
             return True
@@ -190,7 +191,7 @@
         return self._classes[request.arrival.class_index]
 
     def _complete(self, request: _Request, failure: str) -> None:
-        """Record the outcome of a request; an empty failure is success."""
+        """Record the outcome of a request. An empty failure text means success."""
         self.completed_requests += 1
         row = {
             "at": round(request.arrival.at_s, 4),
--- a/puffintide/emulators/endpoint_list.py
+++ b/puffintide/emulators/endpoint_list.py
@@ -1,4 +1,4 @@
-"""An emulator of the endpoint list: it notifies its watchers of servers that start, drain and end."""
+"""An emulator of the endpoint list. It notifies watchers of servers that start, drain and end."""
 
 from __future__ import annotations
 
@@ -12,29 +12,33 @@
 from puffintide.protocol.stream import PeerIdentity, Stream, StreamServerFactory
 
 MAX_PENDING_CONNECTIONS = 50
-LONG_AGO_S = -1.0  # a start or an age that is not known, on the wire too
+UNKNOWN_TIME_S = -1.0  # A start time or an age that is not known, also on the wire.
 
 
 @dataclass(frozen=True, slots=True)
 class ListedState:
-    """What the list says of a server now."""
+    """The current state of a server in the list."""
 
     status: EndpointStatus
     incarnation: int
-    started_at_s: float  # LONG_AGO_S: before the list began
+    started_at_s: float  # Start in seconds; UNKNOWN_TIME_S if it was before the start of the list.
 
 
 DescribeEndpoint = Callable[[int, ListedState], m.EndpointEntry]
 
 
 class EndpointListEmulator:
-    """The list on a port of the loopback; it knows of servers what its owner records.
+    """An endpoint list on a loopback port. It lists the servers that its owner records.
+
+    Args:
+        reactor: The reactor that provides ports.
+        describe: A function that returns the entry of a server, given its id and state.
 
     Attributes:
-        listed: the state of each server that was recorded.
-        version: the number of changes so far.
-        watchers: streams that are sent events.
-        is_empty: a fault; snapshots then contain no servers.
+        listed: The state of each recorded server, by server id.
+        version: The number of changes so far.
+        watchers: The streams that receive events.
+        is_empty: Whether snapshots contain no servers, as an injected fault.
     """
 
     def __init__(self, reactor: Any, describe: DescribeEndpoint) -> None:
@@ -44,26 +48,30 @@
         self.is_empty = False
         self._reactor = reactor
         self._describe = describe
-        self._changed_ids: list[int] = []  # the server of each version
+        self._changed_ids: list[int] = []  # The id of the server that changed, by version.
         self._listener: Any = None
         self._port = 0
 
     def start(self, port: int) -> None:
-        """Listen. Raises twisted.internet.error.CannotListenError if the port is in use."""
+        """Listen on a port.
+
+        Raises:
+            twisted.internet.error.CannotListenError: The port is in use.
+        """
         self._port = port
         self.resume()
 
     def suspend(self) -> None:
-        """Close the port and all streams of watchers; nothing happens if it is closed."""
+        """Close the port and the streams of all watchers; do nothing if the port is closed."""
         if self._listener is None:
             return
         self._listener.stopListening()
         self._listener = None
         for stream in self._ordered_watchers():
-            stream.abort("list is down")
+            stream.abort("endpoint list is suspended")
 
     def resume(self) -> None:
-        """Listen again; nothing happens if it listens."""
+        """Listen on the same port again; do nothing if the port is open."""
         if self._listener is not None:
             return
         factory = StreamServerFactory(
@@ -75,7 +83,7 @@
         self._listener = self._reactor.listenTCP(self._port, factory, MAX_PENDING_CONNECTIONS, "127.0.0.1")
 
     def record(self, server_id: int, state: ListedState) -> None:
-        """Take over the state of a server and notify the watchers."""
+        """Set the state of a server and notify all watchers."""
         self.listed[server_id] = state
         self.version += 1
         self._changed_ids.append(server_id)
@@ -84,11 +92,11 @@
             stream.send(event)
 
     def entry(self, server_id: int) -> m.EndpointEntry:
-        """The entry of a server that was recorded."""
+        """Return the entry of a recorded server."""
         return self._describe(server_id, self.listed[server_id])
 
     def send_snapshot(self, stream: Stream) -> None:
-        """Send all entries, or none while the list is empty by a fault."""
+        """Send all entries, or none while the fault is_empty is set."""
         entries = [] if self.is_empty else [self.entry(server_id) for server_id in sorted(self.listed)]
         stream.send(m.WatchEvent("full", self.version, entries))
 
@@ -104,7 +112,7 @@
             case m.SnapshotRequest():
                 self.send_snapshot(stream)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for the list")
+                stream.reject(f"the endpoint list does not accept message {type(message).__name__}")
 
     def _watch_requested(self, stream: Stream, request: m.WatchRequest) -> None:
         if not request.enabled:
--- a/puffintide/emulators/errors.py
+++ b/puffintide/emulators/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the emulators."""
+"""Exceptions of the emulators."""
 
 from __future__ import annotations
 
 
 class EmulatorError(Exception):
-    """Base of all errors of the emulators."""
+    """Base class of all exceptions of the emulators."""
 
 
 class MissingSectionError(EmulatorError):
@@ -12,11 +12,11 @@
 
     def __init__(self, sections: tuple[str, ...]) -> None:
         names = ", ".join(f"[{section}]" for section in sections)
-        super().__init__(f"the configuration needs all of these sections: {names}")
+        super().__init__(f"cannot run the emulator: the configuration must have all of the sections {names}")
 
 
 class InvalidCommandError(EmulatorError):
-    """An argument of a command has a wrong type."""
+    """An argument of a command has the wrong type."""
 
     def __init__(self, operation: str, argument: str, value: object) -> None:
-        super().__init__(f"command {operation!r}: argument {argument!r} is {value!r}")
+        super().__init__(f"command {operation!r}: argument {argument!r} has the wrong type: {value!r}")
--- a/puffintide/emulators/etcd.py
+++ b/puffintide/emulators/etcd.py
@@ -1,7 +1,7 @@
-"""An emulator of an etcd member: the part of the v3 protocol that the store uses, in memory, with injected faults.
+"""An emulator of an etcd member with injected faults, for the part of the v3 protocol that the store uses.
 
-It is no etcd: there is one member, no disk and no consensus. Transactions, revisions, leases and limits are as
-the protocol defines them. The clock is an argument, so that a test decides when leases expire.
+It has one member and no consensus, and keeps its data in memory. Transactions, revisions, leases and limits
+follow the protocol. The clock is an argument, so that a test decides when leases expire.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
     add_LeaseServicer_to_server,
 )
 
-MAX_OPERATIONS = 128  # in a transaction; etcd's default
-MAX_REQUEST_BYTES = 1536 * 1024  # etcd's default
-MAX_WORKERS = 8  # threads that serve calls
+MAX_OPERATIONS = 128  # Maximum operations in a transaction; the default of etcd.
+MAX_REQUEST_BYTES = 1536 * 1024  # The default of etcd.
+MAX_WORKERS = 8  # Threads that serve calls.
 FIRST_LEASE_ID = 101
 
 
 @dataclass
 class Faults:
-    """Faults to inject into the calls that follow."""
+    """Faults that are injected into all later calls."""
 
-    no_leader: bool = False  # calls fail with UNAVAILABLE
-    slow_s: float = 0.0  # added to each call
-    lose_responses: int = 0  # so many transactions are carried out and fail with UNAVAILABLE
-    no_space: bool = False  # transactions that write fail with RESOURCE_EXHAUSTED
-    compacted_revision: int = 0  # reads at revisions below this fail with OUT_OF_RANGE
+    no_leader: bool = False  # Whether all calls fail with UNAVAILABLE.
+    call_delay_s: float = 0.0  # Delay added to each call, in seconds.
+    lose_responses: int = 0  # Number of next writing transactions to execute and answer with UNAVAILABLE.
+    no_space: bool = False  # Whether writing transactions fail with RESOURCE_EXHAUSTED.
+    compacted_revision: int = 0  # Reads at lower revisions fail with OUT_OF_RANGE.
 
 
-class _Sized(Protocol):
+class _ProtobufMessage(Protocol):
     """Any protobuf message."""
 
     def ByteSize(self) -> int:
-        """The length of its encoding."""
+        """Return the length of the encoded message."""
 
 
 @dataclass
@@ -55,13 +55,13 @@
 
 
 class Etcd(KVServicer, LeaseServicer):
-    """A member with its keys and leases in memory; gRPC calls are served by threads.
+    """A member with its keys and leases in memory. Threads serve the gRPC calls.
 
     Args:
-        clock: Returns the time in seconds, for leases.
+        clock: A function that returns the time in seconds, which leases use.
 
     Attributes:
-        transactions: the number of transactions carried out so far.
+        transactions: The number of transactions executed so far.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -76,7 +76,7 @@
         self._server: Any = None
 
     def serve(self) -> int:
-        """Listen on a free port of the loopback; returns the port."""
+        """Listen on a free loopback port and return its number."""
         self._server = grpc.server(ThreadPoolExecutor(MAX_WORKERS))
         add_KVServicer_to_server(self, self._server)
         add_LeaseServicer_to_server(self, self._server)
@@ -85,13 +85,13 @@
         return port
 
     def stop(self) -> None:
-        """Close the port and end calls in progress. To be called once, after serve()."""
+        """Close the port and abort calls in progress. Must be called once, after serve()."""
         self._server.stop(None)
 
-    def _begin_call(self, context: grpc.ServicerContext, request: _Sized) -> None:
-        """Apply the faults and limits of all calls, and expire leases."""
-        if self.faults.slow_s:
-            time.sleep(self.faults.slow_s)
+    def _begin_call(self, context: grpc.ServicerContext, request: _ProtobufMessage) -> None:
+        """Apply the faults and limits that concern all calls, and expire leases."""
+        if self.faults.call_delay_s:
+            time.sleep(self.faults.call_delay_s)
         if self.faults.no_leader:
             context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
         if request.ByteSize() > MAX_REQUEST_BYTES:
@@ -102,7 +102,7 @@
                 self._revoke(lease_id)
 
     def _revoke(self, lease_id: int) -> None:
-        """End a lease, if there is one, and delete its keys."""
+        """End a lease if it exists, and delete its keys."""
         lease = self.leases.pop(lease_id, None)
         if lease is not None and lease.keys:
             self.revision += 1
@@ -113,7 +113,7 @@
         return pb.ResponseHeader(cluster_id=1, member_id=1, revision=self.revision, raft_term=1)
 
     def _keys_in_range(self, key: bytes, end: bytes) -> list[bytes]:
-        """The existing keys from one up to an end, in order; without an end that one key, if it exists."""
+        """Return the existing keys from key to before end in order; without an end, only key."""
         if not end:
             return [key] if key in self.keys else []
         return sorted(k for k in self.keys if key <= k < end)
@@ -129,7 +129,7 @@
         )
 
     def Range(self, request: pb.RangeRequest, context: grpc.ServicerContext) -> pb.RangeResponse:
-        """Read a range of keys; at any revision it returns the current values."""
+        """Read a range of keys. The current values are returned for any revision."""
         with self._lock:
             self._begin_call(context, request)
             if 0 < request.revision < self.faults.compacted_revision:
@@ -140,7 +140,7 @@
             return self._range(request)
 
     def Txn(self, request: pb.TxnRequest, context: grpc.ServicerContext) -> pb.TxnResponse:
-        """Carry out a transaction."""
+        """Execute a transaction."""
         with self._lock:
             self._begin_call(context, request)
             operations = request.success if all(map(self._is_satisfied, request.compare)) else request.failure
@@ -162,7 +162,7 @@
             return pb.TxnResponse(header=self._header(), succeeded=succeeded, responses=responses)
 
     def _is_satisfied(self, compare: pb.Compare) -> bool:
-        """Whether a condition of a transaction is met."""
+        """Return whether a condition of a transaction holds."""
         pair = self.keys.get(compare.key, pb.KeyValue())
         operands: dict[int, tuple[Any, Any]] = {
             pb.Compare.VERSION: (pair.version, compare.version),
@@ -228,7 +228,7 @@
     def LeaseKeepAlive(
         self, requests: Iterator[pb.LeaseKeepAliveRequest], context: grpc.ServicerContext
     ) -> Iterator[pb.LeaseKeepAliveResponse]:
-        """Renew leases; the response for one that has expired has a TTL of 0."""
+        """Renew leases. The response for an expired lease has a TTL of 0."""
         for request in requests:
             with self._lock:
                 self._begin_call(context, request)
--- a/puffintide/emulators/fleet.py
+++ b/puffintide/emulators/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of emulated session servers and their endpoint list, in one process. A scenario controls its faults."""
+"""A fleet of emulated session servers and their endpoint list in one process, with injected faults."""
 
 from __future__ import annotations
 
@@ -10,38 +10,41 @@
 from puffintide.config.model import Config
 from puffintide.config.schema import Fleet
 from puffintide.decisions.events import EndpointStatus
-from puffintide.emulators.endpoint_list import LONG_AGO_S, EndpointListEmulator, ListedState
+from puffintide.emulators.endpoint_list import UNKNOWN_TIME_S, EndpointListEmulator, ListedState
 from puffintide.emulators.errors import InvalidCommandError, MissingSectionError
 from puffintide.emulators.model import ServerSpec
 from puffintide.emulators.server import EmulatedServer, ServerEnvironment, ServerIdentity
 from puffintide.protocol import messages as m
 
-MIN_SLOWDOWN = 1e-3
+MIN_SLOWDOWN = 1e-3  # Lower bound of the factor on the duration of work.
 
 T = TypeVar("T")
 Argument = float | int | str | list[int]
-ServerCommand = Callable[[EmulatedServer, float, float], None]  # server, value, extra
+ServerCommand = Callable[[EmulatedServer, float, float], None]  # Arguments: server, value, extra.
 
 
 def value_for_server(values: Sequence[T], server_id: int, zone_count: int, server_count: int) -> T:
-    """The value of a server: its own if there is one for each, else in turn, so that zones are alike."""
+    """Return the value of a server from a list of values.
+
+    Without one value per server, the values repeat in order within each zone, so that zones are alike.
+    """
     if len(values) == server_count:
         return values[server_id]
     return values[server_id // zone_count % len(values)]
 
 
 class FleetService:
-    """Servers on ports of the loopback, listed some time after they start or end, as the configuration says.
+    """Servers on loopback ports, and their list, which follows starts and stops with the configured delays.
 
     Args:
-        reactor: For time and ports.
-        config: Of the scenario.
-        ports: The port of each server, in the order of their ids.
-        addresses: Of servers, as in the endpoint list.
-        record: Receives a JSON object a line for each start, drain, collapse and stop of a server.
+        reactor: The reactor that provides time and ports.
+        config: The configuration of the scenario.
+        ports: The port of each server, in the order of server ids.
+        addresses: The address of each server in the endpoint list, in the order of server ids.
+        record: The file that receives one line with a JSON object for each start, drain, collapse and stop.
 
     Raises:
-        MissingSectionError: The configuration describes no fleet or no day.
+        MissingSectionError: The configuration has no section [fleet] or no section [day].
     """
 
     def __init__(
@@ -76,20 +79,27 @@
         }
 
     def start(self, list_port: int) -> None:
-        """Start the servers that the scenario begins with, warmed up, then the endpoint list.
+        """Start the initial servers of the scenario, warmed up, and then the endpoint list.
+
+        Args:
+            list_port: The port of the endpoint list.
 
-        Raises twisted.internet.error.CannotListenError if a port is in use.
+        Raises:
+            twisted.internet.error.CannotListenError: A port is in use.
         """
         for server_id in range(self.fleet.servers):
             self.start_server(server_id, is_warm=True)
         self.endpoint_list.start(list_port)
 
     def start_server(self, server_id: int, is_warm: bool = False) -> None:
-        """Start a server and list it later; nothing happens if it runs. A warm one needs no slow start."""
+        """Start a server and list it after the configured delay; do nothing if it runs.
+
+        A warm server skips the slow start and is listed without delay.
+        """
         server = self.servers[server_id]
         if server.model is not None:
             return
-        started_at_s = LONG_AGO_S if is_warm else self._now_s()
+        started_at_s = UNKNOWN_TIME_S if is_warm else self._now_s()
         server.start(is_warm)
         self._record(
             what="start",
@@ -104,37 +114,38 @@
         self._reactor.callLater(0.0 if is_warm else self.fleet.add_s, self._list, server_id, state)
 
     def stop_server(self, server_id: int, notice_s: float | None = None) -> None:
-        """Kill a server; nothing happens if it does not run.
+        """Kill a server; do nothing if it does not run.
 
         Args:
-            server_id: Of the server.
-            notice_s: Seconds until the endpoint list removes it; None: as configured.
+            server_id: The id of the server.
+            notice_s: The time until the endpoint list removes it, in seconds; None for the configured time.
         """
         server = self.servers[server_id]
         if server.model is None:
             return
         server.stop()
         self._record(what="stop", server=server_id)
-        state = ListedState(EndpointStatus.REMOVED, server.incarnation, LONG_AGO_S)
+        state = ListedState(EndpointStatus.REMOVED, server.incarnation, UNKNOWN_TIME_S)
         delay_s = self.fleet.notice_s if notice_s is None else notice_s
         self._reactor.callLater(delay_s, self._list, server_id, state)
 
     def drain_server(self, server_id: int) -> None:
-        """List a server as draining; nothing happens if it does not run."""
+        """List a server as draining; do nothing if it does not run."""
         server = self.servers[server_id]
         if server.model is None:
             return
         self._record(what="drain", server=server_id)
         listed = self.endpoint_list.listed.get(server_id)
-        started_at_s = LONG_AGO_S if listed is None else listed.started_at_s
+        started_at_s = UNKNOWN_TIME_S if listed is None else listed.started_at_s
         self._list(server_id, ListedState(EndpointStatus.DRAINING, server.incarnation, started_at_s))
 
     def execute(self, operation: str, arguments: Mapping[str, Argument]) -> None:
-        """Carry out a command of the scenario; an unknown operation does nothing.
+        """Execute a command of the scenario; an unknown operation does nothing.
 
         Args:
-            operation: "list_down", "list_up", or what is done to servers.
-            arguments: "servers" are the ids of servers; "value" and "extra" are as the operation defines them.
+            operation: The operation: "list_down", "list_up", or an operation on servers.
+            arguments: The arguments by name: "servers" is a list of server ids, and the operation defines
+                the meaning of the numbers "value" and "extra".
 
         Raises:
             InvalidCommandError: "servers" is not a list.
@@ -200,7 +211,7 @@
     def _list(self, server_id: int, state: ListedState) -> None:
         is_outdated = state.incarnation < self.servers[server_id].incarnation
         if is_outdated and state.status == EndpointStatus.REMOVED:
-            return  # the server has started again meanwhile
+            return  # The server has started again since then.
         self.endpoint_list.record(server_id, state)
 
     def _describe_endpoint(self, server_id: int, state: ListedState) -> m.EndpointEntry:
@@ -214,7 +225,7 @@
             status=state.status,
             weight=float(server.spec.cores),
             incarnation=state.incarnation,
-            age_s=self._now_s() - state.started_at_s if is_age_known else LONG_AGO_S,
+            age_s=self._now_s() - state.started_at_s if is_age_known else UNKNOWN_TIME_S,
             address=server.identity.address,
         )
 
@@ -244,6 +255,6 @@
 
 
 def _number(arguments: Mapping[str, Argument], name: str) -> float:
-    """An argument that is a number, or 0."""
+    """Return the value of a numeric argument, or 0 if it is missing or not a number."""
     value = arguments.get(name, 0.0)
     return float(value) if isinstance(value, int | float) else 0.0
--- a/puffintide/emulators/server.py
+++ b/puffintide/emulators/server.py
@@ -1,4 +1,4 @@
-"""An emulated session server on a socket: it answers attempts and health checks as its model says."""
+"""An emulated session server on a socket, which answers attempts and health checks as its model says."""
 
 from __future__ import annotations
 
@@ -17,63 +17,63 @@
 MAX_PENDING_CONNECTIONS = 2000
 HEARTBEAT_INTERVAL_S = 30.0
 HEARTBEAT_TIMEOUT_S = 90.0
-HANDSHAKE_JOB_ID = -1  # shared by all handshakes, which nobody waits for
-REPORT_DIGITS = 4
+HANDSHAKE_JOB_ID = -1  # Shared by all handshakes, as their completion is not reported.
+REPORT_DIGITS = 4  # Decimal digits of reported load values.
 
 
 @dataclass(slots=True)
 class InjectedFaults:
-    """What a scenario does to a server; a start clears it."""
+    """The faults that a scenario injects into a server. A start clears them."""
 
-    hangs: bool = False  # responses are not sent
-    pause_interval_s: float = 0.0  # the mean time between pauses; 0: none
+    hangs: bool = False  # Whether responses are not sent.
+    pause_interval_s: float = 0.0  # Mean time between pauses, in seconds; 0 for no pauses.
     pause_duration_s: float = 0.0
-    report_factor: float = 1.0  # on the reported load
+    report_factor: float = 1.0  # Factor on the reported load.
     max_connections: int = 2000
-    handshake_factor: float = 1.0  # on the work of a handshake
+    handshake_factor: float = 1.0  # Factor on the work of a handshake.
 
 
 @dataclass(frozen=True, slots=True)
 class _Job:
     stream: Stream
-    message_id: int  # of the attempt or the health check
+    message_id: int  # Id of the attempt or of the health check.
     is_health_check: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """What the endpoint list says of a server, and where it listens."""
+    """The entry of a server in the endpoint list, and its port."""
 
     server_id: int
     zone: int
     server_type: int
     port: int
-    address: str  # as in the endpoint list
+    address: str  # Address in the endpoint list.
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEnvironment:
-    """What all servers of a fleet share."""
+    """The settings and resources that all servers of a fleet share."""
 
     reactor: Any
     fleet: Fleet
-    load_values: tuple[str, ...]  # names of the values in load reports, in their order
+    load_values: tuple[str, ...]  # Names of the values in load reports, in order.
     random: random.Random
 
 
 @dataclass
 class EmulatedServer:
-    """A server that is started and stopped, any number of times.
+    """A server that can be started and stopped any number of times.
 
     Attributes:
-        model: the state of the server; None while it does not run.
-        incarnation: the number of starts so far.
+        model: The state of the server; None while it does not run.
+        incarnation: The number of starts so far.
     """
 
     identity: ServerIdentity
     spec: ServerSpec
     environment: ServerEnvironment
-    on_collapse: Callable[[int], None]  # called with the server's id
+    on_collapse: Callable[[int], None]  # Called with the id of the server.
     faults: InjectedFaults = field(default_factory=InjectedFaults)
     model: ServerModel | None = None
     incarnation: int = 0
@@ -82,12 +82,16 @@
     _jobs: dict[int, _Job] = field(default_factory=dict)
     _last_job_id: int = 0
     _timer: Any = None
-    _load_values: list[float] = field(default_factory=list)  # sent with responses, measured at intervals
+    _load_values: list[float] = field(default_factory=list)  # Sent with responses; measured periodically.
 
     def start(self, is_warm: bool) -> None:
-        """Listen, without faults; a server that is not warm begins its slow start.
+        """Clear injected faults and listen. A server that is not warm begins its slow start.
 
-        Raises twisted.internet.error.CannotListenError if the port is in use.
+        Args:
+            is_warm: Whether the server has full capacity at once.
+
+        Raises:
+            twisted.internet.error.CannotListenError: The port is in use.
         """
         now_s = self._now_s()
         self.incarnation += 1
@@ -108,16 +112,16 @@
         self._measure_load(self.incarnation)
 
     def stop(self) -> None:
-        """Break all streams and close the port, as a crash does. To be called while it runs."""
+        """Close the port and abort all streams, as a crash does. Must be called while the server runs."""
         self.model = None
         self._listener.stopListening()
         for stream in sorted(self._streams, key=id):
-            stream.abort("server killed")
+            stream.abort(f"server {self.identity.server_id} was killed")
         self._streams.clear()
         self._jobs.clear()
 
     def set_slowdown(self, factor: float) -> None:
-        """Make work take so many times longer from now on; nothing happens if it does not run."""
+        """Multiply the duration of work by a factor from now on; do nothing if the server does not run."""
         if self.model is not None:
             self.model.advance(self._now_s())
             self.model.slowdown = factor
@@ -127,7 +131,8 @@
 
     def _check_peer(self, _greeting: Greeting) -> str | None:
         if len(self._streams) >= self.faults.max_connections:
-            return "too many connections"
+            limit = self.faults.max_connections
+            return f"server {self.identity.server_id} is at its limit of {limit} connections"
         return None
 
     def _connection_lost(self, stream: Stream, _reason: AnyMessage) -> None:
@@ -145,9 +150,9 @@
             case m.HealthCheckRequest():
                 self._health_check_received(stream, model, message)
             case m.CancelAttempt():
-                pass  # it stops no work
+                pass  # Work that was accepted is not cancelled.
             case _:
-                stream.reject(f"a {type(message).__name__} is not for a server")
+                stream.reject(f"a server does not accept message {type(message).__name__}")
 
     def _handshake_received(self, stream: Stream, model: ServerModel) -> None:
         self._streams.add(stream)
@@ -177,7 +182,7 @@
             stream.send(m.HealthCheckResponse(request.check_id, m.AttemptStatus.SATURATED))
 
     def _send_responses(self) -> None:
-        """Answer what is complete, and schedule the next time."""
+        """Send the responses of completed jobs, and schedule the next call."""
         model = self.model
         if model is None:
             return
@@ -195,7 +200,7 @@
             self._timer = self.environment.reactor.callLater(wait_s, self._send_responses)
 
     def _measure_load(self, incarnation: int) -> None:
-        """Measure the values of load reports, begin a pause by chance, and repeat until the server ends."""
+        """Measure the values of load reports, start a pause at random, and repeat until the server ends."""
         model = self.model
         if model is None or self.incarnation != incarnation:
             return
@@ -212,7 +217,7 @@
         self.environment.reactor.callLater(fleet.report_every_s, self._measure_load, incarnation)
 
     def _measured_values(self, model: ServerModel) -> dict[str, float]:
-        """Each value that a configuration may name; what a server can't measure is 0."""
+        """Return each value that a configuration may name; those that a server can't measure are 0."""
         factor = self.faults.report_factor
         return {
             "rif": model.in_flight() * factor,
--- a/tests/store_histories.py
+++ b/tests/store_histories.py
@@ -209,7 +209,7 @@
 
     def finish(self) -> dict[int, list[Operation]]:
         for (slice_id, token), observed_s in self.granted_at_s.items():
-            self.history[slice_id].append(Operation(OperationType.GIVE, token, 0, 0.0, observed_s))
+            self.history[slice_id].append(Operation(OperationType.GRANT, token, 0, 0.0, observed_s))
         return dict(self.history)
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -407,12 +407,15 @@
 @pytest.mark.parametrize(
     ("bend", "words"),
     [
-        (lambda rows: rows[:2] + rows[3:], "record 4 follows 2"),
-        (lambda rows: rows[:-1], "no closing count"),
-        (lambda rows: rows[:-2] + rows[-1:], "counts 5 records, 4"),
-        (lambda rows: [*rows[:2], rows[2][:20], *rows[3:]], "not a whole record"),
-        (lambda rows: [*rows[:2], rows[2].replace(b'"cancel"', b'"cancer"'), *rows[3:]], "does not fit"),
-        (lambda rows: [rows[1], rows[0], *rows[2:]], "record 2 follows 0"),
+        (lambda rows: rows[:2] + rows[3:], "record 4 follows record 2"),
+        (lambda rows: rows[:-1], "closing count is missing"),
+        (lambda rows: rows[:-2] + rows[-1:], "closing count is 5 records, last record is 4"),
+        (lambda rows: [*rows[:2], rows[2][:20], *rows[3:]], "record is not valid JSON"),
+        (
+            lambda rows: [*rows[:2], rows[2].replace(b'"cancel"', b'"cancer"'), *rows[3:]],
+            "record is invalid: MessageDecodeError: ",
+        ),
+        (lambda rows: [rows[1], rows[0], *rows[2:]], "record 2 follows record 0"),
     ],
 )
 def test_gaps_are_reported(bend: Callable[[list[bytes]], list[bytes]], words: str) -> None:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -21,7 +21,7 @@
     [
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GRANT, 1, 0, 0, 1),
                 op(OperationType.WRITE, 1, 5, 2, 3),
                 op(OperationType.READ, 1, 5, 4, 5),
             ],
@@ -29,7 +29,7 @@
         ),
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GRANT, 1, 0, 0, 1),
                 op(OperationType.WRITE, 1, 5, 2, 3),
                 op(OperationType.READ, 1, 0, 4, 5),
             ],
@@ -37,7 +37,7 @@
         ),  # lost
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GRANT, 1, 0, 0, 1),
                 op(OperationType.WRITE, 1, 5, 2, NEVER),
                 op(OperationType.READ, 1, 0, 4, 5),
                 op(OperationType.READ, 1, 5, 6, 7),
@@ -46,7 +46,7 @@
         ),
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GRANT, 1, 0, 0, 1),
                 op(OperationType.WRITE, 1, 5, 2, NEVER),
                 op(OperationType.READ, 1, 5, 4, 5),
                 op(OperationType.READ, 1, 0, 6, 7),
@@ -56,27 +56,27 @@
         # A former owner's write after the next owner has been notified.
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
-                op(OperationType.GIVE, 2, 0, 2, 3),
+                op(OperationType.GRANT, 1, 0, 0, 1),
+                op(OperationType.GRANT, 2, 0, 2, 3),
                 op(OperationType.WRITE, 1, 5, 4, 5),
             ],
             False,
         ),
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
-                op(OperationType.GIVE, 2, 0, 2, 6),
+                op(OperationType.GRANT, 1, 0, 0, 1),
+                op(OperationType.GRANT, 2, 0, 2, 6),
                 op(OperationType.WRITE, 1, 5, 4, 5),
             ],
             True,
         ),
         (
-            [op(OperationType.GIVE, 2, 0, 0, 1), op(OperationType.GIVE, 1, 0, 2, 3)],
+            [op(OperationType.GRANT, 2, 0, 0, 1), op(OperationType.GRANT, 1, 0, 2, 3)],
             False,
         ),  # a token that comes again
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GRANT, 1, 0, 0, 1),
                 op(OperationType.WRITE, 1, 5, 2, 9),
                 op(OperationType.WRITE, 1, 6, 2, 9),
                 op(OperationType.READ, 1, 5, 10, 11),
@@ -85,7 +85,7 @@
         ),
         (
             [
-                op(OperationType.GIVE, 1, 0, 0, 1),
+                op(OperationType.GRANT, 1, 0, 0, 1),
                 op(OperationType.WRITE, 1, 5, 2, 3),
                 op(OperationType.WRITE, 1, 6, 4, 5),
                 op(OperationType.READ, 1, 5, 6, 7),
