--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -83,7 +83,7 @@
         self._send_arrivals()
 
     def done(self) -> bool:
-        """Return whether all requests were sent and none is in flight; requests awaiting retry do not count."""
+        """Return whether all requests were sent and none is in flight, not counting those awaiting retry."""
         return self._next_arrival_index >= len(self.arrivals) and not self._in_flight
 
     def _now_s(self) -> float:
