--- a/puffintide/audit/errors.py
+++ b/puffintide/audit/errors.py
@@ -8,4 +8,4 @@
 
 
 class RecordError(AuditError):
-    """A record can't be read. The message names the file and the line."""
+    """Raised if a record can't be read. The message names the file and the line."""
--- a/puffintide/emulators/errors.py
+++ b/puffintide/emulators/errors.py
@@ -8,7 +8,7 @@
 
 
 class MissingSectionError(EmulatorError):
-    """The configuration lacks a section that an emulator needs."""
+    """Raised if the configuration lacks a section that an emulator needs."""
 
     def __init__(self, sections: tuple[str, ...]) -> None:
         names = ", ".join(f"[{section}]" for section in sections)
@@ -16,7 +16,7 @@
 
 
 class InvalidCommandError(EmulatorError):
-    """An argument of a command has the wrong type."""
+    """Raised if an argument of a command has the wrong type."""
 
     def __init__(self, operation: str, argument: str, value: object) -> None:
         super().__init__(f"command {operation!r}: argument {argument!r} has the wrong type: {value!r}")
