--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -38,7 +38,7 @@
     StoredWeight,
 )
 from puffintide.decisions.settings import Settings
-from puffintide.scenarios.errors import PlayError
+from puffintide.scenarios.errors import ScenarioRunError
 from puffintide.scenarios.runner import ScenarioRunner
 from puffintide.scenarios.zone_scenarios import ZONE_SCENARIOS, script
 
@@ -116,11 +116,11 @@
     seed: int
 
 
-def play(run: Run, base: str, out: Path, number: int) -> Figures:
+def run_scenario(run: Run, base: str, out: Path, number: int) -> Figures:
     """Play a scene over the text of a base scenario.
 
     Raises:
-        PlayError: It could not be played.
+        ScenarioRunError: The scenario could not be run to its end.
     """
     folder = out / f"{run.scene}-{run.planner}-{run.seed}"
     folder.mkdir(parents=True, exist_ok=True)
@@ -130,7 +130,7 @@
     runner = ScenarioRunner(config, path.read_text(), folder, run.seed, port_start=number * PORTS_PER_RUN)
     if run.planner is Planner.UNIFORM:
         runner.assigner_command = ("benchmarks.zone_days", "--assigner")
-    runner.play()
+    runner.run_scenario()
     return read_figures(folder, run.seed)
 
 
@@ -171,8 +171,8 @@
 
     def play_or_report(number: int, run: Run) -> Figures | None:
         try:
-            return play(run, base, out, number)
-        except PlayError as error:
+            return run_scenario(run, base, out, number)
+        except ScenarioRunError as error:
             click.echo(f"{run.scene}, {run.planner}, seed {run.seed}: {error}", err=True)
             return None
 
--- a/puffintide/cli/emulator_processes.py
+++ b/puffintide/cli/emulator_processes.py
@@ -19,7 +19,7 @@
 from puffintide.config.model import Config
 from puffintide.logs import setup
 from puffintide.protocol.clock import monotonic_reactor
-from puffintide.scenarios.place import Place
+from puffintide.scenarios.place import PortLayout
 
 MAX_CLIENTS_PER_PROXY = 10
 COMPLETION_CHECK_INTERVAL_S = 0.2
@@ -62,9 +62,9 @@
         exit_with_error(f"can't listen on {error.interface}:{error.port}: {error.socketError}")
 
 
-def _read_scenario(folder: Path) -> tuple[Config, Place]:
+def _read_scenario(folder: Path) -> tuple[Config, PortLayout]:
     config = read_config(str(folder / "day.ini"), ("day", "fleet", "load"))
-    return config, Place.read(folder / "place.json")
+    return config, PortLayout.read(folder / "place.json")
 
 
 def run_fleet(folder: Path) -> None:
@@ -73,7 +73,7 @@
 
     reactor = monotonic_reactor()
     config, place = _read_scenario(folder)
-    addresses = [place.tapped(f"try:{server_id}") for server_id in range(len(place.servers))]
+    addresses = [place.proxied_address(f"try:{server_id}") for server_id in range(len(place.servers))]
     with (folder / "fleet.jsonl").open("w", encoding="utf-8") as record:
         service = FleetService(reactor, config, place.servers, addresses, record)
         with _ports_required():
@@ -114,14 +114,14 @@
     config, place = _read_scenario(folder)
     log = setup(f"proxies-{first}")
     zone_count = len(config.deployment.zones)
-    assigners = [place.tapped(f"order:{assigner_id}") for assigner_id in range(len(place.assigners))]
+    assigners = [place.proxied_address(f"order:{assigner_id}") for assigner_id in range(len(place.assigners))]
     for proxy_id in range(first, last):
         process = ProxyProcess(
             id=proxy_id,
             zone=proxy_id % zone_count,
             listen=f"127.0.0.1:{place.fronts[proxy_id]}",
             assigners=assigners,
-            store=place.tapped("store"),
+            store=place.proxied_address("store"),
             clients_most=MAX_CLIENTS_PER_PROXY,
         )
         service = ProxyService(reactor, config, process, log)
--- a/puffintide/cli/scenario_commands.py
+++ b/puffintide/cli/scenario_commands.py
@@ -48,10 +48,10 @@
 def import_(source: str, target: str, scale: float, length: float | None) -> None:
     """Turns a day drawn by the users' bench into a script."""
     from puffintide.scenarios.errors import ImportFormatError
-    from puffintide.scenarios.importer import import_day
+    from puffintide.scenarios.importer import import_bench_scenario
 
     try:
-        text = import_day(json.loads(Path(source).read_text(encoding="utf-8")), scale, length)
+        text = import_bench_scenario(json.loads(Path(source).read_text(encoding="utf-8")), scale, length)
         Path(target).write_text(text, encoding="utf-8")
     except (OSError, ValueError, ImportFormatError) as error:
         raise CommandError(f"{source}: {error}") from error
@@ -69,7 +69,7 @@
 
     Exit: 0 rules kept, 1 a rule broke, 2 bad input, 3 can't tell.
     """
-    from puffintide.scenarios.errors import PlayError, PortError
+    from puffintide.scenarios.errors import PortError, ScenarioRunError
     from puffintide.scenarios.runner import ScenarioRunner
 
     config = load_config(file, *SCENARIO_SECTIONS)
@@ -80,10 +80,10 @@
     runner = ScenarioRunner(config, text, Path(out), config.day.seed if seed is None else seed)
     try:
         if quiet:
-            runner.play()
+            runner.run_scenario()
         else:
             _play_with_progress(runner)
-    except (PlayError, PortError) as error:
+    except (ScenarioRunError, PortError) as error:
         raise CommandError(str(error)) from error
     except KeyboardInterrupt as error:
         raise CommandError("stopped by hand; no verdict") from error
@@ -107,7 +107,7 @@
     with Progress(*columns, console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task("starting", total=1.0)
         runner.on_progress = lambda text, played: progress.update(task, description=text, completed=played)
-        runner.play()
+        runner.run_scenario()
 
 
 @day.command("kinds")
@@ -125,15 +125,15 @@
         comparison_row,
         markdown_table,
     )
-    from puffintide.scenarios.kinds import KINDS, play_all
+    from puffintide.scenarios.kinds import FAULT_PARAMETERS, run_all
 
     load_config(file, *SCENARIO_SECTIONS)
-    names = list(only) or list(KINDS)
-    unknown = [name for name in names if name not in KINDS]
+    names = list(only) or list(FAULT_PARAMETERS)
+    unknown = [name for name in names if name not in FAULT_PARAMETERS]
     if unknown:
-        raise CommandError(f"unknown kinds {', '.join(unknown)}; allowed: {', '.join(KINDS)}")
+        raise CommandError(f"unknown kinds {', '.join(unknown)}; allowed: {', '.join(FAULT_PARAMETERS)}")
     text = Path(file).read_text(encoding="utf-8")
-    results = play_all(text, Path(out), names, seed, jobs, _print_progress)
+    results = run_all(text, Path(out), names, seed, jobs, _print_progress)
     rows = [COMPARISON_HEADER, ["---"] * len(COMPARISON_HEADER)]
     rows += [comparison_row(name, result) for name, result in results.items()]
     table = markdown_table(rows)
--- a/puffintide/scenarios/__init__.py
+++ b/puffintide/scenarios/__init__.py
@@ -1,1 +1,4 @@
-"""Scripted days: everything started on loopback, faults injected for real, records taken between the parties."""
+"""Scripted scenarios.
+
+A scenario runs every process on loopback, injects faults and records all messages between the processes.
+"""
--- a/puffintide/scenarios/config_files.py
+++ b/puffintide/scenarios/config_files.py
@@ -1,4 +1,4 @@
-"""Writes the configuration files of a scenario's processes, and the first tables of its store."""
+"""Writes the configuration files of a scenario's processes and the initial tables of its store."""
 
 from __future__ import annotations
 
@@ -8,55 +8,55 @@
 
 from puffintide.config.model import Config
 from puffintide.emulators.fleet import value_for_server
-from puffintide.scenarios.place import Place, at
+from puffintide.scenarios.place import PortLayout, at
 
 SHARED_SECTIONS = ("deployment", "channel", "reports", "list", "probes", "rules", "charge", "zones")
 SHARED_SECTION_PREFIXES = ("class ", "zone ")
 DATABASE = "kept.db"
-BACKUPS = "backups"
+BACKUP_FOLDER = "backups"
 INITIAL_TABLES = "tables.jsonl"
 STORE_CONFIG = "store.ini"
-EMPTY_STORE_CONFIG = "store-refill.ini"  # of a store that restores its tables from replicas
+EMPTY_STORE_CONFIG = "store-refill.ini"  # Used by a store that restores its tables from replicas.
 OPERATOR_CONFIG = "operator.ini"
 
 Section = dict[str, str]
 
 
 class ConfigFiles:
-    """The files in a scenario's folder.
+    """Writes the configuration files into the folder of a scenario.
 
     Args:
-        config: Of the scenario.
-        source: Its INI text.
-        folder: Where the files go.
-        place: Ports of all parties.
-        seed: Of the assigners.
+        config: The parsed configuration of the scenario.
+        source: The INI text of the scenario.
+        folder: The folder in which the files are written.
+        layout: The ports of all processes and of the recording proxy's links.
+        seed: The random seed of the assigners.
     """
 
-    def __init__(self, config: Config, source: str, folder: Path, place: Place, seed: int) -> None:
+    def __init__(self, config: Config, source: str, folder: Path, layout: PortLayout, seed: int) -> None:
         self.config = config
         self.folder = folder
-        self.place = place
+        self.layout = layout
         self.seed = seed
         self._script = configparser.ConfigParser(interpolation=None)
         self._script.read_string(source)
 
     def write(self) -> None:
-        """Write all files."""
-        for assigner_id in range(len(self.place.assigners)):
+        """Write all configuration files and the initial tables, and create the backup folder."""
+        for assigner_id in range(len(self.layout.assigners)):
             self._write(f"assigner-{assigner_id}.ini", self._assigner_sections(assigner_id))
         self._write_initial_tables()
-        (self.folder / BACKUPS).mkdir(exist_ok=True)
-        listen = at(self.place.store)
+        (self.folder / BACKUP_FOLDER).mkdir(exist_ok=True)
+        listen = at(self.layout.store)
         database = str(self.folder / DATABASE)
         store = {
             "listen": listen,
             "start_tables": str(self.folder / INITIAL_TABLES),
             "file": database,
-            "backups": str(self.folder / BACKUPS),
+            "backups": str(self.folder / BACKUP_FOLDER),
         }
         empty_store = {"listen": listen, "file": database, "refill": "yes"}
-        operator = {"store": listen, "assigners": ", ".join(map(at, self.place.assigners))}
+        operator = {"store": listen, "assigners": ", ".join(map(at, self.layout.assigners))}
         self._write(OPERATOR_CONFIG, {"operator": operator})
         self._write(STORE_CONFIG, {"store": store})
         self._write(EMPTY_STORE_CONFIG, {"store": empty_store})
@@ -65,20 +65,20 @@
         assigner = {
             "id": str(assigner_id),
             "zone": str(assigner_id % len(self.config.deployment.zones)),
-            "listen": at(self.place.assigners[assigner_id]),
-            "store": self.place.tapped("store"),
-            "list": self.place.tapped("list"),
+            "listen": at(self.layout.assigners[assigner_id]),
+            "store": self.layout.proxied_address("store"),
+            "list": self.layout.proxied_address("list"),
             "list_cache": str(self.folder / f"list-{assigner_id}.json"),
             "seed": str(self.seed),
         }
         sections = {"assigner": assigner}
         if self.config.peers is not None:
-            addresses = ", ".join(self.place.peers(assigner_id))
+            addresses = ", ".join(self.layout.peers(assigner_id))
             sections["peers"] = dict(self._script.items("peers")) | {"addresses": addresses}
         return sections
 
     def _write(self, name: str, sections: dict[str, Section]) -> None:
-        """Write a file with the script's shared sections, and these."""
+        """Write a file with the scenario's shared sections and the given sections."""
         parser = configparser.ConfigParser(interpolation=None)
         for title in self._script.sections():
             if title in SHARED_SECTIONS or title.startswith(SHARED_SECTION_PREFIXES):
@@ -89,18 +89,18 @@
             parser.write(file)
 
     def _write_initial_tables(self) -> None:
-        """Each slice starts on one server; servers get slices in proportion to their cores."""
+        """Write a table with one server for each slice; servers get slices in proportion to their cores."""
         fleet = self.config.fleet
         assert fleet is not None
         zone_count = len(self.config.deployment.zones)
         server_count = fleet.servers + fleet.spare
-        seats: list[tuple[float, int]] = []
+        positions: list[tuple[float, int]] = []
         for server_id in range(fleet.servers):
             cores = value_for_server(fleet.cores, server_id, zone_count, server_count)
-            seats += [((k + 0.5) / cores, server_id) for k in range(cores)]
-        order = [server_id for _, server_id in sorted(seats)]
+            positions += [((k + 0.5) / cores, server_id) for k in range(cores)]
+        server_order = [server_id for _, server_id in sorted(positions)]
         with (self.folder / INITIAL_TABLES).open("w", encoding="utf-8") as file:
             for slice_id in range(self.config.deployment.slices):
-                server_id = order[slice_id % len(order)]
-                address = self.place.tapped(f"try:{server_id}")
+                server_id = server_order[slice_id % len(server_order)]
+                address = self.layout.proxied_address(f"try:{server_id}")
                 file.write(json.dumps({"slice": slice_id, "server": server_id, "address": address}) + "\n")
--- a/puffintide/scenarios/errors.py
+++ b/puffintide/scenarios/errors.py
@@ -7,13 +7,13 @@
     """Base class of the package's exceptions."""
 
 
-class PlayError(ScenarioError):
-    """A scenario could not be played; the text says what went wrong."""
+class ScenarioRunError(ScenarioError):
+    """Raised when a scenario cannot be run to its end."""
 
 
 class PortError(ScenarioError):
-    """No port is free."""
+    """Raised when no free port is left in a range."""
 
 
 class ImportFormatError(ScenarioError):
-    """A file is not a day that can be turned into a script; the text says where."""
+    """Raised when a file is not a bench scenario that can be converted to a script."""
--- a/puffintide/scenarios/imported_faults.py
+++ b/puffintide/scenarios/imported_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a day drawn by the users' bench, as sections of a script."""
+"""Converts the faults of a generated bench scenario to sections of a script."""
 
 from __future__ import annotations
 
@@ -6,35 +6,38 @@
 
 MICROSECONDS_PER_S = 1e6
 MILLISECONDS_PER_S = 1000
-RESTART_S = 0.3
+MASS_RESTART_DOWNTIME_S = 0.3
 MIN_CONNECTIONS = 4
 DEFAULT_DEPLOY_SIZE = 0.1
 
 Section = dict[str, Any]
 
-FIXED_FAULT_DETAILS: dict[str, Section] = {"mass_restart": {"extra": RESTART_S}, "zone_loss": {"way": "all"}}
+FIXED_FAULT_DETAILS: dict[str, Section] = {
+    "mass_restart": {"extra": MASS_RESTART_DOWNTIME_S},
+    "zone_loss": {"way": "all"},
+}
 
 
 def seconds(microseconds: float) -> float:
-    """Microseconds as seconds."""
+    """Convert microseconds to seconds."""
     return microseconds / MICROSECONDS_PER_S
 
 
 def fault_section(fault: Any, balancer_count: int, server_count: int, zone_count: int) -> Section:
-    """The section of a drawn fault.
+    """Return the script section of a fault.
 
     Args:
-        fault: Its tree.
-        balancer_count: Proxies of the drawn day; assigners are numbered after them.
-        server_count: Servers that run in the drawn day.
-        zone_count: Zones of the day.
+        fault: The fault's object in the bench scenario.
+        balancer_count: The number of proxies in the bench scenario; assigners are numbered after them.
+        server_count: The number of servers that run at the start of the bench scenario.
+        zone_count: The number of zones in the bench scenario.
     """
-    stopped = sum(len(step["stop"]) for step in fault["steps"])
+    stopped_count = sum(len(step["stop"]) for step in fault["steps"])
     section: Section = {
         "kind": fault["kind"],
         "at_s": round(seconds(fault["at"]), 2),
         "for_s": round(seconds(fault["len"]), 2),
-        "part": round(min(1.0, (len(fault["on"]) or stopped or 1) / server_count), 3),
+        "part": round(min(1.0, (len(fault["on"]) or stopped_count or 1) / server_count), 3),
         "size": round(fault["size"], 4),
         "extra": round(fault["extra"], 3),
         "zone": fault["which"] % zone_count,
@@ -43,7 +46,7 @@
 
 
 def _details(fault: Any, balancer_count: int, server_count: int) -> Section:
-    """What differs for some types of fault."""
+    """Return the values that are specific to the type of the fault."""
     match fault["kind"]:
         case "pauses":
             return {"size": round(fault["size"] / MILLISECONDS_PER_S, 4)}
--- a/puffintide/scenarios/kinds.py
+++ b/puffintide/scenarios/kinds.py
@@ -1,4 +1,4 @@
-"""Plays every type of fault, one by one, over the same scenario, and evaluates each."""
+"""Runs the same scenario once with each type of fault and evaluates each run."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from puffintide.config.loader import parse_config
 from puffintide.config.model import Config
-from puffintide.scenarios.errors import PlayError
+from puffintide.scenarios.errors import ScenarioRunError
 from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.runner import ScenarioRunner
 
-# The fault of each scenario; it begins at FAULT_AT_S, when all has settled.
-FAULT_AT_S = 8
+FAULT_AT_S = 8  # Start of the fault in every scenario, in seconds; the deployment has settled by then.
 LENGTH_S = 32.0
 PORTS_PER_SCENARIO = 400
 GROWTH_SERVERS = 3
 
-KINDS: dict[str, dict[str, str]] = {
+# Keys of the fault section by scenario name. The first word of the name is the type of the fault.
+FAULT_PARAMETERS: dict[str, dict[str, str]] = {
     "none": {},
     "crash": {"part": "0.17", "for_s": "12"},
     "hang": {"part": "0.17", "for_s": "14"},
@@ -61,12 +61,12 @@
 
 
 def script(base: str, name: str, length_s: float = LENGTH_S) -> str:
-    """The base script with this type of fault alone.
+    """Return the base script with one fault instead of its own faults.
 
     Args:
-        base: INI text of a scenario; its own faults are left out.
-        name: A key of KINDS.
-        length_s: Length of the scenario.
+        base: The INI text of a scenario; its own faults are left out.
+        name: The name of the scenario, a key of FAULT_PARAMETERS.
+        length_s: The length of the scenario, in seconds.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     parser.read_string(base)
@@ -77,15 +77,15 @@
     parser["day"]["length_s"] = str(length_s)
     if name == "grow":
         parser["fleet"]["spare"] = str(GROWTH_SERVERS)
-    if KINDS[name]:
+    if FAULT_PARAMETERS[name]:
         fault_type = name.split()[0]
-        parser[f"fault {name}"] = {"kind": fault_type, "at_s": str(FAULT_AT_S), **KINDS[name]}
+        parser[f"fault {name}"] = {"kind": fault_type, "at_s": str(FAULT_AT_S), **FAULT_PARAMETERS[name]}
     text = io.StringIO()
     parser.write(text)
     return text.getvalue()
 
 
-def play_all(
+def run_all(
     base: str,
     out: Path,
     names: list[str],
@@ -93,35 +93,35 @@
     jobs: int,
     on_result: Callable[[str, ScenarioResult | str], None],
 ) -> dict[str, ScenarioResult | str]:
-    """Play each type of fault.
+    """Run the scenario of each name.
 
     Args:
-        base: INI text of a scenario.
-        out: Folder for the scenarios' own folders.
-        names: Keys of KINDS.
-        seed: Of all scenarios.
-        jobs: Scenarios played at once.
-        on_result: Called with each name and result as it ends.
+        base: The INI text of the base scenario.
+        out: The folder in which each scenario gets its own folder.
+        names: The names of the scenarios, keys of FAULT_PARAMETERS.
+        seed: The random seed of all scenarios.
+        jobs: The number of scenarios that run at the same time.
+        on_result: A function that is called with the name and result of each scenario when it ends.
 
     Returns:
-        The results by name; a text where the scenario could not be played.
+        The results by name. The value is an error text if the scenario could not be run.
     """
 
-    def play(name: str) -> tuple[str, ScenarioResult | str]:
+    def run_named(name: str) -> tuple[str, ScenarioResult | str]:
         port_start = names.index(name) * PORTS_PER_SCENARIO
-        result = _play(script(base, name), name, out / name.replace(" ", "-"), seed, port_start)
+        result = _run(script(base, name), name, out / name.replace(" ", "-"), seed, port_start)
         on_result(name, result)
         return name, result
 
     with ThreadPoolExecutor(jobs) as pool:
-        return dict(pool.map(play, names))
+        return dict(pool.map(run_named, names))
 
 
-def _play(text: str, name: str, folder: Path, seed: int, port_start: int) -> ScenarioResult | str:
+def _run(text: str, name: str, folder: Path, seed: int, port_start: int) -> ScenarioResult | str:
     try:
-        ScenarioRunner(_parse(text, name), text, folder, seed, port_start=port_start).play()
+        ScenarioRunner(_parse(text, name), text, folder, seed, port_start=port_start).run_scenario()
         return evaluate(folder)
-    except PlayError as error:
+    except ScenarioRunError as error:
         return str(error)
 
 
--- a/puffintide/scenarios/link_faults.py
+++ b/puffintide/scenarios/link_faults.py
@@ -1,4 +1,4 @@
-"""Links of a scenario, and the faults that a recording proxy puts on them."""
+"""Links of a scenario and the faults that the recording proxy applies to them."""
 
 from __future__ import annotations
 
@@ -11,61 +11,64 @@
 TO_TARGET = 0
 TO_INITIATOR = 1
 ANY_ZONE = -1
-NOBODY = -1
+UNKNOWN_ID = -1
 
 
 @dataclass
 class Link:
-    """A listening port and what it leads to."""
+    """A listening port of the recording proxy and the address to which it connects."""
 
     name: str
-    kind: str  # order, store, list, try, probe, peer, front
+    kind: str  # One of: order, store, list, try, probe, peer, front.
     port: int
-    target: str  # HOST:PORT
-    zone: int = ANY_ZONE  # of the target
-    number: int = NOBODY  # of the target
+    target: str  # Address of the target, HOST:PORT.
+    zone: int = ANY_ZONE  # Zone of the target.
+    number: int = UNKNOWN_ID  # Id of the target: of an assigner or a server.
 
 
 @dataclass
 class Initiator:
-    """Who dialled a connection; unknown until its greeting."""
+    """The party that opened a connection; unknown until its hello message arrives."""
 
     role: str = ""
-    id: int = NOBODY
+    id: int = UNKNOWN_ID
     zone: int = ANY_ZONE
 
 
 class Cut(StrEnum):
-    """How a link is cut."""
+    """The way in which a link is cut."""
 
-    NOT = ""
-    REFUSE = "refuse"  # connections are closed
-    SILENT = "silent"  # messages are lost
+    NONE = ""
+    REFUSE = "refuse"  # Connections are closed.
+    SILENT = "silent"  # Messages are lost.
 
 
 @dataclass(frozen=True)
 class LinkFault:
-    """Which messages a fault affects, and what becomes of them. Empty sets don't restrict it."""
+    """The messages that a fault affects, and its effects on them. An empty set matches everything."""
 
     link_types: tuple[str, ...]
-    message_types: tuple[bytes, ...] = ()  # beginnings of names on the wire
+    message_types: tuple[bytes, ...] = ()  # Prefixes of message tags on the wire.
     direction: int = BOTH_DIRECTIONS
-    proxies: frozenset[int] = frozenset()  # that dialled
+    proxies: frozenset[int] = frozenset()  # Proxies that opened the connection.
     initiator_zone: int = ANY_ZONE
     target_zone: int = ANY_ZONE
     between_zones_only: bool = False
-    assigners: frozenset[int] = frozenset()  # at one end of a link between assigners
-    other_assigners: frozenset[int] = frozenset()  # at its other end
-    senders: frozenset[int] = frozenset()  # assigners that send
+    assigners: frozenset[int] = frozenset()  # Assigners at one end of a link between assigners.
+    other_assigners: frozenset[int] = frozenset()  # Assigners at the other end of this link.
+    senders: frozenset[int] = frozenset()  # Assigners whose sent messages are affected.
     delay_s: float = 0.0
     loss_fraction: float = 0.0
-    cut: Cut = Cut.NOT
-    pauses_initiator: bool = False  # the party that dialled reads nothing
+    cut: Cut = Cut.NONE
+    pauses_initiator: bool = False  # The initiator stops reading.
     duplicate_fraction: float = 0.0
-    reorders: bool = False  # delayed messages don't hold up those behind them
+    reorders: bool = False  # Later messages can overtake a delayed one.
 
     def affects(self, link: Link, initiator: Initiator, direction: int, line: bytes) -> bool:
-        """Whether a message on a connection is affected; an empty line stands for the connection itself."""
+        """Return whether the fault affects a message on a connection.
+
+        An empty line stands for the connection itself.
+        """
         if link.kind not in self.link_types:
             return False
         if self.direction not in (BOTH_DIRECTIONS, direction):
@@ -103,12 +106,12 @@
 
 
 def crosses_zones(link: Link, initiator: Initiator) -> bool:
-    """Whether a connection is between two zones that are known."""
+    """Return whether both ends of a connection are in known and different zones."""
     return initiator.zone >= 0 and link.zone >= 0 and initiator.zone != link.zone
 
 
 def parse_link_fault(arguments: Mapping[str, Any]) -> LinkFault:
-    """The fault that a step's arguments describe; the names are those of the steps."""
+    """Return the fault that the arguments of a step describe; the keys are those of the steps."""
     return LinkFault(
         link_types=tuple(arguments["kinds"]),
         message_types=tuple(word.encode() for word in arguments.get("words", ())),
--- a/puffintide/scenarios/place.py
+++ b/puffintide/scenarios/place.py
@@ -1,4 +1,4 @@
-"""Where everything of a scenario listens: free ports of the parties, and those of the recording proxy."""
+"""Allocates the ports of a scenario: those of its processes and those of the recording proxy's links."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 from puffintide.scenarios.link_faults import Link
 
 FIRST_PORT = 20000
-LAST_PORT = 32000  # exclusive; ephemeral ports begin above
-FIRST_SCENARIO_PORT = 26000  # the range below is for tests that run beside a scenario
+LAST_PORT = 32000  # Exclusive upper bound; ephemeral ports start above it.
+FIRST_SCENARIO_PORT = 26000  # Lower ports are for tests that run at the same time as a scenario.
 
 
 class Ports:
-    """Allocates free ports of a range, each once.
+    """Allocates free ports of a range; each port is allocated once.
 
     Args:
-        start: offset in the range at which the search begins; one that differs between runs avoids collisions.
-        first: lowest port of the range.
-        last: end of the range, exclusive.
+        start: The offset in the range at which the search starts. An offset that differs between runs avoids
+            collisions.
+        first: The lowest port of the range.
+        last: The exclusive upper bound of the range.
     """
 
     def __init__(self, start: int, first: int = FIRST_PORT, last: int = LAST_PORT) -> None:
@@ -33,7 +34,11 @@
         self.allocated: set[int] = set()
 
     def take(self) -> int:
-        """A port that nobody listens on. Raises PortError when none is left."""
+        """Allocate a port on which no process listens.
+
+        Raises:
+            PortError: No free port is left in the range.
+        """
         for _ in range(self.last - self.first):
             port = self.next
             self.next += 1
@@ -41,38 +46,41 @@
                 self.next = self.first
             if port in self.allocated:
                 continue
-            with socket.socket() as probe:
+            with socket.socket() as test_socket:
                 try:
-                    probe.bind(("127.0.0.1", port))
+                    test_socket.bind(("127.0.0.1", port))
                 except OSError:
                     continue
             self.allocated.add(port)
             return port
-        raise PortError(f"no free port from {self.first} to {self.last}")
+        raise PortError(f"cannot allocate a port: no port from {self.first} to {self.last - 1} is free")
 
 
 def at(port: int) -> str:
-    """The loopback address of a port."""
+    """Return the loopback address of a port."""
     return f"127.0.0.1:{port}"
 
 
 @dataclass
-class Place:
-    """Ports of the parties, and the recording proxy's links in front of them."""
+class PortLayout:
+    """The ports of all processes, and the links of the recording proxy to them."""
 
     store: int
-    news: int  # of the endpoint list
+    news: int  # Port of the endpoint list.
     assigners: list[int]
     servers: list[int]
-    fronts: list[int]  # of proxies, for clients
+    fronts: list[int]  # Ports on which proxies accept clients.
     links: list[Link] = field(default_factory=list)
 
-    def tapped(self, name: str) -> str:
-        """The address by which others reach a party: that of the recording proxy."""
+    def proxied_address(self, name: str) -> str:
+        """Return the address of the recording proxy's link to a party; the other parties connect to it."""
         return at(next(link.port for link in self.links if link.name == name))
 
     def peers(self, assigner_id: int) -> list[str]:
-        """The addresses by which an assigner reaches each of them, others through the recording proxy."""
+        """Return the address of every assigner as one assigner uses it.
+
+        Its own address is direct; those of the others lead through the recording proxy.
+        """
         addresses = {link.name: at(link.port) for link in self.links}
         return [
             addresses.get(f"peer:{assigner_id}:{peer_id}", at(port))
@@ -80,47 +88,47 @@
         ]
 
     def save(self, path: Path) -> None:
-        """Write it to a file."""
+        """Write the layout to a file."""
         path.write_text(json.dumps(asdict(self)), encoding="utf-8")
 
     @staticmethod
-    def read(path: Path) -> Place:
-        """Read it from a file."""
+    def read(path: Path) -> PortLayout:
+        """Read a layout from a file."""
         row = json.loads(path.read_text(encoding="utf-8"))
         row["links"] = [Link(**link) for link in row["links"]]
-        return Place(**row)
+        return PortLayout(**row)
 
 
-def lay(config: Config, start: int) -> Place:
-    """Select the ports of a scenario.
+def allocate_ports(config: Config, start: int) -> PortLayout:
+    """Allocate the ports of a scenario.
 
     Args:
-        config: Of the scenario.
-        start: Where to look first.
+        config: The configuration of the scenario.
+        start: The offset in the port range at which the search starts.
 
     Raises:
-        PortError: There are not enough free ports.
+        PortError: The range has too few free ports.
     """
     ports = Ports(start, FIRST_SCENARIO_PORT)
     deployment = config.deployment
     fleet = config.fleet
     assert fleet is not None
     zone_count = len(deployment.zones)
-    place = Place(
+    layout = PortLayout(
         store=ports.take(),
         news=ports.take(),
         assigners=[ports.take() for _ in range(deployment.assigners)],
         servers=[ports.take() for _ in range(fleet.servers + fleet.spare)],
         fronts=[ports.take() for _ in range(deployment.proxies)],
     )
-    place.links.append(Link("store", "store", ports.take(), at(place.store)))
-    place.links.append(Link("list", "list", ports.take(), at(place.news)))
-    for k, port in enumerate(place.assigners):
-        place.links.append(Link(f"order:{k}", "order", ports.take(), at(port), k % zone_count, k))
-    if config.peers is not None:  # two links for each pair: either may dial
+    layout.links.append(Link("store", "store", ports.take(), at(layout.store)))
+    layout.links.append(Link("list", "list", ports.take(), at(layout.news)))
+    for k, port in enumerate(layout.assigners):
+        layout.links.append(Link(f"order:{k}", "order", ports.take(), at(port), k % zone_count, k))
+    if config.peers is not None:  # Each pair has two links, because either assigner can connect.
         for a, b in permutations(range(deployment.assigners), 2):
-            target = at(place.assigners[b])
-            place.links.append(Link(f"peer:{a}:{b}", "peer", ports.take(), target, b % zone_count, b))
-    for k, port in enumerate(place.servers):
-        place.links.append(Link(f"try:{k}", "try", ports.take(), at(port), k % zone_count, k))
-    return place
+            target = at(layout.assigners[b])
+            layout.links.append(Link(f"peer:{a}:{b}", "peer", ports.take(), target, b % zone_count, b))
+    for k, port in enumerate(layout.servers):
+        layout.links.append(Link(f"try:{k}", "try", ports.take(), at(port), k % zone_count, k))
+    return layout
--- a/puffintide/scenarios/processes.py
+++ b/puffintide/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scenario: started, controlled by lines on standard input, and ended."""
+"""Starts the processes of a scenario, sends them commands on standard input, and ends them."""
 
 from __future__ import annotations
 
@@ -11,56 +11,56 @@
 from pathlib import Path
 from typing import IO, Any
 
-from puffintide.scenarios.errors import PlayError
+from puffintide.scenarios.errors import ScenarioRunError
 
 EXIT_TIMEOUT_S = 10
 KILLED_BY_SCENARIO = ("assigner", "store")
-LAST_TO_END = ("store", "fleet", "tap")  # in this order, so that the records are complete
+LAST_TO_END = ("store", "fleet", "tap")  # Ended last and in this order, so that the records are complete.
 
 
 @dataclass
 class RunningProcess:
-    """A process, and its log."""
+    """A started process and its log file."""
 
     name: str
     process: subprocess.Popen[str]
     log: IO[str]
 
     def kill(self) -> None:
-        """Kill it, and wait for its end."""
+        """Kill the process and wait until it has ended."""
         self.process.kill()
         self.process.wait()
 
     def pause(self) -> None:
-        """Stop it until it is resumed."""
+        """Pause the process with SIGSTOP until it is resumed."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it run on."""
+        """Resume the process after a pause."""
         self.process.send_signal(signal.SIGCONT)
 
 
 class ProcessGroup:
-    """All processes of one scenario, by name, such as store or assigner:0.
+    """All processes of one scenario by name, such as store or assigner:0.
 
     Args:
-        folder: For the logs.
+        folder: The folder in which the log files are written.
     """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.running: dict[str, RunningProcess] = {}
 
-    def spawn(self, name: str, *words: str, module: str = "puffintide") -> None:
-        """Start a process: python -m MODULE WORDS."""
+    def spawn(self, name: str, *arguments: str, module: str = "puffintide") -> None:
+        """Start a process with the command `python -m MODULE ARGUMENTS`."""
         log = self._log_path(name).open("a", encoding="utf-8")
         process = subprocess.Popen(
-            [sys.executable, "-m", module, *words],
+            [sys.executable, "-m", module, *arguments],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=log,
             text=True,
-            start_new_session=True,  # Ctrl-C goes to the runner, which ends them in order
+            start_new_session=True,  # Ctrl-C reaches the runner only, which ends the processes in order.
         )
         self.running[name] = RunningProcess(name, process, log)
 
@@ -68,21 +68,23 @@
         return self.folder / f"{name.replace(':', '-')}.log"
 
     def wait_ready(self, name: str) -> None:
-        """Wait until a process listens.
+        """Wait until a process reports that it is ready.
 
         Raises:
-            PlayError: It has ended instead.
+            ScenarioRunError: The process ended or printed another line.
         """
         stdout = self.running[name].process.stdout
         assert stdout is not None
         if stdout.readline().strip() != "ready":
-            raise PlayError(f"{name} did not start; see {self._log_path(name)}")
+            raise ScenarioRunError(
+                f"cannot start process {name}: it did not report that it is ready; see {self._log_path(name)}"
+            )
 
     def send(self, name: str, operation: str, arguments: dict[str, Any]) -> None:
-        """Send a command to an emulator.
+        """Send a command to an emulator process.
 
         Raises:
-            PlayError: It has ended.
+            ScenarioRunError: The process has ended.
         """
         stdin = self.running[name].process.stdin
         assert stdin is not None
@@ -90,23 +92,27 @@
             stdin.write(json.dumps({"what": operation, "args": arguments}) + "\n")
             stdin.flush()
         except BrokenPipeError as error:
-            raise PlayError(f"{name} has ended; see its log in {self.folder}") from error
+            raise ScenarioRunError(
+                f"cannot send {operation!r} to process {name}: it has ended; see its log in {self.folder}"
+            ) from error
 
     def check_running(self) -> None:
-        """Check that no process has ended by itself.
+        """Check that no process has ended unexpectedly.
 
         Raises:
-            PlayError: One has.
+            ScenarioRunError: A process has ended that the scenario did not kill.
         """
         for name, running in self.running.items():
             code = running.process.poll()
             if code is None or (name == "clients" and code == 0):
-                continue  # the clients end after their last response
+                continue  # The clients exit after their last response.
             if not (name.startswith(KILLED_BY_SCENARIO) and code == -signal.SIGKILL):
-                raise PlayError(f"{name} ended by itself with code {code}; see its log in {self.folder}")
+                raise ScenarioRunError(
+                    f"process {name} exited unexpectedly with code {code}; see its log in {self.folder}"
+                )
 
     def end_all(self) -> None:
-        """End all processes, whatever state they are in."""
+        """End all processes, including those that are paused or do not respond."""
         for name in sorted(self.running, key=_end_order):
             self._end(self.running[name])
 
@@ -116,7 +122,7 @@
             running.resume()
             if process.stdin is not None:
                 with contextlib.suppress(BrokenPipeError):
-                    process.stdin.close()  # emulators end with it, after closing their records
+                    process.stdin.close()  # Emulators close their records and exit at end of file.
             if running.name.startswith(KILLED_BY_SCENARIO):
                 process.terminate()
             try:
--- a/puffintide/scenarios/record_writer.py
+++ b/puffintide/scenarios/record_writer.py
@@ -1,8 +1,16 @@
-"""Writes the records of what passed a recording proxy; puffintide.audit.records reads them.
+"""Writes the records of messages that passed the recording proxy; puffintide.audit.records reads them.
 
-A record is a line of JSON: i its number, t when the line was received, o when it was forwarded (null: never),
-l the link, c the connection, d 0 from the party that dialled and 1 towards it, m the message as it was. x records
-a connection's end. The last line of a file has the count, so that a gap shows.
+A record is a JSON object on one line with these keys:
+    i: the number of the record, from 1.
+    t: the time when the message was received.
+    o: the time when the message was forwarded; null if it was lost.
+    l: the name of the link.
+    c: the number of the connection.
+    d: 0 if the initiator of the connection sent the message, 1 if the target sent it.
+    m: the message, unchanged.
+    x: 1 instead of m if the connection was closed.
+
+The last line of a file contains the number of records, so that the reader detects missing records.
 """
 
 from __future__ import annotations
@@ -13,15 +21,15 @@
 
 from puffintide.scenarios.relayed_connection import RelayedConnection
 
-TIME_DIGITS = 6  # decimal places of seconds
+TIME_DIGITS = 6  # Decimal places of times in seconds.
 
 
 class RecordWriter:
-    """Numbers and writes records.
+    """Numbers the records and writes them to a file.
 
     Args:
-        sink: The file.
-        seconds: The current time.
+        sink: The file to which records are written.
+        seconds: A function that returns the current time in seconds.
     """
 
     def __init__(self, sink: BinaryIO, seconds: Callable[[], float]) -> None:
@@ -37,7 +45,15 @@
         line: bytes | None,
         lost: bool,
     ) -> None:
-        """Write a record of a line that is forwarded now, or lost; None is the connection's end."""
+        """Write a record of a line that is forwarded now or lost.
+
+        Args:
+            connection: The connection that carries the line.
+            direction: The direction of the line, TO_TARGET or TO_INITIATOR.
+            received_at_s: The time when the line was received.
+            line: The line without its line end; None if the connection was closed.
+            lost: Whether the line is lost instead of forwarded.
+        """
         self._count += 1
         head = {
             "i": self._count,
@@ -52,6 +68,6 @@
         self._sink.write(text + body + b"\n")
 
     def close(self) -> None:
-        """Write the count."""
+        """Write the number of records as the last line of the file."""
         self._sink.write(json.dumps({"end": self._count}).encode() + b"\n")
         self._sink.flush()
--- a/puffintide/scenarios/recording_proxy.py
+++ b/puffintide/scenarios/recording_proxy.py
@@ -1,4 +1,4 @@
-"""The recording proxy: forwards lines between the parties, records each, and applies faults of the links."""
+"""The recording proxy: forwards lines between the parties, records each one and applies link faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     TargetSideFactory,
 )
 
-MAX_QUEUED_BYTES = 8 << 20  # in one direction of a connection
+MAX_QUEUED_BYTES = 8 << 20  # Maximum size of the queue in one direction of a connection.
 CONNECT_TIMEOUT_S = 2.0
 LISTEN_BACKLOG = 2000
 HEARTBEATS = (b'{"t":"ping"', b'{"t":"pong"')
@@ -33,14 +33,14 @@
 
 
 class RecordingProxy:
-    """Listens on all links of a scenario.
+    """Forwards and records the lines on all links of a scenario.
 
     Args:
-        reactor: Clock and connections.
-        links: To listen on.
-        latencies_s: Section [net] of the configuration.
-        seed: Of latencies and losses.
-        sink: For the records.
+        reactor: The reactor that provides the clock, timers and connections.
+        links: The links on which the proxy listens.
+        latencies_s: The latencies in section [net] of the configuration, in seconds by key.
+        seed: The random seed of latencies and losses.
+        sink: The file to which records are written.
     """
 
     def __init__(
@@ -49,8 +49,8 @@
         self.reactor = reactor
         self.links = links
         self.latencies_s = latencies_s
-        self.faults: dict[str, LinkFault] = {}  # by name
-        self.connections: dict[int, RelayedConnection] = {}  # by number
+        self.faults: dict[str, LinkFault] = {}  # Active faults by name.
+        self.connections: dict[int, RelayedConnection] = {}  # Open connections by number.
         self._random = random.Random(f"tap:{seed}")
         self._records = RecordWriter(sink, reactor.seconds)
         self._last_connection = 0
@@ -62,7 +62,7 @@
             self.reactor.listenTCP(link.port, factory, LISTEN_BACKLOG, "127.0.0.1")
 
     def close(self) -> None:
-        """Close all connections, and complete the records."""
+        """Close all connections and complete the records."""
         for connection in list(self.connections.values()):
             self.close_connection(connection, connection.sides[0])
         self._records.close()
@@ -70,12 +70,12 @@
     # Lines ---------------------------------------------------------------------------------------
 
     def receive(self, connection: RelayedConnection, direction: int, line: bytes) -> None:
-        """A line of one side: forward it, now or later, unless a fault loses it."""
+        """Forward a line of one side, immediately or after a delay, unless a fault loses it."""
         if line.startswith(HEARTBEATS):
             self._enqueue(connection, direction, line, 0.0)
             return
         if not connection.initiator.role and direction == TO_TARGET:
-            connection.initiator = _read_greeting(line)
+            connection.initiator = _parse_hello(line)
         delay_s = self._latency_s(connection, direction, line)
         lost = False
         reordered = False
@@ -89,7 +89,7 @@
         if lost:
             self._records.write(connection, direction, self.reactor.seconds(), line, lost=True)
             return
-        # Reports are delayed on their own: they hold up neither heartbeats nor responses on the same stream.
+        # Usage reports are delayed separately so that they delay no heartbeat or response on the same stream.
         separately = delay_s > 0 and (reordered or line.startswith(USAGE_REPORT))
         for _ in range(copies):
             if separately:
@@ -117,7 +117,7 @@
         return mean_s * (0.5 + self._random.random())
 
     def _enqueue(self, connection: RelayedConnection, direction: int, line: bytes, delay_s: float) -> None:
-        """Forward a line after those before it."""
+        """Forward a line after its delay and after all lines queued before it."""
         now_s = self.reactor.seconds()
         queue = connection.queues[direction]
         forward_at_s = max(now_s + delay_s, queue[-1][0] if queue else 0.0)
@@ -132,7 +132,7 @@
         self.schedule(connection, direction)
 
     def schedule(self, connection: RelayedConnection, direction: int) -> None:
-        """Set the timer of a queue, if its receiver is connected."""
+        """Schedule the next line of a queue if its receiver is connected and no timer is set."""
         queue = connection.queues[direction]
         has_timer = connection.timers[direction] is not None
         if queue and not has_timer and connection.sides[1 - direction] is not None:
@@ -154,7 +154,7 @@
     def _forward_separately(
         self, connection: RelayedConnection, direction: int, line: bytes, delay_s: float
     ) -> None:
-        """Forward a line after a delay, whatever happens to others meanwhile."""
+        """Forward a line after a delay, independently of the queue."""
         connection.queued_bytes[direction] += len(line)
         received_at_s = self.reactor.seconds()
         self.reactor.callLater(delay_s, self._forward_delayed, connection, direction, received_at_s, line)
@@ -180,7 +180,7 @@
     # Connections ---------------------------------------------------------------------------------
 
     def open_connection(self, link: Link, initiator_side: Side) -> RelayedConnection:
-        """A party has dialled: connect to the link's target."""
+        """Connect to the target of a link for a party that has connected to the proxy."""
         self._last_connection += 1
         connection = RelayedConnection(self._last_connection, link)
         self.connections[connection.number] = connection
@@ -191,7 +191,12 @@
         return connection
 
     def close_connection(self, connection: RelayedConnection, closed_side: Any) -> None:
-        """One side has closed, or None: close the other; what was not forwarded yet is lost."""
+        """Close a connection; queued lines are recorded as lost.
+
+        Args:
+            connection: The connection to close.
+            closed_side: The side that is closed already; None if both are to be closed.
+        """
         if connection.closed:
             return
         connection.closed = True
@@ -211,7 +216,7 @@
     # Faults --------------------------------------------------------------------------------------
 
     def set_fault(self, name: str, fault: LinkFault) -> None:
-        """Begin a fault; one that refuses connections closes those that are open."""
+        """Start a fault; a fault that refuses connections also closes the open connections it affects."""
         self.faults[name] = fault
         for connection in list(self.connections.values()):
             if self._is_refused_by(fault, connection):
@@ -220,14 +225,17 @@
                 self._set_reading(connection, fault, reading=False)
 
     def clear_fault(self, name: str) -> None:
-        """End a fault, if there is one of this name."""
+        """End the fault of a name, if it is active."""
         fault = self.faults.pop(name, None)
         if fault is not None and fault.pauses_initiator:
             for connection in list(self.connections.values()):
                 self._set_reading(connection, fault, reading=True)
 
     def _set_reading(self, connection: RelayedConnection, fault: LinkFault, reading: bool) -> None:
-        """Read from the target or not, as if the party that dialled did not read."""
+        """Pause or resume reading from the target of an affected connection.
+
+        The target then sees an initiator that does not read.
+        """
         target_side = connection.sides[1]
         affected = fault.affects(connection.link, connection.initiator, TO_INITIATOR, b"")
         if target_side is None or not affected:
@@ -244,18 +252,21 @@
         return fault.affects(connection.link, connection.initiator, direction, b"")
 
     def is_refused(self, connection: RelayedConnection) -> bool:
-        """Whether a fault refuses the connection."""
+        """Return whether any active fault refuses the connection."""
         return any(self._is_refused_by(fault, connection) for fault in self.faults.values())
 
 
-def _read_greeting(line: bytes) -> Initiator:
-    """Who has dialled; unknown if the greeting is invalid, which the target will reject."""
+def _parse_hello(line: bytes) -> Initiator:
+    """Return the initiator that a hello message names.
+
+    An invalid hello message gives an unknown initiator; the target rejects it.
+    """
     initiator = Initiator(role="?")
     try:
-        greeting = json.loads(line)
-        initiator.role = str(greeting.get("role", "?"))
-        initiator.id = int(greeting.get("id", -1))
-        initiator.zone = int(greeting.get("zone", 0))
+        hello = json.loads(line)
+        initiator.role = str(hello.get("role", "?"))
+        initiator.id = int(hello.get("id", -1))
+        initiator.zone = int(hello.get("zone", 0))
     except (ValueError, AttributeError, TypeError, RecursionError):
         pass
     return initiator
--- a/puffintide/scenarios/relayed_connection.py
+++ b/puffintide/scenarios/relayed_connection.py
@@ -1,4 +1,4 @@
-"""A connection through the recording proxy, and the protocols of its two sides."""
+"""A connection through the recording proxy and the protocols of its two sides."""
 
 from __future__ import annotations
 
@@ -21,22 +21,29 @@
 
 @dataclass
 class RelayedConnection:
-    """A connection through the recording proxy. Lists are by direction or by side."""
+    """The state of a connection through the recording proxy. Lists are indexed by direction or side."""
 
     number: int
     link: Link
     initiator: Initiator = field(default_factory=Initiator)
-    sides: list[Any] = field(default_factory=lambda: [None, None])  # that of the initiator, of the target
-    queues: list[deque[tuple[float, float, bytes]]] = field(
-        default_factory=lambda: [deque(), deque()]
-    )  # when to forward, when received, line
+    # The first side is that of the initiator, the second that of the target.
+    sides: list[Any] = field(default_factory=lambda: [None, None])
+    # Each entry holds the time to forward the line, the time when it was received, and the line.
+    queues: list[deque[tuple[float, float, bytes]]] = field(default_factory=lambda: [deque(), deque()])
     queued_bytes: list[int] = field(default_factory=lambda: [0, 0])
     timers: list[Any] = field(default_factory=lambda: [None, None])
     closed: bool = False
 
 
 class Side(Protocol):
-    """One side of a relayed connection; its number is the direction of what it sends."""
+    """One side of a relayed connection.
+
+    Args:
+        proxy: The recording proxy that forwards the lines.
+        number: The direction of the lines that this side sends, TO_TARGET or TO_INITIATOR.
+        connection: The relayed connection; None until the initiator has connected.
+        link: The link of the connection.
+    """
 
     transport: Any
 
@@ -48,10 +55,10 @@
         self.connection = connection
         self.link = link
         self._buffer = bytearray()
-        self._is_accepted = number == TO_INITIATOR  # a refusing fault is checked after the greeting
+        self._is_accepted = number == TO_INITIATOR  # Refusing faults are checked after the hello message.
 
     def connectionMade(self) -> None:
-        """A party has dialled, or the target was reached."""
+        """Open the relayed connection of an initiator, or start to forward the lines queued for a target."""
         self.transport.setTcpNoDelay(True)
         if self.number == TO_TARGET:
             self.connection = self.proxy.open_connection(self.link, self)
@@ -65,7 +72,7 @@
             self.proxy.schedule(self.connection, direction)
 
     def dataReceived(self, data: bytes) -> None:
-        """Data of this side."""
+        """Split the received data into lines and forward each."""
         self._buffer += data
         connection = self.connection
         if connection is None or connection.closed:
@@ -83,13 +90,13 @@
             self.proxy.close_connection(connection, None)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002
-        """This side has closed."""
+        """Close the other side."""
         if self.connection is not None:
             self.proxy.close_connection(self.connection, self)
 
 
 class InitiatorSideFactory(Factory):
-    """Accepts connections on a link."""
+    """Accepts connections of initiators on a link."""
 
     noisy = False
 
@@ -98,12 +105,12 @@
         self.link = link
 
     def buildProtocol(self, addr: IAddress | None) -> Side:  # noqa: ARG002
-        """The side of a party that has dialled."""
+        """Return the side of a party that has connected."""
         return Side(self.proxy, TO_TARGET, None, self.link)
 
 
 class TargetSideFactory(ClientFactory):
-    """Connects to a link's target."""
+    """Connects to the target of a link."""
 
     noisy = False
 
@@ -112,9 +119,9 @@
         self.connection = connection
 
     def buildProtocol(self, addr: IAddress | None) -> Side:  # noqa: ARG002
-        """The side of the target."""
+        """Return the side of the target."""
         return Side(self.proxy, TO_INITIATOR, self.connection, self.connection.link)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002
-        """The target can't be reached."""
+        """Close the relayed connection because its target is unreachable."""
         self.proxy.close_connection(self.connection, None)
--- a/puffintide/scenarios/results.py
+++ b/puffintide/scenarios/results.py
@@ -1,4 +1,4 @@
-"""The result of a scenario, from the files in its folder: the audit's report, and the service that clients got."""
+"""Computes the audit report and the service to clients from the files in the folder of a scenario."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from puffintide.config.schema import ClassSection
 
 WINDOW_S = 10.0
-MIN_TOTAL_PRIORITY = 1e-9  # avoids a division by zero where there are no requests
+MIN_TOTAL_PRIORITY = 1e-9  # Avoids a division by zero if there are no requests.
 
 
 class ExitCode(IntEnum):
-    """How the commands that show a result end."""
+    """Exit codes of the commands that print a result."""
 
     RULES_KEPT = 0
     RULE_BROKEN = 1
@@ -33,20 +33,24 @@
 
 @dataclass
 class ServiceSummary:
-    """What clients got. A score is the priority weight answered over that requested, from 0 to 1."""
+    """The service that clients received.
+
+    A score is the ratio of the answered to the requested priority weight, from 0 to 1.
+    """
 
     score: float = 0.0
     worst_window_score: float = 1.0
     score_by_class: dict[str, float] = field(default_factory=dict)
-    latencies_s: dict[str, list[float]] = field(default_factory=dict)  # sorted, of good responses by class
+    # Sorted latencies of the responses within the deadline, by class.
+    latencies_s: dict[str, list[float]] = field(default_factory=dict)
     request_count: int = 0
     failure_reasons: dict[str, int] = field(default_factory=dict)
-    window_scores: list[tuple[float, float]] = field(default_factory=list)  # by the window's begin
+    window_scores: list[tuple[float, float]] = field(default_factory=list)  # Start and score of each window.
 
 
 @dataclass
 class ScenarioResult:
-    """The audit's report, the service, and what is missing from the records."""
+    """The audit report, the service summary and the gaps in the records."""
 
     report: AuditReport
     service: ServiceSummary
@@ -54,18 +58,18 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """How a command that shows this result ends."""
+        """Return the exit code of a command that prints this result."""
         if self.report.findings:
             return ExitCode.RULE_BROKEN
         return ExitCode.RECORDS_INCOMPLETE if self.gaps else ExitCode.RULES_KEPT
 
 
 def evaluate(folder: Path) -> ScenarioResult:
-    """Audit the folder of a scenario.
+    """Audit the records in the folder of a scenario and summarize its service.
 
     Raises:
-        ConfigError: Its configuration is invalid.
-        RecordError: A file has a line that can't be read.
+        ConfigError: The configuration of the scenario is invalid.
+        RecordError: A file has a line that cannot be decoded.
         OSError: A file is missing.
     """
     config = read_config(str(folder / "day.ini"), ("day", "fleet", "load"))
@@ -77,13 +81,13 @@
         records += capture.records
         gaps += capture.gaps
     if not records and not gaps:
-        gaps.append(f"{folder}: no records of any tap")
+        gaps.append(f"{folder}: no records of a recording proxy (tap*.jsonl)")
     report = audit(config, records, read_ground_truth(folder))
     return ScenarioResult(report, summarize_service(config, folder), gaps)
 
 
 def read_ground_truth(folder: Path) -> GroundTruth:
-    """Servers' runs, kills and pauses, from the records of the emulators and the runner."""
+    """Read runs of servers, and kills and pauses of assigners, from the records of emulators and runner."""
     truth = GroundTruth(_server_runs(read_json_lines(folder / "fleet.jsonl")))
     path = folder / "day.jsonl"
     if path.exists():
@@ -128,18 +132,22 @@
 
 
 def _score(request_class: ClassSection, row: dict[str, Any]) -> float:
-    """Full priority within the latency objective, a part of it up to the deadline, nothing after."""
+    """Return the priority weight that a response earns.
+
+    It is the full weight within the latency objective, a fraction of it up to the deadline, and 0 after.
+    """
     if not row["ok"] or row["took"] > request_class.deadline_s:
         return 0.0
     return request_class.worth * (1 if row["took"] <= request_class.aim_s else request_class.late_worth)
 
 
 def summarize_service(config: Config, folder: Path) -> ServiceSummary:
-    """What clients got, from their own records."""
+    """Summarize the service to clients from their records."""
     classes = list(config.classes.items())
-    answered: dict[int, float] = defaultdict(float)  # priority by class
+    answered: dict[int, float] = defaultdict(float)  # Priority weight by class.
     requested: dict[int, float] = defaultdict(float)
-    windows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])  # answered and requested
+    # Answered and requested priority weight by window number.
+    windows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     summary = ServiceSummary()
     for row in read_json_lines(folder / "clients.jsonl"):
         class_index = row["class"]
@@ -166,10 +174,10 @@
 
 def _worst_complete_window(config: Config, summary: ServiceSummary) -> float:
     length_s = config.day.length_s if config.day else 0
-    complete = [score for begin_s, score in summary.window_scores if begin_s + WINDOW_S <= length_s]
+    complete = [score for start_s, score in summary.window_scores if start_s + WINDOW_S <= length_s]
     return min(complete or [summary.score])
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """Of sorted values, the nearest rank; 0 of none."""
+    """Return a quantile of sorted values by the nearest rank; 0 if there are no values."""
     return values[min(len(values) - 1, int(fraction * len(values)))] if values else 0.0
--- a/puffintide/scenarios/runner.py
+++ b/puffintide/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: starts every process, injects the faults, ends all, and leaves the records in a folder."""
+"""Runs a scenario: starts its processes, injects the faults, ends the processes and writes the records."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 
 from puffintide.config.model import Config
 from puffintide.scenarios.config_files import (
-    BACKUPS,
+    BACKUP_FOLDER,
     DATABASE,
     EMPTY_STORE_CONFIG,
     OPERATOR_CONFIG,
     STORE_CONFIG,
     ConfigFiles,
 )
-from puffintide.scenarios.errors import PlayError
+from puffintide.scenarios.errors import ScenarioRunError
 from puffintide.scenarios.faults import plan
-from puffintide.scenarios.place import lay
+from puffintide.scenarios.place import allocate_ports
 from puffintide.scenarios.processes import ProcessGroup
 from puffintide.scenarios.steps import Party, Step
 
 PROXIES_PER_PROCESS = 40
-BACKUP = "day"
-MAX_WAIT_S = 0.25  # between two checks of the processes
-COMPLETION_MARGIN_S = 3  # after the longest deadline, for the clients to end
-PORTS_PER_PROCESS_ID = 7919  # runners side by side start to look for ports in different places
+BACKUP_NAME = "day"
+MAX_WAIT_S = 0.25  # Maximum time between two checks of the processes.
+COMPLETION_MARGIN_S = 3  # Time for the clients to exit after the longest deadline of a request.
+PORTS_PER_PROCESS_ID = 7919  # Spreads the port searches of concurrent runners over the port range.
 OLD_FILE_SUFFIXES = (".log", ".jsonl", ".ini", ".json")
 NO_ASSIGNER = -1
 
-Progress = Callable[[str, float], None]  # what is done, and the part of the scenario that was played
+# Receives the current phase and the fraction of the scenario that has run.
+Progress = Callable[[str, float], None]
 
 
 def _no_progress(_text: str, _fraction: float) -> None:
@@ -43,15 +44,15 @@
 
 
 class ScenarioRunner:
-    """Plays one scenario.
+    """Runs one scenario.
 
     Args:
-        config: Of the scenario.
-        source: Its INI text.
-        folder: For records, logs and configurations.
-        seed: Of faults, requests and assigners.
-        assigner_command: Module that runs an assigner, and its first words.
-        port_start: Offset at which free ports are looked for.
+        config: The configuration of the scenario.
+        source: The INI text of the scenario.
+        folder: The folder for records, logs and configuration files.
+        seed: The random seed of faults, requests and assigners.
+        assigner_command: The module that runs an assigner, and its first arguments.
+        port_start: An additional offset in the port range at which the search for free ports starts.
     """
 
     def __init__(
@@ -74,47 +75,47 @@
         self.on_progress: Progress = _no_progress
         self.processes = ProcessGroup(folder)
         self._incarnations: Counter[str] = Counter()
-        self._notes: list[dict[str, Any]] = []
-        self._store_lost = False  # with all that it had; it restores its tables from replicas
+        self._events: list[dict[str, Any]] = []
+        self._store_lost = False  # The store lost its data and restores its tables from replicas.
 
-    def play(self) -> None:
-        """Play the scenario; whatever happens, no process is left behind.
+    def run_scenario(self) -> None:
+        """Run the scenario; all processes are ended even if it fails.
 
         Raises:
-            PlayError: It could not be played.
+            ScenarioRunError: The scenario could not be run to its end.
         """
         self._prepare_folder()
-        place = lay(self.config, os.getpid() * PORTS_PER_PROCESS_ID + self.port_start)
-        place.save(self.folder / "place.json")
-        ConfigFiles(self.config, self.source, self.folder, place, self.seed).write()
+        layout = allocate_ports(self.config, os.getpid() * PORTS_PER_PROCESS_ID + self.port_start)
+        layout.save(self.folder / "place.json")
+        ConfigFiles(self.config, self.source, self.folder, layout, self.seed).write()
         try:
             self._start_all()
-            began_s = time.monotonic()
-            self.note("begin")
+            started_at_s = time.monotonic()
+            self.record_event("begin")
             self.processes.send("clients", "go", {})
-            self._play_steps(began_s, plan(self.config, self.seed))
+            self._run_steps(started_at_s, plan(self.config, self.seed))
             self._wait_for_clients()
         finally:
             self.processes.end_all()
             with (self.folder / "day.jsonl").open("w", encoding="utf-8") as file:
-                for row in self._notes:
+                for row in self._events:
                     file.write(json.dumps(row) + "\n")
 
-    def note(self, event: str, **fields: Any) -> None:
-        """Add a line to the runner's own record."""
-        self._notes.append({"t": time.monotonic(), "what": event, **fields})
+    def record_event(self, event: str, **fields: Any) -> None:
+        """Add a row to the runner's record file, day.jsonl."""
+        self._events.append({"t": time.monotonic(), "what": event, **fields})
 
     def _prepare_folder(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        for old in self.folder.glob("*"):
-            if old.suffix in OLD_FILE_SUFFIXES or old.name.startswith(DATABASE):
-                old.unlink()
+        for path in self.folder.glob("*"):
+            if path.suffix in OLD_FILE_SUFFIXES or path.name.startswith(DATABASE):
+                path.unlink()
         (self.folder / "day.ini").write_text(self.source, encoding="utf-8")
 
     # Start ---------------------------------------------------------------------------------------
 
     def _start_all(self) -> None:
-        """Start every process, and wait until all have connected."""
+        """Start all processes, wait until each is ready, and let the deployment settle."""
         out = ["--out", str(self.folder)]
         self.on_progress("starting", 0.0)
         for name in ("tap", "fleet"):
@@ -153,26 +154,28 @@
         self._incarnations[name] += 1
         incarnation = self._incarnations[name]
         path = self.folder / f"assigner-{assigner_id}.ini"
-        module, *words = self.assigner_command
-        self.processes.spawn(name, *words, "--config", str(path), "--life", str(incarnation), module=module)
-        self.note("start", assigner=assigner_id, life=incarnation)
+        module, *arguments = self.assigner_command
+        self.processes.spawn(
+            name, *arguments, "--config", str(path), "--life", str(incarnation), module=module
+        )
+        self.record_event("start", assigner=assigner_id, life=incarnation)
 
-    # Play ----------------------------------------------------------------------------------------
+    # Steps ---------------------------------------------------------------------------------------
 
-    def _play_steps(self, began_s: float, steps: list[Step]) -> None:
+    def _run_steps(self, started_at_s: float, steps: list[Step]) -> None:
         length_s = self.scenario.length_s
         for step in [*steps, Step(length_s, Party.END, "")]:
-            while (wait_s := began_s + step.at_s - time.monotonic()) > 0:
-                played = (time.monotonic() - began_s) / length_s
-                self.on_progress("playing", min(1.0, played))
+            while (wait_s := started_at_s + step.at_s - time.monotonic()) > 0:
+                completed = (time.monotonic() - started_at_s) / length_s
+                self.on_progress("running", min(1.0, completed))
                 self.processes.check_running()
                 time.sleep(min(wait_s, MAX_WAIT_S))
             if step.at_s < length_s and step.party is not Party.END:
-                self._carry_out(step)
-        self.on_progress("playing", 1.0)
+                self._execute(step)
+        self.on_progress("running", 1.0)
 
-    def _carry_out(self, step: Step) -> None:
-        self.note("step", party=str(step.party), step=step.operation, args=step.arguments)
+    def _execute(self, step: Step) -> None:
+        self.record_event("step", party=str(step.party), step=step.operation, args=step.arguments)
         if step.party is not Party.PROCESS:
             self.processes.send(str(step.party), step.operation, step.arguments)
             return
@@ -199,16 +202,16 @@
                 self._store_lost = self.config.peers is not None
             case "backup":
                 config = str(self.folder / OPERATOR_CONFIG)
-                self._run_command("store", "backup", BACKUP, "--config", config)
+                self._run_command("store", "backup", BACKUP_NAME, "--config", config)
             case "restore":
                 self.processes.running["store"].kill()
-                backup = str(self.folder / BACKUPS / BACKUP)
+                backup = str(self.folder / BACKUP_FOLDER / BACKUP_NAME)
                 self._run_command("store", "restore", backup, str(self.folder / DATABASE))
             case _:
                 self._signal("store", operation, NO_ASSIGNER)
 
     def _signal(self, name: str, operation: str, assigner_id: int) -> None:
-        """Kill, pause or resume a process."""
+        """Kill, pause or resume a process and record the operation."""
         running = self.processes.running[name]
         match operation:
             case "kill":
@@ -217,26 +220,31 @@
                 running.pause()
             case "wake":
                 running.resume()
-        self.note(operation, assigner=assigner_id)
-
-    def _run_command(self, *words: str) -> None:
-        """Run a command of the operator."""
-        command = [sys.executable, "-m", "puffintide", *words]
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
-        self.note("command", words=words, code=done.returncode, said=done.stdout)
-        if done.returncode:
-            raise PlayError(f"puffintide {' '.join(words)}: {done.stdout}{done.stderr}")
+        self.record_event(operation, assigner=assigner_id)
+
+    def _run_command(self, *arguments: str) -> None:
+        """Run a command of the program as an operator does, and record its outcome."""
+        command = [sys.executable, "-m", "puffintide", *arguments]
+        completed = subprocess.run(command, capture_output=True, text=True, check=False)
+        self.record_event("command", words=arguments, code=completed.returncode, said=completed.stdout)
+        if completed.returncode:
+            raise ScenarioRunError(
+                f"command 'puffintide {' '.join(arguments)}' failed with code {completed.returncode}: "
+                f"{completed.stdout}{completed.stderr}"
+            )
 
     def _wait_for_clients(self) -> None:
-        """Wait until every request has ended."""
+        """Wait until the clients have exited after their last request."""
         self.on_progress("finishing", 1.0)
         longest_deadline_s = max(section.deadline_s for section in self.config.classes.values())
         clients = self.processes.running["clients"].process
         try:
             clients.wait(longest_deadline_s + COMPLETION_MARGIN_S)
         except subprocess.TimeoutExpired as error:
-            raise PlayError("the clients did not come to an end") from error
+            raise ScenarioRunError(
+                f"process clients did not exit within {error.timeout:g} s after the end of the scenario"
+            ) from error
         if clients.returncode:
-            raise PlayError(
-                f"the clients ended with code {clients.returncode}; see their log in {self.folder}"
+            raise ScenarioRunError(
+                f"process clients exited with code {clients.returncode}; see its log in {self.folder}"
             )
--- a/puffintide/scenarios/steps.py
+++ b/puffintide/scenarios/steps.py
@@ -1,4 +1,4 @@
-"""Steps of a scenario: what is done to whom, and when."""
+"""Timed steps of a scenario and the parties that execute them."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 
 
 class Party(StrEnum):
-    """Who carries out a step."""
+    """The party that executes a step."""
 
-    FLEET = "fleet"  # the emulated servers and the endpoint list
+    FLEET = "fleet"  # Emulated servers and the endpoint list.
     RECORDING_PROXY = "tap"
-    PROCESS = "process"  # assigners and the store: kill, start, stop (pause), wake, lose, backup, restore
-    END = "end"  # of the scenario
+    # Assigners and the store. Operations: kill, start, stop (pause), wake (resume), lose, backup, restore.
+    PROCESS = "process"
+    END = "end"  # End of the scenario; no operation.
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that is done to a party."""
+    """One operation of a party at a given time."""
 
-    at_s: float  # after the first request may be sent
+    at_s: float  # Time in seconds since the clients were started.
     party: Party
     operation: str
     arguments: dict[str, Any] = field(default_factory=dict)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -25,7 +25,7 @@
 from puffintide.replication.table_restore import FENCING_TOKEN_GAP, TableRestore
 from puffintide.scenarios.faults import plan
 from puffintide.scenarios.link_faults import Link, parse_link_fault
-from puffintide.scenarios.place import Place, at
+from puffintide.scenarios.place import PortLayout, at
 from puffintide.scenarios.recording_proxy import RecordingProxy
 from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.steps import Step
@@ -116,11 +116,11 @@
 
     # Parties --------------------------------------------------------------------------------------
 
-    def _place_processes(self) -> Place:
+    def _place_processes(self) -> PortLayout:
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
         zones, count = len(d.zones), f.servers + f.spare
-        place = Place(
+        place = PortLayout(
             1,
             2,
             [10 + k for k in range(d.assigners)],
@@ -145,7 +145,7 @@
         d, f = self.config.deployment, self.config.fleet
         assert f is not None
         rows = {
-            n: [TableEntry(n % f.servers, 1.0, self.place.tapped(f"try:{n % f.servers}"))]
+            n: [TableEntry(n % f.servers, 1.0, self.place.proxied_address(f"try:{n % f.servers}"))]
             for n in range(d.slices)
         }
         book = OwnershipLedger(d.slices, d.assigners, 1.0, d.single_writer)
@@ -160,7 +160,7 @@
         )
         self.tap.listen()
         self.files = [(out / f"{n}.jsonl").open("w", encoding="utf-8") for n in ("fleet", "clients")]
-        addresses = [place.tapped(f"try:{s}") for s in range(len(place.servers))]
+        addresses = [place.proxied_address(f"try:{s}") for s in range(len(place.servers))]
         self.fleet = FleetService(self._new_reactor("fleet"), config, place.servers, addresses, self.files[0])
         self.fleet.start(place.news)
         self.start("store")
@@ -180,7 +180,7 @@
     def start(self, name: str) -> None:
         party, kind, number = self._new_reactor(name), name.split(":")[0], int(name.partition(":")[2] or -1)
         d, zones = self.config.deployment, len(self.config.deployment.zones)
-        store, news = self.place.tapped("store"), self.place.tapped("list")
+        store, news = self.place.proxied_address("store"), self.place.proxied_address("list")
         log, life = self.log[name], self.incarnations[name]
         if kind == "store":
             image = copied(self.engine.image)
@@ -203,7 +203,7 @@
             service.start()
             self.assigners[number] = service
         else:
-            orders = [self.place.tapped(f"order:{k}") for k in range(d.assigners)]
+            orders = [self.place.proxied_address(f"order:{k}") for k in range(d.assigners)]
             mine = ProxyProcess(id=number, zone=number % zones, listen=at(1), assigners=orders, store=store)
             proxy = ProxyService(cast(Any, party), self.config, mine, log)
             party.listenTCP(self.place.fronts[number], proxy.factory())
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -20,9 +20,9 @@
 from puffintide.protocol import messages as m
 from puffintide.proxy.weight_tables import WeightTables
 from puffintide.scenarios.errors import ImportFormatError
-from puffintide.scenarios.faults import FAULTS_OF_CLIENTS, plan
-from puffintide.scenarios.importer import import_day
-from puffintide.scenarios.kinds import KINDS, script
+from puffintide.scenarios.faults import CLIENT_FAULTS, plan
+from puffintide.scenarios.importer import import_bench_scenario
+from puffintide.scenarios.kinds import FAULT_PARAMETERS, script
 from puffintide.store.ownership import OwnershipLedger
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("scenario")]  # one run serves many tests
@@ -165,11 +165,11 @@
 
 def test_every_fault_type_is_valid_and_has_steps() -> None:
     base = BAD_DAY.read_text()
-    assert {name.split()[0] for name in KINDS} - {"none"} == set(FAULTS)
+    assert {name.split()[0] for name in FAULT_PARAMETERS} - {"none"} == set(FAULTS)
     import configparser
 
     plain = None
-    for name in KINDS:
+    for name in FAULT_PARAMETERS:
         parser = configparser.ConfigParser(interpolation=None)
         parser.read_string(script(base, name))
         config = parse_config(
@@ -180,7 +180,7 @@
         arrivals = draw_arrivals(config)
         if name == "none":
             plain = arrivals
-        elif name.split()[0] not in FAULTS_OF_CLIENTS:
+        elif name.split()[0] not in CLIENT_FAULTS:
             assert steps, name
             assert arrivals == plain, name
         elif name != "give_up":
@@ -290,7 +290,7 @@
 def test_a_bench_day_is_imported_at_any_scale(tmp_path: Path) -> None:
     for scale in (0.5, 1.0):
         path = tmp_path / "day.ini"
-        path.write_text(import_day(bench_day(), scale))
+        path.write_text(import_bench_scenario(bench_day(), scale))
         config = read_config(str(path), ("day", "fleet", "load"))
         assert config.fleet is not None
         assert config.load is not None
@@ -312,7 +312,7 @@
     day = bench_day()
     bend(day)
     with pytest.raises(ImportFormatError):
-        import_day(day)
+        import_bench_scenario(day)
 
 
 # Emulators ------------------------------------------------------------------------------------------------
