--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""The scripted bad day for real, once; then its records under bent conditions; scripts, configurations, imports."""
+"""One run of a scenario with many faults, audits of its records, scenario scripts, imports and emulators."""
 
 from __future__ import annotations
 
@@ -25,42 +25,44 @@
 from puffintide.scenarios.kinds import FAULT_PARAMETERS, script
 from puffintide.store.ownership import OwnershipLedger
 
-pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("scenario")]  # one run serves many tests
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("scenario")]  # One run serves several tests.
 
 ROOT = Path(__file__).parent.parent
-BAD_DAY = ROOT / "days" / "bad-day.ini"
+MANY_FAULTS_SCENARIO = ROOT / "days" / "bad-day.ini"
 
 
-def puffintide(*words: str, limit_s: float = 120) -> subprocess.CompletedProcess[str]:
-    run = [sys.executable, "-m", "puffintide", *words]
-    return subprocess.run(run, capture_output=True, text=True, timeout=limit_s, cwd=ROOT)
+def run_puffintide(*arguments: str, timeout_s: float = 120) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "puffintide", *arguments]
+    return subprocess.run(command, capture_output=True, text=True, timeout=timeout_s, cwd=ROOT)
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> tuple[Path, subprocess.CompletedProcess[str]]:
+def scenario_run(tmp_path_factory: pytest.TempPathFactory) -> tuple[Path, subprocess.CompletedProcess[str]]:
     out = tmp_path_factory.mktemp("day") / "bad"
-    return out, puffintide("day", "run", str(BAD_DAY), "--out", str(out), "--quiet")
+    return out, run_puffintide("day", "run", str(MANY_FAULTS_SCENARIO), "--out", str(out), "--quiet")
 
 
-def test_the_scenario_of_many_faults_keeps_every_rule(played: tuple[Path, Any]) -> None:
-    out, run = played
+def test_the_scenario_of_many_faults_keeps_every_rule(scenario_run: tuple[Path, Any]) -> None:
+    out, run = scenario_run
     assert run.returncode == 0, run.stdout + run.stderr
     assert "BROKEN" not in run.stdout
     assert "unknown" not in run.stdout
-    kinds = {row["what"] for row in map(json.loads, (out / "day.jsonl").read_text().splitlines())}
-    assert {"kill", "step", "begin"} <= kinds
+    events = {row["what"] for row in map(json.loads, (out / "day.jsonl").read_text().splitlines())}
+    assert {"kill", "step", "begin"} <= events
     stops = [
         row
         for row in map(json.loads, (out / "fleet.jsonl").read_text().splitlines())
         if row["what"] == "stop"
     ]
-    assert len(stops) >= 10  # a zone and a deploy: the day was as bad as scripted
-    left = subprocess.run(["pgrep", "-f", f"puffintide.*{out}"], capture_output=True, text=True)
-    assert left.stdout == ""  # no process is left behind
+    assert len(stops) >= 10  # The zone loss and the deploy of the script stopped servers.
+    remaining = subprocess.run(["pgrep", "-f", f"puffintide.*{out}"], capture_output=True, text=True)
+    assert remaining.stdout == ""  # Every process has ended.
 
 
-def test_the_same_records_violate_rules_with_tighter_limits(played: tuple[Path, Any], tmp_path: Path) -> None:
-    """The audit is not blind to what really passed: with limits below what happened it says so."""
+def test_the_same_records_violate_rules_with_tighter_limits(
+    scenario_run: tuple[Path, Any], tmp_path: Path
+) -> None:
+    """Guard against an audit that accepts everything: limits below the recorded values must be violated."""
     for key, value, rule in [
         ("drain_grace_s", "0.02", "drains kept"),
         ("fall_multiple", "0.1", "cold not pushed over"),
@@ -68,30 +70,32 @@
         ("messages_most", "1", "short queue"),
     ]:
         folder = tmp_path / key
-        shutil.copytree(played[0], folder)
+        shutil.copytree(scenario_run[0], folder)
         text = (folder / "day.ini").read_text()
         old = next(line for line in text.splitlines() if line.startswith(f"{key} ="))
         (folder / "day.ini").write_text(text.replace(old, f"{key} = {value}"))
-        run = puffintide("audit", str(folder))
+        run = run_puffintide("audit", str(folder))
         assert run.returncode == 1, run.stdout
-        assert any(rule in x and "BROKEN" in x for x in run.stdout.splitlines()), run.stdout
+        assert any(rule in line and "BROKEN" in line for line in run.stdout.splitlines()), run.stdout
 
 
-def test_truncated_records_are_unknown_and_never_kept(played: tuple[Path, Any], tmp_path: Path) -> None:
-    shutil.copytree(played[0], tmp_path / "cut")
-    tap = tmp_path / "cut" / "tap.jsonl"
-    tap.write_bytes(tap.read_bytes()[:-5000])
-    run = puffintide("audit", str(tmp_path / "cut"))
+def test_truncated_records_give_the_result_unknown_instead_of_kept(
+    scenario_run: tuple[Path, Any], tmp_path: Path
+) -> None:
+    shutil.copytree(scenario_run[0], tmp_path / "cut")
+    records = tmp_path / "cut" / "tap.jsonl"
+    records.write_bytes(records.read_bytes()[:-5000])
+    run = run_puffintide("audit", str(tmp_path / "cut"))
     assert run.returncode == 3
     assert "kept" not in run.stdout.split("Service")[0].replace("drains kept", "")
-    assert puffintide("audit", str(tmp_path / "nothing")).returncode == 2
+    assert run_puffintide("audit", str(tmp_path / "nothing")).returncode == 2
 
 
-def sections() -> dict[str, dict[str, str]]:
+def scenario_sections() -> dict[str, dict[str, str]]:
     import configparser
 
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
-    parser.read(BAD_DAY)
+    parser.read(MANY_FAULTS_SCENARIO)
     return {name: dict(parser.items(name)) for name in parser.sections()}
 
 
@@ -102,7 +106,7 @@
         read_config(str(path))
 
 
-BAD_VALUES = [
+INVALID_VALUES = [
     ("deployment", "proxies", "none", "valid integer"),
     ("deployment", "slices", "70000", "65534"),
     ("deployment", "pick", "best", "'rotate', 'random' or 'p2c'"),
@@ -121,21 +125,21 @@
 ]
 
 
-@pytest.mark.parametrize(("section", "key", "value", "words"), BAD_VALUES)
+@pytest.mark.parametrize(("section", "key", "value", "text"), INVALID_VALUES)
 def test_an_invalid_value_is_reported_with_its_section_and_key(
-    section: str, key: str, value: str, words: str
+    section: str, key: str, value: str, text: str
 ) -> None:
-    made = sections()
-    made.setdefault(section, {})[key] = value
-    with pytest.raises(ConfigError) as caught:
-        parse_config("f.ini", made)
-    assert any(x.startswith(f"f.ini: [{section}]") and words in x for x in caught.value.lines), (
-        caught.value.lines
+    sections = scenario_sections()
+    sections.setdefault(section, {})[key] = value
+    with pytest.raises(ConfigError) as error:
+        parse_config("f.ini", sections)
+    assert any(line.startswith(f"f.ini: [{section}]") and text in line for line in error.value.lines), (
+        error.value.lines
     )
 
 
 def test_all_errors_are_reported_at_once_and_the_command_exits_2(tmp_path: Path) -> None:
-    text = BAD_DAY.read_text()
+    text = MANY_FAULTS_SCENARIO.read_text()
     for old, new in (
         ("proxies = 8", "proxies = x"),
         ("aim_s = 0.75", "aim_s = 0"),
@@ -145,30 +149,30 @@
         text = text.replace(old, new)
     path = tmp_path / "bad.ini"
     path.write_text(text)
-    run = puffintide("day", "check", str(path))
+    run = run_puffintide("day", "check", str(path))
     assert run.returncode == 2
     assert run.stdout == ""
     lines = run.stderr.splitlines()
     assert len(lines) == 3
     assert all(line.startswith(f"puffintide: {path}: [") for line in lines)
-    for name, data in {"no": None, "dup": "[day]\n[day]\n", "half": "[day", "bytes": b"\xff\xfe"}.items():
+    for name, content in {"no": None, "dup": "[day]\n[day]\n", "half": "[day", "bytes": b"\xff\xfe"}.items():
         target = tmp_path / name
-        if isinstance(data, bytes):
-            target.write_bytes(data)
-        elif data is not None:
-            target.write_text(data)
-        run = puffintide("check-config", str(target))
+        if isinstance(content, bytes):
+            target.write_bytes(content)
+        elif content is not None:
+            target.write_text(content)
+        run = run_puffintide("check-config", str(target))
         assert run.returncode == 2
         assert len(run.stderr.splitlines()) == 1
         assert str(target) in run.stderr
 
 
 def test_every_fault_type_is_valid_and_has_steps() -> None:
-    base = BAD_DAY.read_text()
+    base = MANY_FAULTS_SCENARIO.read_text()
     assert {name.split()[0] for name in FAULT_PARAMETERS} - {"none"} == set(FAULTS)
     import configparser
 
-    plain = None
+    arrivals_without_fault = None
     for name in FAULT_PARAMETERS:
         parser = configparser.ConfigParser(interpolation=None)
         parser.read_string(script(base, name))
@@ -176,21 +180,21 @@
             name, {s: dict(parser.items(s)) for s in parser.sections()}, ("day", "fleet", "load")
         )
         steps = plan(config, 3)
-        assert steps == plan(config, 3)  # the same seed, the same day
+        assert steps == plan(config, 3)  # The same seed gives the same steps.
         arrivals = draw_arrivals(config)
         if name == "none":
-            plain = arrivals
+            arrivals_without_fault = arrivals
         elif name.split()[0] not in CLIENT_FAULTS:
             assert steps, name
-            assert arrivals == plain, name
+            assert arrivals == arrivals_without_fault, name
         elif name != "give_up":
-            assert arrivals != plain, name
+            assert arrivals != arrivals_without_fault, name
 
 
-def bench_day() -> dict[str, Any]:
-    """The shape of a drawn day, made up here."""
-    kind = {"name": "k", "cores": 2, "slots": 4, "queue": 20, "cold_from": 0.3, "cold": 8e6}
-    made = {
+def bench_scenario() -> dict[str, Any]:
+    """Return a minimal scenario in the file format of the users' bench."""
+    server_type = {"name": "k", "cores": 2, "slots": 4, "queue": 20, "cold_from": 0.3, "cold": 8e6}
+    request_class = {
         "share": 0.6,
         "work": 1e5,
         "aim": 7e5,
@@ -215,12 +219,12 @@
         "discovery": {"ask": True, "notice": 2e6, "add": 5e5},
         "allow": {"probes": True},
         "classes": [
-            dict(made, name="r", effect="safe", group="all", window=0),
-            dict(made, name="w", effect="unsafe", group="all", window=0, deadline=5e6),
+            dict(request_class, name="r", effect="safe", group="all", window=0),
+            dict(request_class, name="w", effect="unsafe", group="all", window=0, deadline=5e6),
         ],
         "tiers": [
             {
-                "kinds": [kind],
+                "kinds": [server_type],
                 "report_fields": ["inflight"],
                 "report_period": 8e5,
                 "report_noise": 0.1,
@@ -287,10 +291,10 @@
     }
 
 
-def test_a_bench_day_is_imported_at_any_scale(tmp_path: Path) -> None:
+def test_a_bench_scenario_is_imported_at_any_scale(tmp_path: Path) -> None:
     for scale in (0.5, 1.0):
         path = tmp_path / "day.ini"
-        path.write_text(import_bench_scenario(bench_day(), scale))
+        path.write_text(import_bench_scenario(bench_scenario(), scale))
         config = read_config(str(path), ("day", "fleet", "load"))
         assert config.fleet is not None
         assert config.load is not None
@@ -305,20 +309,24 @@
 
 
 @pytest.mark.parametrize(
-    "bend",
-    [lambda d: d.pop("fam"), lambda d: d.update(family="other"), lambda d: d["fam"].update(slices=0)],
+    "damage",
+    [
+        lambda tree: tree.pop("fam"),
+        lambda tree: tree.update(family="other"),
+        lambda tree: tree["fam"].update(slices=0),
+    ],
 )
-def test_a_file_that_is_no_bench_day_is_an_error(bend: Any) -> None:
-    day = bench_day()
-    bend(day)
+def test_an_invalid_bench_scenario_is_rejected(damage: Any) -> None:
+    tree = bench_scenario()
+    damage(tree)
     with pytest.raises(ImportFormatError):
-        import_bench_scenario(day)
+        import_bench_scenario(tree)
 
 
 # Emulators ------------------------------------------------------------------------------------------------
 
 
-def model(**changes: Any) -> ServerModel:
+def server_model(**changes: Any) -> ServerModel:
     spec = ServerSpec(
         cores=2,
         speed=1.0,
@@ -335,38 +343,38 @@
     return ServerModel(spec, **{"started_at_s": None, "now_s": 0.0, **changes})
 
 
-def drain(server: ServerModel, until: float) -> dict[int, float]:
-    """When each request was done."""
-    done: dict[int, float] = {}
-    while (due := server.next_completion_at()) is not None and due <= until:
-        for number in server.take_completed(due):
-            done[number] = due
-    return done
+def completion_times(server: ServerModel, until_s: float) -> dict[int, float]:
+    """Run the server until a time and return the completion time of each request by its number."""
+    times_s: dict[int, float] = {}
+    while (due_s := server.next_completion_at()) is not None and due_s <= until_s:
+        for number in server.take_completed(due_s):
+            times_s[number] = due_s
+    return times_s
 
 
 def test_emulated_requests_share_the_cores_and_are_queued() -> None:
-    server = model()
+    server = server_model()
     assert all(server.offer(0.0, k, 1.0, None) for k in range(10))
-    assert not server.offer(0.0, 99, 1.0, None)  # four run, six wait, no more
-    done = drain(server, 60.0)
-    assert done[0] == pytest.approx(2.0, abs=0.01)  # four on two cores
-    assert max(done.values()) == pytest.approx(5.0, abs=0.05)  # ten seconds of work in all
+    assert not server.offer(0.0, 99, 1.0, None)  # Four requests run and six wait; the queue is full.
+    times_s = completion_times(server, 60.0)
+    assert times_s[0] == pytest.approx(2.0, abs=0.01)  # Four requests share two cores.
+    assert max(times_s.values()) == pytest.approx(5.0, abs=0.05)  # All ten need 10 s of work on two cores.
 
 
-def test_cached_keys_cost_less_and_slowness_costs_more() -> None:
-    server = model()
+def test_cached_keys_need_less_work_and_a_slowdown_more_time() -> None:
+    server = server_model()
     server.offer(0.0, 1, 1.0, 7)
-    assert drain(server, 9.0)[1] == pytest.approx(1.0, abs=0.01)
+    assert completion_times(server, 9.0)[1] == pytest.approx(1.0, abs=0.01)
     server.offer(2.0, 2, 1.0, 7)
-    assert drain(server, 9.0)[2] == pytest.approx(2.5, abs=0.01)
+    assert completion_times(server, 9.0)[2] == pytest.approx(2.5, abs=0.01)
     server.advance(9.0)
     server.slowdown = 4.0
-    server.offer(9.0, 3, 1.0, 7)  # forgotten by now
-    assert drain(server, 20.0)[3] == pytest.approx(13.0, abs=0.05)
+    server.offer(9.0, 3, 1.0, 7)  # The cache entry of the key has expired.
+    assert completion_times(server, 20.0)[3] == pytest.approx(13.0, abs=0.05)
 
 
-def test_a_server_that_warms_up_is_slow_and_fails_when_overloaded() -> None:
-    server = model(started_at_s=0.0)
+def test_a_server_in_slow_start_has_less_capacity_and_collapses_when_overloaded() -> None:
+    server = server_model(started_at_s=0.0)
     assert server.capacity(0.0) == 1.0
     assert server.capacity(10.0) == 2.0
     for k in range(4):
@@ -374,26 +382,27 @@
     assert not server.has_collapsed
     for k in range(4, 7):
         server.offer(0.2, k, 1.0, None)
-    assert server.has_collapsed  # seven seconds of work in a window that allows 3 x 1 x 1.5 and some slack
-    warm = model()
+    # Seven seconds of work arrive in a window that allows 3 x 1 x 1.5 s of work and some tolerance.
+    assert server.has_collapsed
+    warm_server = server_model()
     for k in range(9):
-        warm.offer(0.1, k, 1.0, None)
-    assert not warm.has_collapsed
+        warm_server.offer(0.1, k, 1.0, None)
+    assert not warm_server.has_collapsed
 
 
-def test_weight_tables_obey_weights_withdrawals_tokens_and_levels() -> None:
+def test_weight_tables_apply_weights_withdrawals_fencing_tokens_and_admission_levels() -> None:
     tables = WeightTables(4, 0, "rotate", lambda: 0.5)
     tables.apply_ownership(m.SliceOwnership(1, 5, 0, [m.TableEntry(1, 3.0), m.TableEntry(2, 1.0)]))
-    picks = [tables.pick(1) for _ in range(400)]
-    assert (picks.count(1), picks.count(2)) == (300, 100)
+    picked_servers = [tables.pick(1) for _ in range(400)]
+    assert (picked_servers.count(1), picked_servers.count(2)) == (300, 100)
     tables.apply_update(0, m.ProxyUpdate(1, 0.0, 1.0, withdrawn_servers=[1]))
     assert {tables.pick(1) for _ in range(9)} == {2}
-    tables.apply_update(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 4)]))  # an owner from before
+    # An entry with an older fencing token comes from a former owner and is dropped.
+    tables.apply_update(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 4)]))
     assert tables.stale_entries_dropped == 1
     assert {tables.pick(1) for _ in range(9)} == {2}
-    tables.apply_update(
-        1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 6)])
-    )  # the next one: its own withdrawals hold
+    # An entry with a newer fencing token makes its sender the owner, and only its withdrawals apply.
+    tables.apply_update(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 6)]))
     assert tables.slices[1].owner_id == 1
     assert {1, 2, 3} == {tables.pick(1) for _ in range(30)}
     tables.apply_update(
@@ -403,29 +412,29 @@
     assert tables.retry_mode(1, 0) == 2
 
 
-def test_ownership_is_taken_over_and_returned_but_never_with_an_old_token() -> None:
-    book = OwnershipLedger(6, 3, 2.0, False)
+def test_ownership_is_reassigned_and_returned_and_old_fencing_tokens_are_rejected() -> None:
+    ledger = OwnershipLedger(6, 3, 2.0, False)
     for k in range(3):
-        book.assigner_connected(10.0, k)
-    assert [book.slices[n].owner_id for n in range(6)] == [0, 1, 2, 0, 1, 2]
-    token = book.slices[1].fencing_token
-    book.assigner_disconnected(20.0, 1)
-    assert book.reassign(21.9) == []
-    assert {c.slice_id for c in book.reassign(22.0)} == {1, 4}
-    assert all(book.slices[n].owner_id in (0, 2) for n in (1, 4))
-    assert book.write(1, [m.WeightEntry(1, 5, 1.0, token)]) != {}
-    assert book.write(book.slices[1].owner_id, [m.WeightEntry(1, 5, 1.0, token)]) != {}
-    assert {c.slice_id for c in book.assigner_connected(30.0, 1)} == {1, 4}
-    assert book.slices[1].owner_id == 1
-    assert book.write(1, [m.WeightEntry(1, 5, 1.0, book.slices[1].fencing_token)]) == {}
-    before = {n: r.fencing_token for n, r in book.slices.items()}
-    book.assigner_disconnected(40.0, 0)
-    book.assigner_disconnected(40.0, 1)
-    book.assigner_disconnected(40.0, 2)
-    assert book.reassign(50.0) == []  # nobody is there: charge stays where it was
-    book.assigner_connected(51.0, 2)
-    assert all(r.owner_id == 2 for r in book.slices.values())
-    assert all(book.slices[n].fencing_token > before[n] for n in before)
+        ledger.assigner_connected(10.0, k)
+    assert [ledger.slices[n].owner_id for n in range(6)] == [0, 1, 2, 0, 1, 2]
+    token = ledger.slices[1].fencing_token
+    ledger.assigner_disconnected(20.0, 1)
+    assert ledger.reassign(21.9) == []
+    assert {c.slice_id for c in ledger.reassign(22.0)} == {1, 4}
+    assert all(ledger.slices[n].owner_id in (0, 2) for n in (1, 4))
+    assert ledger.write(1, [m.WeightEntry(1, 5, 1.0, token)]) != {}
+    assert ledger.write(ledger.slices[1].owner_id, [m.WeightEntry(1, 5, 1.0, token)]) != {}
+    assert {c.slice_id for c in ledger.assigner_connected(30.0, 1)} == {1, 4}
+    assert ledger.slices[1].owner_id == 1
+    assert ledger.write(1, [m.WeightEntry(1, 5, 1.0, ledger.slices[1].fencing_token)]) == {}
+    previous_tokens = {n: r.fencing_token for n, r in ledger.slices.items()}
+    ledger.assigner_disconnected(40.0, 0)
+    ledger.assigner_disconnected(40.0, 1)
+    ledger.assigner_disconnected(40.0, 2)
+    assert ledger.reassign(50.0) == []  # Without a connected assigner, ownership does not change.
+    ledger.assigner_connected(51.0, 2)
+    assert all(r.owner_id == 2 for r in ledger.slices.values())
+    assert all(ledger.slices[n].fencing_token > previous_tokens[n] for n in previous_tokens)
 
 
 def test_invalid_initial_tables_are_rejected(tmp_path: Path) -> None:
@@ -433,7 +442,7 @@
     from puffintide.store.initial_tables import read_initial_tables
 
     path = tmp_path / "t.jsonl"
-    for text, words in [
+    for text, message in [
         ('{"slice":0,"server":1}\n{"slice":9,"server":1}', ":2: slice 9"),
         ('{"slice":0,"server":1}\n{"slice":0,"server":1,"weight":2}', ":2: server 1 is named twice"),
         ('{"slice":0,"server":1,"weight":0}', ":1: weight"),
@@ -441,35 +450,35 @@
         ('{"slice":0,"serv', ":1: not a table"),
     ]:
         path.write_text(text)
-        with pytest.raises(TableFileError, match=words):
+        with pytest.raises(TableFileError, match=message):
             read_initial_tables(str(path), 4)
     assert os.path.exists(path)
 
 
-def test_ctrl_c_leaves_no_process_and_no_result(tmp_path: Path) -> None:
+def test_sigint_ends_all_processes_without_a_result(tmp_path: Path) -> None:
     import signal
     import time
 
-    words = [
+    command = [
         sys.executable,
         "-m",
         "puffintide",
         "day",
         "run",
-        str(BAD_DAY),
+        str(MANY_FAULTS_SCENARIO),
         "--out",
         str(tmp_path / "out"),
         "--quiet",
     ]
-    run = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
-    end = time.monotonic() + 30
+    run = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    give_up_at_s = time.monotonic() + 30
     while not (tmp_path / "out" / "clients.jsonl").exists():
-        assert time.monotonic() < end
+        assert time.monotonic() < give_up_at_s
         time.sleep(0.2)
     run.send_signal(signal.SIGINT)
-    out, err = run.communicate(timeout=40)
+    stdout, stderr = run.communicate(timeout=40)
     assert run.returncode == 2
-    assert "stopped by hand" in err
-    assert "kept" not in out
-    left = subprocess.run(["pgrep", "-f", str(tmp_path / "out")], capture_output=True, text=True)
-    assert left.stdout == ""
+    assert "stopped by hand" in stderr
+    assert "kept" not in stdout
+    remaining = subprocess.run(["pgrep", "-f", str(tmp_path / "out")], capture_output=True, text=True)
+    assert remaining.stdout == ""
