--- a/puffintide/scenarios/faults.py
+++ b/puffintide/scenarios/faults.py
@@ -317,7 +317,7 @@
         return self._link_fault(kinds=["try"], crossing=True, late_s=self.fault.size, lose=self.fault.extra)
 
     def _one_sided(self) -> list[Step]:
-        """Lose a fraction `size` of the requests that proxies of one zone send to other zones."""
+        """Lose a fraction `size` of the attempts that proxies of one zone send to other zones."""
         return self._link_fault(
             kinds=["try"], words=["try"], from_zone=self.fault.zone, crossing=True, lose=self.fault.size
         )
--- a/puffintide/scenarios/zone_scenarios.py
+++ b/puffintide/scenarios/zone_scenarios.py
@@ -113,7 +113,7 @@
         {"link": {"kind": "slow_link", "at_s": "12", "for_s": "20", "size": "0.35", "extra": "0.2"}},
     ),
     "one-sided": ZoneScenario(
-        "proxies of one zone lose 60% of the requests that they send to the other",
+        "proxies of one zone lose 60% of the attempts that they send to the other",
         {"side": {"kind": "one_sided", "at_s": "12", "for_s": "20", "size": "0.6", "zone": "1"}},
     ),
 }
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -192,7 +192,7 @@
 
 
 def bench_scenario() -> dict[str, Any]:
-    """Return a minimal scenario in the file format of the users' bench."""
+    """Return a made-up scenario in the file format of the users' bench."""
     server_type = {"name": "k", "cores": 2, "slots": 4, "queue": 20, "cold_from": 0.3, "cold": 8e6}
     request_class = {
         "share": 0.6,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -82,7 +82,7 @@
 ADMISSION_CONTROL = {"deployment": {"admit": "fraction"}, "reports": {"names": "busy"}}
 TWO_RETRIES = {"deployment": {"retry_default": 3}}
 SINGLE_WRITER = {"deployment": {"single_writer": "yes", "shun_after": 0}}
-# The channel is so narrow that assigners withdraw servers instead of updating all weights.
+# The channel is so narrow that servers are withdrawn.
 NARROW_CHANNEL = {"deployment": {"slices": 48}, "channel": {"lines_per_s": 80, "limit": 160}}
 CASES = {
     "no fault": Case(min_score=0.95),
