--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -25,7 +25,7 @@
 from puffintide.replication.table_restore import FENCING_TOKEN_GAP, TableRestore
 from puffintide.scenarios.faults import plan
 from puffintide.scenarios.link_faults import Link, parse_link_fault
-from puffintide.scenarios.place import Place, at
+from puffintide.scenarios.place import PortLayout, at
 from puffintide.scenarios.recording_proxy import RecordingProxy
 from puffintide.scenarios.results import ScenarioResult, evaluate
 from puffintide.scenarios.steps import Step
@@ -125,11 +125,11 @@
 
     # Processes ------------------------------------------------------------------------------------
 
-    def _place_processes(self) -> Place:
+    def _place_processes(self) -> PortLayout:
         deployment, fleet = self.config.deployment, self.config.fleet
         assert fleet is not None
         zones, server_count = len(deployment.zones), fleet.servers + fleet.spare
-        place = Place(
+        place = PortLayout(
             1,
             2,
             [10 + assigner for assigner in range(deployment.assigners)],
@@ -158,7 +158,9 @@
         tables = {
             slice_id: [
                 TableEntry(
-                    slice_id % fleet.servers, 1.0, self.place.tapped(f"try:{slice_id % fleet.servers}")
+                    slice_id % fleet.servers,
+                    1.0,
+                    self.place.proxied_address(f"try:{slice_id % fleet.servers}"),
                 )
             ]
             for slice_id in range(deployment.slices)
@@ -177,7 +179,7 @@
         self.record_files = [
             (out / f"{name}.jsonl").open("w", encoding="utf-8") for name in ("fleet", "clients")
         ]
-        addresses = [place.tapped(f"try:{server}") for server in range(len(place.servers))]
+        addresses = [place.proxied_address(f"try:{server}") for server in range(len(place.servers))]
         self.fleet = FleetService(
             self._new_reactor("fleet"), config, place.servers, addresses, self.record_files[0]
         )
@@ -201,7 +203,7 @@
         reactor, role, number = self._new_reactor(name), name.split(":")[0], int(name.partition(":")[2] or -1)
         deployment, zones = self.config.deployment, len(self.config.deployment.zones)
         slices, assigners = deployment.slices, deployment.assigners
-        store_address, list_address = self.place.tapped("store"), self.place.tapped("list")
+        store_address, list_address = self.place.proxied_address("store"), self.place.proxied_address("list")
         log, incarnation = self.log[name], self.incarnations[name]
         if role == "store":
             snapshot = copy_snapshot(self.engine.snapshot)
@@ -234,7 +236,7 @@
             service.start()
             self.assigners[number] = service
         else:
-            assigner_addresses = [self.place.tapped(f"order:{k}") for k in range(assigners)]
+            assigner_addresses = [self.place.proxied_address(f"order:{k}") for k in range(assigners)]
             proxy_section = ProxyProcess(
                 id=number,
                 zone=number % zones,
