--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the program, run by hand: `python -m benchmarks.NAME --help`."""
+"""Benchmarks and long checks, run by hand as `python -m benchmarks.NAME`; each module lists its options."""
--- a/benchmarks/assigner_limit.py
+++ b/benchmarks/assigner_limit.py
@@ -1,13 +1,17 @@
-"""How many slices and proxies one assigner serves before a round is late, and which limit is reached first.
+"""Measures how many slices and proxies one assigner can serve in time, and which limit is reached first.
 
     python -m benchmarks.assigner_limit [--seconds 9] [--table docs/measurements/assigner-limit.md]
 
-One assigner's own code (usage reports decoded and aggregated, decisions, updates encoded for every proxy), fed as a
-deployment would feed it, without sockets: proxies' reports each period, health checks, and a drain every third
-second. The cost is the processor time of each part for a second of the deployment's time; at 1.0 a core is full
-and rounds are late. Only ratios within one run mean anything on a shared machine. Channel x1 has the rate and
-capacity that the users expect (12500 entries a second, 18800 queued); wider ones grow with the proxies. A row
-without rounds that decide means that nothing fits into the channel: its limit was reached first.
+The code of one assigner runs without sockets: it decodes and aggregates usage reports, makes decisions and
+encodes updates for every proxy. The simulated deployment delivers usage reports of all proxies in each report
+period, health check results, and a drain every third second.
+
+The cost of a phase is its processor time per second of simulated time. At 1.0 one core is fully used and
+rounds are late. On a shared machine only ratios within one run are comparable.
+
+Channel x1 has the expected rate (12500 entries per second) and capacity (18800 queued entries). The width of
+the other channels grows with the number of proxies. A row without deciding rounds means that no update fits
+into the channel, so that its limit was reached first.
 """
 
 from __future__ import annotations
@@ -34,27 +38,28 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import decode, encode
 
-SIZES = ((100, 50), (500, 155), (1000, 300), (2000, 600), (4000, 600), (2000, 1500), (8000, 1500))
+# Numbers of slices and of proxies.
+DEPLOYMENT_SIZES = ((100, 50), (500, 155), (1000, 300), (2000, 600), (4000, 600), (2000, 1500), (8000, 1500))
 CHANNEL_ENTRIES_PER_S = 12500.0
 CHANNEL_CAPACITY_ENTRIES = 18800.0
 CHANNEL_DELAY_S = 0.4
-PROXIES_OF_ORDINARY_CHANNEL = 155
-UNLIMITED_CAPACITY = 1e12  # the channel of the program drops nothing
+PROXIES_PER_CHANNEL_WIDTH = 155  # Number of proxies for which channel x1 is sized.
+UNLIMITED_CAPACITY = 1e12  # The assigner's channel drops no update, so its queue is unbounded here.
 REPORT_PERIOD_S = 0.5
 REPORT_ENTRIES_PER_S = 300.0
 MIN_SERVERS = 8
 SLICES_PER_SERVER = 6
-SLICES_PER_REPORT = 60  # that one proxy uses in a period
+SLICES_PER_REPORT = 60  # Number of slices that one proxy uses in a report period.
 SERVERS_PER_REPORT = SLICES_PER_REPORT // 3
 ZONE_COUNT = 2
 CLASS_COUNT = 3
-START_S = 1000.0
-STEP_S = 0.25
+SIMULATION_START_S = 1000.0
+SIMULATION_STEP_S = 0.25
 STEPS_PER_S = 4
 STEPS_PER_REPORT = 2
 STEPS_PER_DRAIN = 12
 FIRST_DRAIN_STEP = 8
-HEALTH_CHECK_GROUPS = 3  # a third of the servers each step
+HEALTH_CHECK_GROUPS = 3  # Each step delivers the results of a third of the servers.
 HEADINGS = (
     "slices",
     "proxies",
@@ -69,8 +74,8 @@
 )
 
 
-class Part(StrEnum):
-    """A part of an assigner's work."""
+class WorkPhase(StrEnum):
+    """A phase of an assigner's work whose cost is measured separately."""
 
     REPORTS = "reports"
     DECISIONS = "decisions"
@@ -78,7 +83,13 @@
 
 
 def make_settings(slice_count: int, proxy_count: int, channel_width: float) -> Settings:
-    """Settings of one assigner that owns all slices; the width multiplies the channel's rate and capacity."""
+    """Return the settings of one assigner that owns all slices.
+
+    Args:
+        slice_count: Number of slices of the deployment.
+        proxy_count: Number of proxies of the deployment.
+        channel_width: Factor by which the channel's rate and capacity are multiplied.
+    """
     request_class = RequestClass(RepeatSafety.IDEMPOTENT, "all", 0.0, 0.75, 2.5, 3.0, False)
     return Settings(
         assigner_index=0,
@@ -116,49 +127,50 @@
     )
 
 
-class Cost:
-    """Processor time of each part.
+class PhaseCosts:
+    """Processor time of each phase.
 
     Attributes:
-        seconds: by part, in all.
-        longest_round_s: of one round of decisions.
+        seconds: Total processor time of each phase, in seconds.
+        longest_round_s: Longest processor time of one decision round, in seconds.
     """
 
     def __init__(self) -> None:
-        self.seconds = dict.fromkeys(Part, 0.0)
+        self.seconds = dict.fromkeys(WorkPhase, 0.0)
         self.longest_round_s = 0.0
 
     @contextlib.contextmanager
-    def measured(self, part: Part) -> Iterator[None]:
-        """Count the processor time of a block."""
+    def measured(self, phase: WorkPhase) -> Iterator[None]:
+        """Add the processor time of the enclosed block to a phase."""
         started_at_s = time.process_time()
         yield
         spent_s = time.process_time() - started_at_s
-        self.seconds[part] += spent_s
-        if part is Part.DECISIONS:
+        self.seconds[phase] += spent_s
+        if phase is WorkPhase.DECISIONS:
             self.longest_round_s = max(self.longest_round_s, spent_s)
 
 
 class AssignerLoad:
-    """An assigner without sockets, and the deployment that feeds it."""
+    """An assigner without sockets and the simulated deployment that sends it events."""
 
     def __init__(self, slice_count: int, proxy_count: int, channel_width: float) -> None:
-        self.cost = Cost()
+        self.phase_costs = PhaseCosts()
         self.deciding_rounds = 0
         self.channel = Channel(CHANNEL_ENTRIES_PER_S * channel_width, UNLIMITED_CAPACITY)
         self._slice_count = slice_count
         self._server_count = max(MIN_SERVERS, slice_count // SLICES_PER_SERVER)
-        self._now_s = START_S
+        self._now_s = SIMULATION_START_S
         self._runtime = Runtime(make_settings(slice_count, proxy_count, channel_width))
         self._aggregator = LoadReportAggregator(REPORT_ENTRIES_PER_S)
-        self._pending_checkpoints: list[tuple[float, int, int]] = []  # time of arrival, proxy, checkpoint
+        # Arrival time, proxy id and checkpoint id of each acknowledgement that is under way.
+        self._pending_checkpoints: list[tuple[float, int, int]] = []
         self._reports = [encode(self._usage_report(proxy_id)) for proxy_id in range(proxy_count)]
         self._connect(proxy_count)
 
     def run(self, duration_s: int) -> None:
-        """Play so many seconds of the deployment."""
+        """Simulate the deployment for a number of seconds."""
         for step in range(duration_s * STEPS_PER_S):
-            self._now_s += STEP_S
+            self._now_s += SIMULATION_STEP_S
             if step % STEPS_PER_REPORT == 0:
                 self._receive_reports()
             if step % STEPS_PER_DRAIN == FIRST_DRAIN_STEP:
@@ -205,7 +217,7 @@
         return m.UsageReport(REPORT_PERIOD_S, servers, slices)
 
     def _receive_reports(self) -> None:
-        with self.cost.measured(Part.REPORTS):
+        with self.phase_costs.measured(WorkPhase.REPORTS):
             for proxy_id, line in enumerate(self._reports):
                 message = decode(line)
                 assert isinstance(message, m.UsageReport)
@@ -223,28 +235,28 @@
         self._runtime.add_events(self._now_s, *results)
 
     def _receive_checkpoints(self) -> None:
-        arrived = [pending for pending in self._pending_checkpoints if pending[0] <= self._now_s]
+        arrived_checkpoints = [pending for pending in self._pending_checkpoints if pending[0] <= self._now_s]
         self._pending_checkpoints = [
             pending for pending in self._pending_checkpoints if pending[0] > self._now_s
         ]
         events = [
             CheckpointAcknowledged(proxy_id, checkpoint_id, CHANNEL_DELAY_S)
-            for _, proxy_id, checkpoint_id in arrived
+            for _, proxy_id, checkpoint_id in arrived_checkpoints
         ]
         self._runtime.add_events(self._now_s, *events)
 
     def _run_round(self) -> None:
-        with self.cost.measured(Part.DECISIONS):
+        with self.phase_costs.measured(WorkPhase.DECISIONS):
             effects = self._runtime.tick(self._now_s)
         if effects is None:
             return
         for proxy_id, update in effects.proxy_updates:
             self.channel.enqueue(proxy_id, update)
-        decides = any(isinstance(action, SetWeight | SetWithdrawn) for action in effects.actions)
-        self.deciding_rounds += decides
+        has_decision = any(isinstance(action, SetWeight | SetWithdrawn) for action in effects.actions)
+        self.deciding_rounds += has_decision
 
     def _send_updates(self) -> None:
-        with self.cost.measured(Part.UPDATES):
+        with self.phase_costs.measured(WorkPhase.UPDATES):
             sent, _ = self.channel.dequeue(self._now_s)
             for proxy_id, update in sent:
                 encode(update)
@@ -254,17 +266,17 @@
 
 
 def table_row(slice_count: int, proxy_count: int, channel_width: float, duration_s: int) -> str:
-    """Measure one size; returns its row of the table."""
+    """Measure one deployment size and return its table row."""
     load = AssignerLoad(slice_count, proxy_count, channel_width)
     load.run(duration_s)
-    costs = [seconds / duration_s for seconds in load.cost.seconds.values()]
+    cores_by_phase = [seconds / duration_s for seconds in load.phase_costs.seconds.values()]
     cells = [
         str(slice_count),
         str(proxy_count),
         f"x{channel_width:.1f}",
-        *(f"{cost:.3f}" for cost in costs),
-        f"{sum(costs):.2f}",
-        f"{load.cost.longest_round_s:.3f}",
+        *(f"{cores:.3f}" for cores in cores_by_phase),
+        f"{sum(cores_by_phase):.2f}",
+        f"{load.phase_costs.longest_round_s:.3f}",
         f"{load.channel.max_queued_entries:.0f}",
         str(load.deciding_rounds),
     ]
@@ -275,10 +287,10 @@
 @click.option("--seconds", default=9, type=click.IntRange(3, 120))
 @click.option("--table", default="")
 def main(seconds: int, table: str) -> None:
-    """Print a row for each size and channel, and write the table to a file."""
+    """Print a row for each size and channel width, and write the table to a file."""
     lines = [f"| {' | '.join(HEADINGS)} |", "| " + " | ".join(["---"] * len(HEADINGS)) + " |"]
-    for slice_count, proxy_count in SIZES:
-        for width in sorted({1.0, max(1.0, proxy_count / PROXIES_OF_ORDINARY_CHANNEL)}):
+    for slice_count, proxy_count in DEPLOYMENT_SIZES:
+        for width in sorted({1.0, max(1.0, proxy_count / PROXIES_PER_CHANNEL_WIDTH)}):
             lines.append(table_row(slice_count, proxy_count, width, seconds))
             click.echo(lines[-1])
     if table:
--- a/benchmarks/bench_servers.py
+++ b/benchmarks/bench_servers.py
@@ -1,9 +1,9 @@
-"""Servers and a byte relay beside which the proxy is measured, as processes of their own.
+"""Servers and a byte relay for the proxy benchmarks, each in a process of its own.
 
     python -m benchmarks.bench_servers serve [--lines PORT,...] [--http PORT,...]
     python -m benchmarks.bench_servers relay PORT TARGET
 
-Both print "ready" when they listen on the loopback, and run until they are killed.
+Both commands print "ready" once they listen on the loopback interface, and run until they are killed.
 """
 
 from __future__ import annotations
@@ -19,9 +19,10 @@
 from puffintide.protocol.codec import encode
 
 MAX_PENDING_CONNECTIONS = 500
-ATTEMPT_PREFIX = b'{"t":"try","id":'  # messages are recognised by their first bytes, to cost little
+# Messages are recognised by their first bytes, which costs less than decoding them.
+ATTEMPT_PREFIX = b'{"t":"try","id":'
 HELLO_PREFIX = b'{"t":"hello"'
-COUNT_REQUEST = b'{"t":"count"'  # not of the protocol: asks for the number of attempts so far
+COUNT_REQUEST = b'{"t":"count"'  # Not part of the protocol: requests the number of attempts so far.
 PING_PREFIX = b'{"t":"ping"'
 HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
 
@@ -29,26 +30,26 @@
 
 
 class LineServer(Protocol):
-    """Welcomes a peer, answers each attempt at once and counts it."""
+    """A server connection that answers each attempt immediately and counts it."""
 
     transport: Any
     factory: Any
 
     def connectionMade(self) -> None:
-        """Send small writes at once."""
+        """Disable Nagle's algorithm, so that small writes are sent immediately."""
         self.transport.setTcpNoDelay(True)
         self.incomplete = b""
 
     def dataReceived(self, data: bytes) -> None:
-        """Answer all complete lines with one write."""
+        """Answer all complete lines in one write."""
         *lines, self.incomplete = (self.incomplete + data).split(b"\n")
         self.transport.write(b"".join(self._response(line) for line in lines))
 
     def _response(self, line: bytes) -> bytes:
         if line.startswith(ATTEMPT_PREFIX):
             self.factory.attempt_count += 1
-            start = len(ATTEMPT_PREFIX)
-            return b'{"t":"answer","id":' + line[start : line.index(b",", start)] + b',"status":0}\n'
+            id_start = len(ATTEMPT_PREFIX)
+            return b'{"t":"answer","id":' + line[id_start : line.index(b",", id_start)] + b',"status":0}\n'
         if line.startswith(HELLO_PREFIX):
             return encode(m.Welcome(m.PROTOCOL_VERSION, "server", 0)) + b"\n"
         if line.startswith(COUNT_REQUEST):
@@ -59,10 +60,14 @@
 
 
 class HttpServer(LineServer):
-    """Answers each head at once, a body along with its request; a peer that begins with "{" sends lines."""
+    """A server connection that answers each HTTP request head immediately.
+
+    Bodies are not parsed: the bytes after a head count as part of the next head. A peer whose first byte is
+    "{" speaks the line protocol instead.
+    """
 
     def dataReceived(self, data: bytes) -> None:
-        """Answer all complete heads."""
+        """Answer all complete request heads in one write."""
         if (self.incomplete or data)[:1] == b"{":
             super().dataReceived(data)
             return
@@ -71,7 +76,7 @@
 
 
 class LineServerFactory(Factory):
-    """The servers of one port."""
+    """A factory of line server connections on one port, with their total number of attempts."""
 
     protocol = LineServer
     noisy = False
@@ -79,7 +84,7 @@
 
 
 class HttpServerFactory(LineServerFactory):
-    """The same for HTTP."""
+    """A factory of HTTP server connections on one port."""
 
     protocol = HttpServer
 
@@ -88,12 +93,12 @@
     reactor.listenTCP(port, factory, MAX_PENDING_CONNECTIONS, "127.0.0.1")
 
 
-def _run() -> None:
+def _run_reactor() -> None:
     print("ready", flush=True)
     reactor.run()
 
 
-def _ports(text: str) -> list[int]:
+def _parse_ports(text: str) -> list[int]:
     return [int(port) for port in text.split(",") if port]
 
 
@@ -106,21 +111,21 @@
 @click.option("--lines", default="", help="Ports for the program's own protocol.")
 @click.option("--http", default="", help="Ports for HTTP/1.1.")
 def serve(lines: str, http: str) -> None:
-    """Run servers that answer at once."""
-    for port in _ports(http):
+    """Run servers that answer immediately."""
+    for port in _parse_ports(http):
         _listen(port, HttpServerFactory())
-    for port in _ports(lines):
+    for port in _parse_ports(lines):
         _listen(port, LineServerFactory())
-    _run()
+    _run_reactor()
 
 
 @main.command()
 @click.argument("port", type=int)
 @click.argument("target", type=int)
 def relay(port: int, target: int) -> None:
-    """Forward bytes both ways and nothing else, with Twisted's own port forwarder."""
+    """Forward bytes in both directions with Twisted's port forwarder."""
     _listen(port, ProxyFactory("127.0.0.1", target))
-    _run()
+    _run_reactor()
 
 
 if __name__ == "__main__":
--- a/benchmarks/day_figures.py
+++ b/benchmarks/day_figures.py
@@ -1,4 +1,4 @@
-"""Figures of a scenario that was played, from its records and logs: drains, updates, processor time, memory.
+"""Computes figures of a played scenario from its records and logs: drains, updates, processor time, memory.
 
 python -m benchmarks.day_figures out/full-size [--table FILE]
 """
@@ -20,21 +20,21 @@
 from puffintide.protocol import messages as m
 from puffintide.scenarios.results import ScenarioResult, evaluate, quantile
 
-STATS_INTERVAL_S = 5.0  # between the "stats" rows of an assigner's log
+STATS_INTERVAL_S = 5.0  # Interval between the "stats" rows of an assigner's log.
 STATS_ROWS_PER_MINUTE = 12
 MIN_STATS_ROWS = 3
 KB_PER_MB = 1024
 
-UpdateKey = tuple[str, int]  # the network path and the batch of an update
+UpdateKey = tuple[str, int]  # Name of the network path and batch (or checkpoint id) of an update.
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateDelays:
-    """Seconds from an update to its application at all proxies, for each update that asked for acknowledgements.
+    """Seconds until all proxies have applied an update, for each update that requests acknowledgements.
 
     Attributes:
-        measured: up to the last proxy's acknowledgement.
-        predicted: by the cost of all its messages at the channel's rate, and the mean delay of the channel.
+        measured: Seconds until the last proxy acknowledged the update.
+        predicted: Seconds computed from the cost of all messages at the channel's rate, plus its mean delay.
     """
 
     measured: list[float]
@@ -45,14 +45,14 @@
 class _Update:
     messages: list[m.ProxyUpdate] = field(default_factory=list)
     pending_proxy_ids: set[int] = field(default_factory=set)
-    acknowledged_at_s: float | None = None  # by the last proxy that did so far
+    acknowledged_at_s: float | None = None  # Time of the latest acknowledgement so far.
 
 
 def update_delays(records: list[Record], entries_per_s: float, channel_delay_s: float) -> UpdateDelays:
-    """Work out the delays of all updates that every one of their proxies acknowledged."""
+    """Return the delays of the updates that all of their proxies acknowledged."""
     measured = []
     predicted = []
-    for update in _updates(records).values():
+    for update in _collect_updates(records).values():
         if update.pending_proxy_ids or update.acknowledged_at_s is None:
             continue
         cost = sum(message.channel_cost for message in update.messages)
@@ -61,8 +61,8 @@
     return UpdateDelays(measured, predicted)
 
 
-def _updates(records: list[Record]) -> dict[UpdateKey, _Update]:
-    """Delivered updates with a checkpoint, and their acknowledgements."""
+def _collect_updates(records: list[Record]) -> dict[UpdateKey, _Update]:
+    """Return the delivered updates that have a checkpoint, with their acknowledgements."""
     peers = peers_by_connection(records)
     updates: defaultdict[UpdateKey, _Update] = defaultdict(_Update)
     update_of_checkpoint: dict[UpdateKey, UpdateKey] = {}
@@ -107,7 +107,7 @@
     yield f"| score, worst 10 s | {service.score:.3f}, {service.worst_window_score:.3f} |"
     yield (
         f"| notice of a loss to the last request, p50/p99/max s (grace {drain_grace_s}) | "
-        f"{_quantiles(drains_s)}, {len(drains_s)} cases |"
+        f"{_format_quantiles(drains_s)}, {len(drains_s)} cases |"
     )
 
 
@@ -116,19 +116,19 @@
     predicted = sorted(delays.predicted)
     ratios = sorted(a / b for a, b in zip(delays.measured, delays.predicted, strict=True))
     yield (
-        f"| update to applied at all its proxies, p50/p99/max s | {_quantiles(measured)}, "
+        f"| update to applied at all its proxies, p50/p99/max s | {_format_quantiles(measured)}, "
         f"{len(measured)} updates |"
     )
     yield f"| the same as predicted, p50/max s | {quantile(predicted, 0.5):.2f} / {predicted[-1]:.2f} |"
     yield f"| measured over predicted, p50/p99 | {quantile(ratios, 0.5):.2f} / {quantile(ratios, 0.99):.2f} |"
 
 
-def _quantiles(ordered: list[float]) -> str:
-    return " / ".join(f"{quantile(ordered, q):.2f}" for q in (0.5, 0.99, 1))
+def _format_quantiles(ordered: list[float]) -> str:
+    return " / ".join(f"{quantile(ordered, fraction):.2f}" for fraction in (0.5, 0.99, 1))
 
 
 def _process_rows(folder: Path) -> Iterator[str]:
-    """Processor time and memory of each assigner whose log has enough rows."""
+    """Yield a row with the processor time and memory of each assigner whose log has enough rows."""
     for path in sorted(folder.glob("assigner-*.log")):
         rows: list[dict[str, Any]] = [json.loads(line) for line in path.read_text().splitlines()]
         stats = [row for row in rows if row["event"] == "stats"]
@@ -145,7 +145,7 @@
 
 
 def table_rows(folder: Path, config: Config) -> Iterator[str]:
-    """The rows of the table."""
+    """Yield all rows of the table."""
     delays = update_delays(_read_all_records(folder), config.channel.lines_per_s, config.net.order_late_s)
     result = evaluate(folder)
     yield from _rule_rows(result)
@@ -158,7 +158,7 @@
 @click.argument("folder")
 @click.option("--table", default="")
 def main(folder: str, table: str) -> None:
-    """Print the table, and write it to a file."""
+    """Print the table and write it to a file."""
     config = read_config(str(Path(folder) / "day.ini"), ("day", "fleet", "load"))
     lines = ["| figure | value |", "| --- | --- |", *table_rows(Path(folder), config)]
     text = "\n".join(lines)
--- a/benchmarks/fuzz_fronts.py
+++ b/benchmarks/fuzz_fronts.py
@@ -1,12 +1,15 @@
-"""Fuzzes a real proxy process over its own protocol and HTTP/1.1, from seeds, for a given time.
+"""Fuzzes a proxy process over the line protocol and HTTP/1.1 for a given time, reproducibly by seed.
 
     python -m benchmarks.fuzz_fronts [--seconds 300] [--seed 1] [--jobs 6] [--table FILE]
 
-Each job makes cases from its own seed: random bytes; valid heads, chunked bodies and lines with bytes changed, cut,
-repeated or moved; sent at once or byte by byte, cut off in the middle or left open. After each tenth case a valid
-request on a new connection must be answered. A crash (the process has ended), a hang (a valid request without a
-response for 5 s) or growth (memory that rises in the last half, or open files that remain) fails the run; the case
-before it is printed with its seed and number.
+Each job generates cases from its own seed: random bytes, or valid heads, chunked bodies and lines in which
+bytes are changed, removed, repeated or moved. A case is sent at once or byte by byte, and its connection is
+half-closed, read to its end or closed early. After every tenth case a valid request on a new connection must
+be answered.
+
+The run fails on a crash (the process has ended), a hang (no response to a valid request for 5 s) or a leak
+(memory rises in the last half of the run, or files stay open). A failure is printed with the case that
+preceded it, its seed and its number.
 """
 
 from __future__ import annotations
@@ -27,13 +30,13 @@
 
 import click
 
-from benchmarks.proxy_processes import http_server, proxy_file
+from benchmarks.proxy_processes import http_server, write_proxy_config
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
 from puffintide.scenarios.place import Ports
 
 HELLO = encode(m.Hello(m.PROTOCOL_VERSION, "client", 1)) + b"\n"
-HTTP_SEEDS = (
+HTTP_CORPUS = (
     b"GET /a?b=c HTTP/1.1\r\nhost: x\r\nx-puffintide-key: 7\r\nx-puffintide-deadline-ms: 900\r\n\r\n",
     b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 11\r\nidempotency-key: k\r\n\r\nhello world",
     b"POST /a HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -41,7 +44,7 @@
     b"GET /a HTTP/1.1\r\nhost: x\r\nconnection: close\r\nexpect: 100-continue\r\ncontent-length: 0\r\n\r\n",
     b"HEAD / HTTP/1.0\r\n\r\nGET / HTTP/1.1\r\nhost: y\r\n\r\n",
 )
-LINE_SEEDS = (
+LINE_CORPUS = (
     HELLO
     + encode(m.ClientRequest(1, 0, 5, 2.0))
     + b"\n"
@@ -56,18 +59,18 @@
 INSERTED_BYTES = (b"\r\n", b"\n", b"\0", b"\xff\xfe", b"{", b'"', b": ", b"\r\n\r\n")
 INSERTED_NUMBERS = (-1, 0, 2**31, 2**63, 2**64, 10**30, 1e308, "NaN")
 MAX_RANDOM_BYTES = 3000
-MAX_PIECE_BYTES = 40
-MAX_SINGLE_BYTES = 60  # that are sent one by one
+MAX_CHUNK_BYTES = 40
+MAX_BYTEWISE_BYTES = 60  # Maximum number of bytes of a case that is sent byte by byte.
 RECEIVE_BYTES = 65536
-VALID_REQUEST_PERIOD = 10  # cases
+CASES_PER_VALID_REQUEST = 10
 CONNECT_TIMEOUT_S = 5
 RESPONSE_TIMEOUT_S = 5
-CASE_TIMEOUT_S = 0.3  # of each operation on the connection of a case
-SAMPLES = 10  # of memory and open files, within a run
+CASE_TIMEOUT_S = 0.3  # Timeout of each socket operation of a case.
+SAMPLE_COUNT = 10  # Number of samples of memory and open files in a run.
 JOIN_TIMEOUT_S = 15
-IDLE_S = 3  # after the last case, until open files are counted
-MAX_GROWTH = 1.1  # of memory in the last half of the run
-MAX_FILES_AT_END = 60
+SETTLE_S = 3  # Time between the last case and the count of open files.
+MAX_MEMORY_RATIO = 1.1  # Maximum memory at the end of the run, relative to the middle of the run.
+MAX_OPEN_FILES_AT_END = 60
 KB_PER_PAGE = 4
 KB_PER_MB = 1024
 MAX_PRINTED_CHARACTERS = 3000
@@ -81,14 +84,14 @@
 
 
 class InvalidResponseError(Exception):
-    """A valid request was not answered as it should be."""
+    """A valid request did not get the expected response."""
 
 
-def fuzz(rng: random.Random, seeds: tuple[bytes, ...]) -> bytes:
-    """A case: random bytes, or valid messages after some mutations."""
+def make_case(rng: random.Random, corpus: tuple[bytes, ...]) -> bytes:
+    """Return a case: random bytes, or valid messages of the corpus after some mutations."""
     if rng.random() < 0.1:
         return rng.randbytes(rng.randint(1, MAX_RANDOM_BYTES))
-    data = bytearray(b"".join(rng.choice(seeds) for _ in range(rng.choice((1, 1, 2, 5)))))
+    data = bytearray(b"".join(rng.choice(corpus) for _ in range(rng.choice((1, 1, 2, 5)))))
     for _ in range(rng.randint(0, 6)):
         _mutate(rng, data)
         if not data:
@@ -97,30 +100,30 @@
 
 
 def _mutate(rng: random.Random, data: bytearray) -> None:
-    """Change, remove, repeat, move or insert bytes at a random place."""
-    at = rng.randrange(len(data) + 1)
-    piece = bytes(data[at : at + rng.randint(1, MAX_PIECE_BYTES)])
+    """Change, remove, repeat, move or insert bytes at a random offset."""
+    offset = rng.randrange(len(data) + 1)
+    chunk = bytes(data[offset : offset + rng.randint(1, MAX_CHUNK_BYTES)])
     match rng.randrange(6):
         case 0:
-            data[at : at + 1] = bytes([rng.randrange(256)])
+            data[offset : offset + 1] = bytes([rng.randrange(256)])
         case 1:
-            del data[at : at + len(piece)]
+            del data[offset : offset + len(chunk)]
         case 2:
-            data[at:at] = piece * rng.choice((1, 2, 50))
+            data[offset:offset] = chunk * rng.choice((1, 2, 50))
         case 3:
-            data[rng.randrange(len(data) + 1) : 0] = piece
+            data[rng.randrange(len(data) + 1) : 0] = chunk
         case 4:
-            data[at:at] = rng.choice(INSERTED_BYTES)
+            data[offset:offset] = rng.choice(INSERTED_BYTES)
         case 5:
-            data[at:at] = str(rng.choice(INSERTED_NUMBERS)).encode()
+            data[offset:offset] = str(rng.choice(INSERTED_NUMBERS)).encode()
 
 
-class Job(threading.Thread):
-    """Sends cases until a time, or until one fails.
+class FuzzJob(threading.Thread):
+    """Sends cases until a given time or the first failure.
 
     Attributes:
-        cases: the number of cases sent, by interface.
-        failure: what failed, with the seed and the number of the case; empty if nothing has.
+        cases: Number of cases sent, by interface.
+        failure: Description of the failure with the seed and the number of the case; empty without a failure.
     """
 
     def __init__(self, seed: int, ports: dict[Interface, int], until_s: float) -> None:
@@ -133,15 +136,15 @@
         self._until_s = until_s
 
     def run(self) -> None:
-        """Send the cases."""
+        """Send cases until the end time or the first failure."""
         number = 0
         while time.monotonic() < self._until_s and not self.failure:
             number += 1
             interface = self._rng.choice(tuple(Interface))
-            data = fuzz(self._rng, HTTP_SEEDS if interface is Interface.HTTP else LINE_SEEDS)
+            data = make_case(self._rng, HTTP_CORPUS if interface is Interface.HTTP else LINE_CORPUS)
             try:
                 self._send_case(interface, data)
-                if number % VALID_REQUEST_PERIOD == 0:
+                if number % CASES_PER_VALID_REQUEST == 0:
                     self._check_valid_request(Interface.HTTP, VALID_HTTP, b" 200 ")
                     self._check_valid_request(Interface.LINES, VALID_LINES, b'"id":77,"status":0')
             except (OSError, InvalidResponseError) as error:
@@ -155,14 +158,14 @@
             connection.settimeout(CASE_TIMEOUT_S)
             with contextlib.suppress(OSError):
                 if self._rng.random() < 0.1:
-                    for index in range(min(MAX_SINGLE_BYTES, len(data))):
+                    for index in range(min(MAX_BYTEWISE_BYTES, len(data))):
                         connection.sendall(data[index : index + 1])
                 else:
                     connection.sendall(data)
-                ending = self._rng.random()
-                if ending < 0.5:
+                close_choice = self._rng.random()
+                if close_choice < 0.5:
                     connection.shutdown(socket.SHUT_WR)
-                if ending < 0.9:
+                if close_choice < 0.9:
                     while connection.recv(RECEIVE_BYTES):
                         pass
 
@@ -174,7 +177,9 @@
             while expected not in response:
                 data = connection.recv(RECEIVE_BYTES)
                 if not data:
-                    raise InvalidResponseError(f"a valid request over {interface} got {response[:200]!r}")
+                    raise InvalidResponseError(
+                        f"valid request over {interface}: connection closed after {response[:200]!r}"
+                    )
                 response += data
 
     def _connect(self, interface: Interface) -> socket.socket:
@@ -183,59 +188,72 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """Of a process."""
+    """Memory and open files of a process."""
 
     memory_kb: int
     open_files: int
 
     @classmethod
     def of_process(cls, pid: int) -> ResourceUsage:
-        """Read the usage of a process that runs."""
+        """Read the usage of a running process from /proc."""
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return cls(pages * KB_PER_PAGE, len(os.listdir(f"/proc/{pid}/fd")))
 
-    def cells(self) -> str:
-        """Two cells of the table: MiB and open files."""
+    def table_cells(self) -> str:
+        """Return two table cells: memory in MiB and open files."""
         return f"{self.memory_kb / KB_PER_MB:.1f} | {self.open_files}"
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """Of a run without a crash or a hang."""
+class FuzzResult:
+    """Result of a run without a crash or a hang.
+
+    Attributes:
+        rows: Table rows of the samples.
+        has_leak: Whether memory or open files exceeded their limits.
+        tracebacks: Number of tracebacks in the proxy's log.
+    """
 
     rows: list[str]
-    has_grown: bool
-    tracebacks: int  # in the proxy's log
+    has_leak: bool
+    tracebacks: int
 
 
 def run_jobs(
     proxy: subprocess.Popen[str], log: TextIO, ports: dict[Interface, int], seeds: range, duration_s: float
-) -> Outcome:
-    """Fuzz a proxy that runs; the process exits with 1 at a crash or a hang."""
+) -> FuzzResult:
+    """Fuzz a running proxy and return the result.
+
+    Raises:
+        SystemExit: The proxy crashed or hung.
+    """
     started_at_s = time.monotonic()
-    jobs = [Job(seed, ports, started_at_s + duration_s) for seed in seeds]
+    jobs = [FuzzJob(seed, ports, started_at_s + duration_s) for seed in seeds]
     for job in jobs:
         job.start()
     rows = []
     usage = []
-    for sample in range(1, SAMPLES + 1):
-        elapsed_s = duration_s * sample / SAMPLES
+    for sample in range(1, SAMPLE_COUNT + 1):
+        elapsed_s = duration_s * sample / SAMPLE_COUNT
         time.sleep(max(0.0, started_at_s + elapsed_s - time.monotonic()))
         _exit_if_failed(proxy, jobs, log)
         usage.append(ResourceUsage.of_process(proxy.pid))
         cases = " | ".join(str(sum(job.cases[interface] for job in jobs)) for interface in Interface)
-        rows.append(f"| after {elapsed_s:.0f} s | {cases} | {usage[-1].cells()} |")
+        rows.append(f"| after {elapsed_s:.0f} s | {cases} | {usage[-1].table_cells()} |")
     for job in jobs:
         job.join(JOIN_TIMEOUT_S)
-    time.sleep(IDLE_S)
-    at_end = ResourceUsage.of_process(proxy.pid)
-    rows.append(f"| {IDLE_S} s after the end | | | {at_end.cells()} |")
-    half = usage[SAMPLES // 2 - 1]
-    has_grown = usage[-1].memory_kb > half.memory_kb * MAX_GROWTH or at_end.open_files > MAX_FILES_AT_END
-    return Outcome(rows, has_grown, _print_tracebacks(log))
-
-
-def _exit_if_failed(proxy: subprocess.Popen[str], jobs: list[Job], log: TextIO) -> None:
+    time.sleep(SETTLE_S)
+    usage_at_end = ResourceUsage.of_process(proxy.pid)
+    rows.append(f"| {SETTLE_S} s after the end | | | {usage_at_end.table_cells()} |")
+    usage_at_half = usage[SAMPLE_COUNT // 2 - 1]
+    has_leak = (
+        usage[-1].memory_kb > usage_at_half.memory_kb * MAX_MEMORY_RATIO
+        or usage_at_end.open_files > MAX_OPEN_FILES_AT_END
+    )
+    return FuzzResult(rows, has_leak, _print_tracebacks(log))
+
+
+def _exit_if_failed(proxy: subprocess.Popen[str], jobs: list[FuzzJob], log: TextIO) -> None:
     failures = [job.failure for job in jobs if job.failure]
     if proxy.poll() is None and not failures:
         return
@@ -245,7 +263,7 @@
 
 
 def _print_tracebacks(log: TextIO) -> int:
-    """Print the first of a log's tracebacks; returns their number."""
+    """Print the first traceback of a log and return the number of tracebacks."""
     log.seek(0)
     text = log.read()
     if "Traceback" in text:
@@ -259,12 +277,12 @@
 @click.option("--jobs", default=6)
 @click.option("--table", default="")
 def main(seconds: float, seed: int, jobs: int, table: str) -> None:
-    """Run the jobs, print the table, and exit with 1 if the proxy failed, grew or logged a traceback."""
+    """Run the jobs, print the table, and exit with 1 if the proxy failed, leaked or logged a traceback."""
     ports = Ports(os.getpid() * 37)
     server_port, lines_port, http_port, unused_port = (ports.take() for _ in range(4))
     with tempfile.TemporaryDirectory() as folder, http_server([server_port]):
         options = {"http": f"127.0.0.1:{http_port}", "head_s": "0.5", "idle_s": "1"}
-        config = proxy_file(Path(folder), [server_port], lines_port, unused_port, **options)
+        config = write_proxy_config(Path(folder), [server_port], lines_port, unused_port, **options)
         command = [sys.executable, "-m", "puffintide", "proxy", "--config", str(config)]
         with (Path(folder) / "errors").open("w+") as log:
             proxy = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log, text=True)
@@ -272,21 +290,21 @@
                 assert proxy.stdout is not None
                 assert proxy.stdout.readline() == "ready\n"
                 interfaces = {Interface.HTTP: http_port, Interface.LINES: lines_port}
-                outcome = run_jobs(proxy, log, interfaces, range(seed, seed + jobs), seconds)
+                result = run_jobs(proxy, log, interfaces, range(seed, seed + jobs), seconds)
             finally:
                 proxy.kill()
                 proxy.wait()
     rows = [
         f"| seeds {seed} to {seed + jobs - 1} | cases over HTTP | over lines | MiB | files |",
         "| --- | --- | --- | --- | --- |",
-        *outcome.rows,
+        *result.rows,
         "",
-        f"Unhandled errors in its log: {outcome.tracebacks}.",
+        f"Unhandled errors in its log: {result.tracebacks}.",
     ]
     click.echo("\n".join(rows))
     if table:
         Path(table).write_text("\n".join(rows) + "\n", encoding="utf-8")
-    sys.exit(1 if outcome.has_grown or outcome.tracebacks else 0)
+    sys.exit(1 if result.has_leak or result.tracebacks else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -1,11 +1,13 @@
-"""A client that sends requests as fast as it is answered, or at a fixed rate, and prints its figures.
+"""A client that sends requests in a closed loop or at a fixed rate, and prints throughput and latencies.
 
     python -m benchmarks.load_generator PORT TARGET COUNT RATE CONNECTIONS
 
-TARGET is "proxy" (requests of clients), "http" (HTTP/1.1), or anything else for attempts straight to a server. If
-RATE is 0, WINDOW requests are in flight over all connections, and one on each of those of HTTP. Otherwise requests
-are sent at so many a second on one connection; the latency of a request then runs from when it was due, so that a
-slow response hides nothing. Prints a JSON object: requests a second, bad responses, quantiles in microseconds.
+TARGET is "proxy" (client requests), "http" (HTTP/1.1) or any other word for attempts sent directly to a
+server. If RATE is 0, WINDOW requests are in flight over all connections together, but only one on each HTTP
+connection. Otherwise RATE requests per second are sent on one connection. The latency of a request then
+counts from its due time, so that a slow response does not hide the delay of the requests after it.
+
+The output is one JSON object: requests per second, bad responses, and latency quantiles in microseconds.
 """
 
 from __future__ import annotations
@@ -22,8 +24,8 @@
 from puffintide.protocol import messages as m
 from puffintide.protocol.codec import encode
 
-WINDOW = 64  # requests in flight
-MAX_RUN_S = 120
+WINDOW = 64  # Number of requests in flight over all connections.
+RUN_TIMEOUT_S = 120
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 US_PER_S = 1e6
@@ -39,43 +41,45 @@
 reactor: Any = twisted_reactor
 
 
-class Load:
-    """The requests of all connections.
+class LoadRun:
+    """The requests of all connections in one run of the load generator.
 
     Attributes:
-        sent: the number of requests sent.
-        started_at_s: when the first connection was ready; 0 before.
+        rate: Requests per second, or 0 for a closed loop.
+        window: Maximum number of requests in flight on one connection.
+        sent: Number of requests sent.
+        started_at_s: Time at which the first connection was ready; 0 before.
     """
 
     def __init__(self, target: str, count: int, rate: float, connections: int) -> None:
         self.rate = rate
-        self.window = WINDOW // connections  # of one connection
+        self.window = WINDOW // connections
         self.sent = 0
         self.started_at_s = 0.0
         self._target = target
         self._count = count
-        self._answered = 0
-        self._bad_responses = 0
+        self._response_count = 0
+        self._bad_response_count = 0
         self._is_finished = False
-        self._due_at_s: dict[int, float] = {}  # by request
+        self._due_at_s: dict[int, float] = {}  # Due times by request number.
         self._latencies_us = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     @property
     def remaining(self) -> int:
-        """How many requests are still to be sent."""
+        """Number of requests still to be sent."""
         return self._count - self.sent
 
     @property
     def next_due_at_s(self) -> float:
-        """When the next request is due, at a fixed rate."""
+        """Time at which the next request is due at a fixed rate."""
         return self.started_at_s + self.sent / self.rate
 
-    def connected(self) -> None:
-        """Begin, at the first call."""
+    def on_connected(self) -> None:
+        """Start the run when the first connection is ready; later connections change nothing."""
         self.started_at_s = self.started_at_s or time.monotonic()
 
     def next_request(self, due_at_s: float) -> bytes:
-        """Count one more request as sent; returns its bytes."""
+        """Count the next request as sent and return its bytes."""
         self.sent += 1
         number = self.sent
         self._due_at_s[number] = due_at_s
@@ -85,13 +89,16 @@
             return PROXY_REQUEST % (number, number)
         return SERVER_REQUEST % (number, number, number)
 
-    def answered(self, number: int, is_good: bool, now_s: float) -> bool:
-        """Record a response; returns whether it was the last one, and then prints the figures and stops."""
+    def record_response(self, number: int, is_good: bool, now_s: float) -> bool:
+        """Record a response and return whether it was the last one.
+
+        After the last response, the figures are printed and the reactor is stopped.
+        """
         latency_s = now_s - self._due_at_s.pop(number)
         self._latencies_us.record_value(max(1, int(latency_s * US_PER_S)))
-        self._bad_responses += not is_good
-        self._answered += 1
-        if self._answered < self._count:
+        self._bad_response_count += not is_good
+        self._response_count += 1
+        if self._response_count < self._count:
             return False
         self._finish()
         return True
@@ -101,41 +108,41 @@
             return
         self._is_finished = True
         elapsed_s = time.monotonic() - self.started_at_s
-        figures = {"rate": self._count / elapsed_s, "bad": self._bad_responses}
+        figures = {"rate": self._count / elapsed_s, "bad": self._bad_response_count}
         figures |= {f"p{q}": self._latencies_us.get_value_at_percentile(q) for q in QUANTILES}
         print(json.dumps(figures), flush=True)
         reactor.stop()
 
 
 class LineClient(Protocol):
-    """A connection with the program's own protocol."""
+    """A connection that speaks the line protocol."""
 
     transport: Any
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadRun) -> None:
         self._load = load
         self._incomplete = b""
-        self._is_welcome = False
+        self._is_welcomed = False
         self._in_flight = 0
 
     def connectionMade(self) -> None:
-        """Greet the peer."""
+        """Send the hello message."""
         self.transport.setTcpNoDelay(True)
         self.transport.write(encode(m.Hello(m.PROTOCOL_VERSION, "client", 0)) + b"\n")
 
     def dataReceived(self, data: bytes) -> None:
-        """Record responses, and send as many requests as the window allows."""
+        """Record responses and send as many requests as the window allows."""
         *lines, self._incomplete = (self._incomplete + data).split(b"\n")
         now_s = time.monotonic()
         for line in lines:
             self._line_received(line, now_s)
-        if self._is_welcome and not self._load.rate:
+        if self._is_welcomed and not self._load.rate:
             self._fill_window()
 
     def _line_received(self, line: bytes, now_s: float) -> None:
         if line.startswith(b'{"t":"welcome"'):
-            self._is_welcome = True
-            self._load.connected()
+            self._is_welcomed = True
+            self._load.on_connected()
             if self._load.rate:
                 self._send_due()
         elif line.startswith(b'{"t":"ping"'):
@@ -144,7 +151,7 @@
             start = line.index(b'"id":') + len(b'"id":')
             number = int(line[start : line.index(b",", start)])
             self._in_flight -= 1
-            self._load.answered(number, b'"status":0' in line, now_s)
+            self._load.record_response(number, b'"status":0' in line, now_s)
 
     def _fill_window(self) -> None:
         now_s = time.monotonic()
@@ -154,7 +161,7 @@
         self.transport.write(b"".join(requests))
 
     def _send_due(self) -> None:
-        """Send what is due at the fixed rate, and schedule the next."""
+        """Send the requests that are due at the fixed rate, and schedule the next."""
         now_s = time.monotonic()
         while self._load.remaining and self._load.next_due_at_s <= now_s:
             self.transport.write(self._load.next_request(self._load.next_due_at_s))
@@ -164,11 +171,11 @@
 
 
 class HttpClient(Protocol):
-    """A persistent connection with HTTP/1.1, one request in flight."""
+    """A persistent HTTP/1.1 connection with one request in flight."""
 
     transport: Any
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadRun) -> None:
         self._load = load
         self._incomplete = b""
         self._number = 0
@@ -176,17 +183,17 @@
     def connectionMade(self) -> None:
         """Send the first request."""
         self.transport.setTcpNoDelay(True)
-        self._load.connected()
+        self._load.on_connected()
         self._send()
 
     def dataReceived(self, data: bytes) -> None:
-        """Record the response, whose body is empty, and send the next request."""
+        """Record the response, which has an empty body, and send the next request."""
         self._incomplete += data
         if b"\r\n\r\n" not in self._incomplete:
             return
         is_good = self._incomplete.startswith(HTTP_OK_PREFIX)
         self._incomplete = b""
-        if not self._load.answered(self._number, is_good, time.monotonic()):
+        if not self._load.record_response(self._number, is_good, time.monotonic()):
             self._send()
 
     def _send(self) -> None:
@@ -196,16 +203,16 @@
 
 
 class LoadFactory(ClientFactory):
-    """The connections of a load."""
+    """A factory of the connections that share one run."""
 
     noisy = False
 
-    def __init__(self, load: Load, protocol: type[LineClient | HttpClient]) -> None:
+    def __init__(self, load: LoadRun, protocol: type[LineClient | HttpClient]) -> None:
         self._load = load
         self._protocol = protocol
 
     def buildProtocol(self, addr: Any) -> Protocol:  # noqa: ARG002
-        """A protocol that shares the load."""
+        """Return a protocol that shares the run."""
         return self._protocol(self._load)
 
 
@@ -217,11 +224,11 @@
 @click.argument("connections", type=int)
 def main(port: int, target: str, count: int, rate: float, connections: int) -> None:
     """Send the requests and print the figures."""
-    load = Load(target, count, rate, connections)
+    load = LoadRun(target, count, rate, connections)
     protocol = HttpClient if target == "http" else LineClient
     for _ in range(connections):
         reactor.connectTCP("127.0.0.1", port, LoadFactory(load, protocol))
-    reactor.callLater(MAX_RUN_S, reactor.stop)
+    reactor.callLater(RUN_TIMEOUT_S, reactor.stop)
     reactor.run()
 
 
--- a/benchmarks/proxy_churn.py
+++ b/benchmarks/proxy_churn.py
@@ -1,11 +1,12 @@
-"""The proxy while its tables change: whether its choices match the weights, and what the changes cost.
+"""Measures whether a proxy follows the weights of changing tables, and what the changes cost.
 
     python -m benchmarks.proxy_churn [--requests 100000] [--rate 10] [--slices 500] [--table FILE]
 
-A scripted assigner sends a real proxy of 500 slices new weights for all of them ten times a second, one message
-each, alternating between (1, 2, 3, 4) and (4, 3, 2, 1), with 64 requests in flight all the time. The proxy
-acknowledges each update when it is in force (a checkpoint), so that the time under either set of weights is
-known, and with it what each server should receive. The same requests are sent without changes in the same run.
+Ten times per second, a scripted assigner sends new weights for all 500 slices to a proxy process, in one
+message each time. The weights alternate between (1, 2, 3, 4) and (4, 3, 2, 1), and 64 requests are always in
+flight. The proxy acknowledges the checkpoint of each update once the update is applied. The time under each
+set of weights determines the expected number of requests of each server. For comparison, the same run sends
+the same number of requests without changes.
 """
 
 from __future__ import annotations
@@ -40,49 +41,49 @@
 
 MAX_CHECKPOINT_IDS = 65536
 FENCING_TOKEN = 1
-CONNECT_POLL_S = 0.05
-SETTLE_S = 0.5  # after a change that is not measured
+CONNECT_POLL_INTERVAL_S = 0.05
+SETTLE_S = 0.5  # Wait before a measurement, so that earlier changes are applied.
 US_PER_MS = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """An update that the proxy has applied."""
+class AppliedUpdate:
+    """An update that the proxy has applied, with the time of its acknowledgement."""
 
     at_s: float
     batch: int
 
 
-def weights_of(batch: int) -> tuple[float, ...]:
-    """The weights that a batch publishes."""
+def batch_weights(batch: int) -> tuple[float, ...]:
+    """Return the weights of the servers in a batch: reversed in batches with an even number."""
     return WEIGHTS if batch % 2 else WEIGHTS[::-1]
 
 
 class ControlPlane:
-    """A store and an assigner for one proxy, on threads that end with the process.
+    """A scripted store and assigner for one proxy, on daemon threads.
 
     Attributes:
-        applied: updates that the proxy has acknowledged.
+        applied: Updates that the proxy has acknowledged, in order.
     """
 
     def __init__(self, servers: list[int], slice_count: int, store_port: int, assigner_port: int) -> None:
-        self.applied: list[Applied] = []
+        self.applied: list[AppliedUpdate] = []
         self._servers = servers
         self._slice_count = slice_count
         self._batch = 1
         self._proxy: socket.socket | None = None
         self._lock = threading.Lock()
-        self._serve(store_port, self._store_message_received)
-        self._serve(assigner_port, self._assigner_message_received)
+        self._start_listener(store_port, self._store_message_received)
+        self._start_listener(assigner_port, self._assigner_message_received)
 
     def wait_for_proxy(self) -> None:
         """Wait until the proxy has connected to the assigner."""
         while self._proxy is None:
-            time.sleep(CONNECT_POLL_S)
+            time.sleep(CONNECT_POLL_INTERVAL_S)
 
     def reset(self) -> None:
-        """Forget what was applied and publish the first set of weights."""
-        self.applied = [Applied(time.monotonic(), 1)]
+        """Clear the list of applied updates and publish the first set of weights."""
+        self.applied = [AppliedUpdate(time.monotonic(), 1)]
         self._publish(self._batch + self._batch % 2 + 1)
 
     def publish_next(self) -> None:
@@ -90,8 +91,8 @@
         self._publish(self._batch + 1)
 
     @contextlib.contextmanager
-    def publishing(self, rate: float) -> Iterator[None]:
-        """Within the block publish so many updates a second, or none if the rate is 0."""
+    def publish_periodically(self, rate: float) -> Iterator[None]:
+        """Publish updates at a rate per second during the block, or none if the rate is 0."""
         if not rate:
             yield
             return
@@ -114,13 +115,15 @@
         entries = [
             m.WeightEntry(slice_id, server_id, weight, FENCING_TOKEN)
             for slice_id in range(self._slice_count)
-            for server_id, weight in enumerate(weights_of(batch))
+            for server_id, weight in enumerate(batch_weights(batch))
         ]
         checkpoint_id = batch % MAX_CHECKPOINT_IDS
         assert self._proxy is not None
         self._send(self._proxy, m.ProxyUpdate(batch, 0.0, len(entries), entries, checkpoint_id=checkpoint_id))
 
-    def _serve(self, port: int, message_received: Callable[[socket.socket, m.AnyMessage], None]) -> None:
+    def _start_listener(
+        self, port: int, message_received: Callable[[socket.socket, m.AnyMessage], None]
+    ) -> None:
         listener = socket.create_server(("127.0.0.1", port))
 
         def read(connection: socket.socket) -> None:
@@ -166,35 +169,37 @@
                 self._send(connection, m.Welcome(m.PROTOCOL_VERSION, "assigner", 0))
                 self._proxy = connection
             case m.CheckpointReply():
-                self.applied.append(Applied(time.monotonic(), message.checkpoint_id))
+                self.applied.append(AppliedUpdate(time.monotonic(), message.checkpoint_id))
 
 
-def expected_fractions(applied: list[Applied], started_at_s: float, ended_at_s: float) -> list[float]:
-    """The fraction of requests that each server should receive, by the time under each set of weights."""
+def expected_fractions(applied: list[AppliedUpdate], started_at_s: float, ended_at_s: float) -> list[float]:
+    """Return the expected fraction of requests per server, from the time under each set of weights."""
     changes_s = [update.at_s for update in applied if started_at_s < update.at_s < ended_at_s]
     bounds_s = [started_at_s, *changes_s, ended_at_s]
     totals = [0.0] * len(WEIGHTS)
-    for begin_s, end_s in itertools.pairwise(bounds_s):
-        batch = next((update.batch for update in reversed(applied) if update.at_s <= begin_s), 1)
-        for server_id, weight in enumerate(weights_of(batch)):
-            totals[server_id] += (end_s - begin_s) * weight
+    for interval_start_s, interval_end_s in itertools.pairwise(bounds_s):
+        batch = next((update.batch for update in reversed(applied) if update.at_s <= interval_start_s), 1)
+        for server_id, weight in enumerate(batch_weights(batch)):
+            totals[server_id] += (interval_end_s - interval_start_s) * weight
     return [total / sum(totals) for total in totals]
 
 
 def table_row(
     control_plane: ControlPlane, servers: list[int], proxy_port: int, requests: int, rate: float
 ) -> str:
-    """Send requests while so many updates a second are published; returns the row of the table."""
+    """Send requests while updates are published at a rate per second, and return the table row."""
     control_plane.reset()
     time.sleep(SETTLE_S)
     counts_before = attempt_counts(servers)
     started_at_s = time.monotonic()
-    with control_plane.publishing(rate):
+    with control_plane.publish_periodically(rate):
         figures = run_client(proxy_port, "proxy", requests, 0, WINDOW)
         ended_at_s = time.monotonic()
     counts_after = attempt_counts(servers)
     received = [after - before for before, after in zip(counts_before, counts_after, strict=True)]
-    assert sum(received) == requests, f"{sum(received)} of {requests} requests reached a server"
+    assert sum(received) == requests, (
+        f"count of attempts: {sum(received)} of {requests} requests reached a server"
+    )
     expected = expected_fractions(control_plane.applied, started_at_s, ended_at_s)
     deviation = max(
         abs(count / (requests * fraction) - 1) for count, fraction in zip(received, expected, strict=True)
@@ -223,7 +228,7 @@
 @click.option("--slices", default=500)
 @click.option("--table", default="")
 def main(requests: int, rate: float, slices: int, table: str) -> None:
-    """Print the table, and write it to a file."""
+    """Print the table and write it to a file."""
     ports = Ports(os.getpid() * 23)
     servers = [ports.take() for _ in WEIGHTS]
     proxy_port, store_port, assigner_port = (ports.take() for _ in range(3))
--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -1,11 +1,12 @@
-"""What the proxy costs: the same requests straight to a server, through a bare byte relay, and through the proxy.
+"""Compares requests sent directly to a server, through a byte relay and through the proxy.
 
     python -m benchmarks.proxy_cost [--requests 100000] [--rounds 3] [--table FILE] [--plot FILE]
 
-One run measures all three beside each other, round after round, and gives medians; only ratios within a run mean
-anything on a shared machine. First the throughput with 64 requests in flight, on as many connections and on one
-(where a relay forwards many requests with one write), then the latency at fixed rates. Servers answer at once. The
-choices of the proxy are checked by what each server got of all requests, beside the published weights.
+One run measures the three paths in turn for several rounds and prints medians. On a shared machine only
+ratios within one run are comparable. Throughput is measured with 64 requests in flight, on 64 connections and
+on a single one, where a relay forwards many requests in one write. Latency is measured at fixed rates. The
+servers answer immediately. The distribution of the proxy's requests over the servers is compared with the
+published weights.
 """
 
 from __future__ import annotations
@@ -26,27 +27,27 @@
     WEIGHTS,
     attempt_counts,
     kill_all,
-    proxy_file,
     run_client,
     start_http_servers,
     start_line_servers,
     start_process,
     start_relay,
+    write_proxy_config,
 )
 from puffintide.scenarios.place import Ports
 
-PROCESS_COUNTS = (1, 2, 3, 4)  # of proxies on one port
-CLIENT_COUNT = 3  # that drive proxies on one port
-LOADS = (0.25, 0.5, 0.75)  # fixed rates, as fractions of the proxy's throughput
-MIN_REQUESTS = 2000  # at a fixed rate
-MAX_REQUESTS = 20000
-FIXED_RATE_S = 3  # of requests
+PROCESS_COUNTS = (1, 2, 3, 4)  # Numbers of proxy processes that share one port.
+SHARED_PORT_CLIENTS = 3  # Number of concurrent clients of a shared port.
+RATE_FRACTIONS = (0.25, 0.5, 0.75)  # Fixed rates as fractions of the proxy's throughput.
+MIN_REQUESTS = 2000  # Minimum number of requests in a run at a fixed rate.
+MAX_REQUESTS = 20000  # Maximum number of requests in a run at a fixed rate.
+FIXED_RATE_RUN_S = 3  # Duration of a run at a fixed rate, within the limits above.
 US_PER_MS = 1000
 QUANTILES = ("p50", "p99", "p99.9")
 
 
 class NetworkPath(StrEnum):
-    """How requests come to a server; the values are those of the load generator's targets, too."""
+    """Path of a request to a server; the values are also targets of the load generator."""
 
     DIRECT = "direct"
     RELAY = "relay"
@@ -55,25 +56,25 @@
 
 PathPorts = dict[NetworkPath, int]
 PathValues = dict[NetworkPath, float]
-Latencies = dict[NetworkPath, list[tuple[float, float]]]  # rate and p99 in milliseconds
+Latencies = dict[NetworkPath, list[tuple[float, float]]]  # (rate, p99 in milliseconds)
 
 
 class Testbed:
-    """Servers, relays and proxies as processes.
+    """Processes of servers, relays and proxies.
 
     Attributes:
-        servers: ports of the four line servers.
-        line_paths: the port of each path to the first line server, or to all by the proxy.
-        http_paths: the same for HTTP.
-        shared_ports: the port of so many proxy processes.
+        servers: Ports of the four line servers.
+        line_paths: Port of each path. It leads to the first line server, or to all of them through the proxy.
+        http_paths: Port of each path to the HTTP servers, in the same way.
+        shared_ports: Shared port by the number of proxy processes that listen on it.
     """
 
     def __init__(self, folder: Path) -> None:
         ports = Ports(os.getpid() * 41)
         self.servers = [ports.take() for _ in WEIGHTS]
         self._http_servers = [ports.take() for _ in WEIGHTS]
-        self.line_paths = _paths(ports, self.servers[0])
-        self.http_paths = _paths(ports, self._http_servers[0])
+        self.line_paths = _take_path_ports(ports, self.servers[0])
+        self.http_paths = _take_path_ports(ports, self._http_servers[0])
         self.shared_ports = {count: ports.take() for count in PROCESS_COUNTS}
         self._unused_port = ports.take()
         self._unused_lines_port = ports.take()
@@ -82,7 +83,8 @@
 
     def start(self) -> None:
         """Start all processes."""
-        for servers in (self.servers[:2], self.servers[2:]):  # two processes, so that they are no bottleneck
+        # Two processes, so that the servers are not the bottleneck.
+        for servers in (self.servers[:2], self.servers[2:]):
             self._processes.append(start_line_servers(servers))
         self._processes.append(start_http_servers(self._http_servers))
         self._processes.append(start_relay(self.line_paths[NetworkPath.RELAY], self.servers[0]))
@@ -100,11 +102,11 @@
         kill_all(self._processes)
 
     def _start_proxy(self, servers: list[int], port: int, name: str, **options: str) -> None:
-        config = proxy_file(self._folder, servers, port, self._unused_port, name, **options)
+        config = write_proxy_config(self._folder, servers, port, self._unused_port, name, **options)
         self._processes.append(start_process("puffintide", "proxy", "--config", str(config)))
 
 
-def _paths(ports: Ports, server: int) -> PathPorts:
+def _take_path_ports(ports: Ports, server: int) -> PathPorts:
     return {
         NetworkPath.DIRECT: server,
         NetworkPath.RELAY: ports.take(),
@@ -113,52 +115,55 @@
 
 
 def throughput_rows(testbed: Testbed, requests: int, rounds: int) -> tuple[list[str], PathValues]:
-    """Rows for the throughput and the choices of the proxy; and the throughput of each path."""
+    """Return rows on the throughput and server choices of the proxy, and the throughput of each path."""
     counts_before = attempt_counts(testbed.servers)
-    many: dict[NetworkPath, list[float]] = {path: [] for path in NetworkPath}
-    single: dict[NetworkPath, list[float]] = {path: [] for path in NetworkPath}
-    part = requests // rounds // 2
+    multi_connection_rates: dict[NetworkPath, list[float]] = {path: [] for path in NetworkPath}
+    single_connection_rates: dict[NetworkPath, list[float]] = {path: [] for path in NetworkPath}
+    requests_per_run = requests // rounds // 2
     for _ in range(rounds):
         for path, port in testbed.line_paths.items():
-            many[path].append(run_client(port, path, part, 0, WINDOW)["rate"])
-            single[path].append(run_client(port, path, part, 0)["rate"])
-    through_each = 2 * part * rounds
+            multi_connection_rates[path].append(run_client(port, path, requests_per_run, 0, WINDOW)["rate"])
+            single_connection_rates[path].append(run_client(port, path, requests_per_run, 0)["rate"])
+    requests_per_path = 2 * requests_per_run * rounds
     counts_after = attempt_counts(testbed.servers)
     received = [after - before for before, after in zip(counts_before, counts_after, strict=True)]
-    received[0] -= 2 * through_each  # direct and by the relay
+    received[0] -= 2 * requests_per_path  # Requests of the direct path and of the relay.
     deviation = max(
-        abs(count / (through_each * weight / sum(WEIGHTS)) - 1)
+        abs(count / (requests_per_path * weight / sum(WEIGHTS)) - 1)
         for count, weight in zip(received, WEIGHTS, strict=True)
     )
-    throughput = _medians(many)
+    throughput = _medians(multi_connection_rates)
     rows = [
         "| throughput, requests a second | direct | relay | proxy | proxy over relay |",
         "| --- | --- | --- | --- | --- |",
         _throughput_row(f"one in flight on each of {WINDOW} connections", throughput),
-        _throughput_row(f"{WINDOW} in flight on one connection", _medians(single)),
+        _throughput_row(f"{WINDOW} in flight on one connection", _medians(single_connection_rates)),
         "",
-        f"Choices of the proxy over {through_each} requests: at most {deviation:.2%} off the weights {WEIGHTS}.",
+        (
+            f"Choices of the proxy over {requests_per_path} requests: "
+            f"at most {deviation:.2%} off the weights {WEIGHTS}."
+        ),
     ]
     return rows, throughput
 
 
 def latency_rows(paths: PathPorts, rounds: int, proxy_rate: float, latencies: Latencies) -> Iterator[str]:
-    """Rows for fixed rates; adds their p99 to the latencies."""
+    """Yield rows for fixed rates, and append the p99 of each to the latencies."""
     yield "| fixed rate | path | p50 ms | p99 ms | p99.9 ms |"
     yield "| --- | --- | --- | --- | --- |"
-    for load in LOADS:
-        rate = proxy_rate * load
-        count = min(MAX_REQUESTS, max(MIN_REQUESTS, int(rate * FIXED_RATE_S)))
+    for rate_fraction in RATE_FRACTIONS:
+        rate = proxy_rate * rate_fraction
+        count = min(MAX_REQUESTS, max(MIN_REQUESTS, int(rate * FIXED_RATE_RUN_S)))
         for path, port in paths.items():
             runs = [run_client(port, path, count, rate) for _ in range(rounds)]
             medians_ms = {q: statistics.median(run[q] for run in runs) / US_PER_MS for q in QUANTILES}
             latencies[path].append((rate, medians_ms["p99"]))
             cells = " | ".join(f"{value:.2f}" for value in medians_ms.values())
-            yield f"| {rate:.0f} ({load:.0%} of the proxy's) | {path} | {cells} |"
+            yield f"| {rate:.0f} ({rate_fraction:.0%} of the proxy's) | {path} | {cells} |"
 
 
 def http_rows(paths: PathPorts, requests: int, rounds: int) -> list[str]:
-    """Rows for HTTP/1.1 on 64 persistent connections, one request in flight on each."""
+    """Return rows for HTTP/1.1 on 64 persistent connections with one request in flight on each."""
     runs: dict[NetworkPath, list[dict[str, float]]] = {path: [] for path in NetworkPath}
     for _ in range(rounds):
         for path, port in paths.items():
@@ -175,14 +180,14 @@
 
 
 def shared_port_rows(ports: dict[int, int], requests: int, rounds: int) -> list[str]:
-    """Rows for several processes on one port, with several clients at once."""
+    """Return rows for several proxy processes on one port under several concurrent clients."""
     rates: dict[int, list[float]] = {count: [] for count in ports}
     for _ in range(rounds):
         for count, port in ports.items():
-            with ThreadPoolExecutor(CLIENT_COUNT) as pool:
+            with ThreadPoolExecutor(SHARED_PORT_CLIENTS) as pool:
                 runs = [
                     pool.submit(run_client, port, NetworkPath.PROXY, requests // rounds, 0, WINDOW)
-                    for _ in range(CLIENT_COUNT)
+                    for _ in range(SHARED_PORT_CLIENTS)
                 ]
                 rates[count].append(sum(run.result()["rate"] for run in runs))
     medians = {count: statistics.median(values) for count, values in rates.items()}
@@ -192,7 +197,7 @@
 
 
 def _medians(values: dict[NetworkPath, list[float]]) -> PathValues:
-    return {path: statistics.median(of_path) for path, of_path in values.items()}
+    return {path: statistics.median(path_values) for path, path_values in values.items()}
 
 
 def _throughput_row(name: str, throughput: PathValues) -> str:
@@ -222,7 +227,7 @@
 @click.option("--table", default="")
 @click.option("--plot", default="")
 def main(requests: int, rounds: int, table: str, plot: str) -> None:
-    """Measure, print the tables, and write them and the curves of p99 to files."""
+    """Run the benchmark, print the tables, and write them and the curves of p99 to files."""
     latencies: Latencies = {path: [] for path in NetworkPath}
     with tempfile.TemporaryDirectory() as folder:
         testbed = Testbed(Path(folder))
