--- a/benchmarks/replication_assigner.py
+++ b/benchmarks/replication_assigner.py
@@ -1,7 +1,7 @@
-"""The process that stands for an assigner in benchmarks.replication_processes: peer sessions without decisions.
+"""The assigner process of benchmarks.replication_processes: peer sessions without decisions.
 
-It prints a JSON object a line for each event: its time, the processor time and the bytes received so far, and what
-the event is. SIGUSR1 makes it change the tables of 20 of its slices.
+For each event the process prints one line with a JSON object: the name and the time of the event, and the
+processor time and the received bytes so far. On SIGUSR1 it changes the tables of 20 of its slices.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from puffintide.replication.peer_sessions import PeerSessions
 from puffintide.replication.table_replicas import latest_tables
 
-TIMER_S = 0.005  # between two looks at the replica, whose delay is measured
-FIRST_EXCHANGE_S = 0.5
-CATCH_UP_S = 60.0
-CHANGED_SLICES = 20
+CHECK_INTERVAL_S = 0.005  # Interval between two checks of the replica; the delay of this timer is measured.
+FIRST_EXCHANGE_DELAY_S = 0.5
+CATCH_UP_TIMEOUT_S = 60.0
+CHANGED_SLICE_COUNT = 20
 MAX_PENDING_CONNECTIONS = 50
 TABLE = [m.TableEntry(7, 1.0, "127.0.0.1:9007", 0), m.TableEntry(8, 0.004, "127.0.0.1:9008", 1)]
 
 
-received_bytes = 0  # on all streams of the process
+received_bytes = 0  # Bytes received on all streams of the process.
 
 
 def count_received_bytes() -> None:
-    """Make all streams of the process add what they receive to received_bytes."""
+    """Patch Stream so that every stream of the process adds its received bytes to received_bytes."""
     data_received = Stream.dataReceived
 
     def count_and_handle(stream: Stream, data: bytes) -> None:
@@ -48,11 +48,11 @@
     Stream.dataReceived = count_and_handle  # type: ignore[method-assign, assignment]
 
 
-class EventLog:
-    """The log of the peer sessions; only the end of catching up is printed."""
+class CatchUpLog:
+    """A logger for the peer sessions that prints only the end of the catch-up."""
 
     def info(self, event: str, **fields: Any) -> None:
-        """Print an event if it is the end of catching up."""
+        """Print the event if it is the end of the catch-up."""
         if event == "caught_up":
             print_event("caught_up", tables=fields["rows"], why=fields["reason"])
 
@@ -60,12 +60,12 @@
 
 
 def print_event(name: str, **fields: Any) -> None:
-    """Print an event with the time and what the process has used."""
-    used = os.times()
+    """Print an event with its time, the processor time and the received bytes so far."""
+    cpu_times = os.times()
     row = {
         "t": time.monotonic(),
         "what": name,
-        "cpu": used.user + used.system,
+        "cpu": cpu_times.user + cpu_times.system,
         "bytes": received_bytes,
         **fields,
     }
@@ -73,14 +73,15 @@
 
 
 class ReplicatingAssigner:
-    """Peer sessions, and the tables of the slices that this assigner owns.
+    """The peer sessions of an assigner and the tables of the slices that it owns.
 
     Args:
-        assigner_id: Of this assigner.
-        addresses: Of all assigners, in the order of their ids.
-        incarnation: Of this assigner.
-        slice_count: Of the deployment.
-        owns_slices: Whether it owns every slice whose turn is its own; else none.
+        assigner_id: Id of this assigner.
+        addresses: Addresses of all assigners, in the order of their ids.
+        incarnation: Incarnation of this assigner.
+        slice_count: Number of slices of the deployment.
+        owns_slices: Whether this assigner owns its share of the slices (every slice whose id modulo the
+            number of assigners is its own id) or none.
     """
 
     def __init__(
@@ -90,21 +91,21 @@
         self._addresses = addresses
         self._incarnation = incarnation
         self._reactor: Any = monotonic_reactor()
-        self._section = PeersSection(addresses=addresses, catch_up_s=CATCH_UP_S)
+        self._section = PeersSection(addresses=addresses, catch_up_s=CATCH_UP_TIMEOUT_S)
         self._peers = PeerSessions(
-            self._reactor, self._section, assigner_id, incarnation, slice_count, EventLog(), lambda: None
+            self._reactor, self._section, assigner_id, incarnation, slice_count, CatchUpLog(), lambda: None
         )
         self._tables = OwnedTables()
         self._tokens: dict[int, int] = {}
         self._findings = LocalFindings(1.0, {})
         self._versions: list[tuple[int, int]] = []
-        self._max_delay_s = 0.0  # of the timer, since the last exchange
+        self._max_timer_delay_s = 0.0  # Maximum delay of the check timer since the last exchange.
         if owns_slices:
-            self._grant(range(assigner_id, slice_count, len(addresses)))
+            self._grant_slices(range(assigner_id, slice_count, len(addresses)))
         self._exchange()
 
     def run(self, store: str) -> None:
-        """Listen, connect to the peers, and to the store if there is one; run until the process is killed."""
+        """Listen, connect to the peers and any store, and run until the process is killed."""
         welcome = m.Welcome(m.PROTOCOL_VERSION, "assigner", self._id, self._incarnation)
         factory = StreamServerFactory(self._reactor, lambda: welcome, self._peers.on_message)
         host, _, port = self._addresses[self._id].partition(":")
@@ -113,12 +114,14 @@
         self._peers.start(self._connect)
         if store:
             self._connect(store, self._store_message_received, None)
-        self._reactor.callLater(TIMER_S, self._check_replica, self._reactor.seconds() + TIMER_S)
-        self._reactor.callLater(FIRST_EXCHANGE_S, self._exchange_periodically)
+        self._reactor.callLater(
+            CHECK_INTERVAL_S, self._check_replica, self._reactor.seconds() + CHECK_INTERVAL_S
+        )
+        self._reactor.callLater(FIRST_EXCHANGE_DELAY_S, self._run_periodic_exchange)
         signal.signal(signal.SIGUSR1, lambda *_: self._reactor.callFromThread(self._change_tables))
         self._reactor.run()
 
-    def _grant(self, slice_ids: range) -> None:
+    def _grant_slices(self, slice_ids: range) -> None:
         for slice_id in slice_ids:
             self._tokens[slice_id] = slice_id + 1
             ownership = m.SliceOwnership(slice_id, slice_id + 1, self._id, TABLE, 1)
@@ -144,22 +147,24 @@
             print_event("charged", slices=len(message.ownerships))
 
     def _check_replica(self, due_at_s: float) -> None:
-        """Measure the delay of this timer, and print the replica's versions if they have changed."""
-        self._max_delay_s = max(self._max_delay_s, self._reactor.seconds() - due_at_s)
+        """Record the delay of this timer, and print the replica's versions if they have changed."""
+        self._max_timer_delay_s = max(self._max_timer_delay_s, self._reactor.seconds() - due_at_s)
         versions = [(version.origin_id, version.sequence) for version in self._peers.replica.digest()]
         if versions != self._versions:
             self._versions = versions
             print_event("holds", versions=versions)
-        self._reactor.callLater(TIMER_S, self._check_replica, self._reactor.seconds() + TIMER_S)
+        self._reactor.callLater(
+            CHECK_INTERVAL_S, self._check_replica, self._reactor.seconds() + CHECK_INTERVAL_S
+        )
 
-    def _exchange_periodically(self) -> None:
-        print_event("beat", late=self._max_delay_s, sent=self._peers.counters()["rows_sent"])
+    def _run_periodic_exchange(self) -> None:
+        print_event("beat", late=self._max_timer_delay_s, sent=self._peers.counters()["rows_sent"])
         self._exchange()
-        self._max_delay_s = 0.0
-        self._reactor.callLater(self._section.every_s, self._exchange_periodically)
+        self._max_timer_delay_s = 0.0
+        self._reactor.callLater(self._section.every_s, self._run_periodic_exchange)
 
     def _change_tables(self) -> None:
-        for slice_id in list(self._tokens)[:CHANGED_SLICES]:
+        for slice_id in list(self._tokens)[:CHANGED_SLICE_COUNT]:
             entry = m.WeightEntry(slice_id, 9, 1.0, self._tokens[slice_id], "127.0.0.1:9009", 0)
             self._tables.apply_writes(2, [entry])
         self._exchange()
@@ -175,7 +180,7 @@
 def main(
     assigner_id: int, addresses: str, incarnation: int, slice_count: int, owns_slices: bool, store: str
 ) -> None:
-    """Run one assigner; ADDRESSES are those of all, separated by commas."""
+    """Run one assigner; ADDRESSES are the addresses of all assigners, separated by commas."""
     count_received_bytes()
     assigner = ReplicatingAssigner(assigner_id, addresses.split(","), incarnation, slice_count, owns_slices)
     assigner.run(store)
--- a/benchmarks/replication_group.py
+++ b/benchmarks/replication_group.py
@@ -1,4 +1,4 @@
-"""A group of assigner processes for benchmarks.replication_processes, and the events that they print."""
+"""The group of assigner processes of benchmarks.replication_processes, and the events that they print."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 EVENT_TIMEOUT_S = 90.0
 AGREEMENT_TIMEOUT_S = 60.0
-MIN_AGREEMENT_S = 0.5  # a change may be on its way before
+# Minimum wait before agreement counts, in seconds; until then a change may not have reached the others.
+MIN_AGREEMENT_WAIT_S = 0.5
 
-Event = dict[str, Any]  # as printed by benchmarks.replication_assigner
+Event = dict[str, Any]  # An event printed by benchmarks.replication_assigner.
 
 
-class Group:
-    """Assigners as processes, each with its printed events in a file for each of its incarnations."""
+class AssignerGroup:
+    """Assigner processes that write their events to one file per assigner and incarnation."""
 
     def __init__(self, size: int, slice_count: int, folder: Path, store: str = "") -> None:
         ports = Ports(os.getpid() * 40)
@@ -45,7 +46,7 @@
             self.processes[assigner_id] = subprocess.Popen(command, stdout=output)
 
     def kill(self, assigner_id: int) -> None:
-        """Kill an assigner and wait for its end."""
+        """Kill an assigner and wait until it has exited."""
         self.processes[assigner_id].kill()
         self.processes[assigner_id].wait()
 
@@ -55,32 +56,40 @@
             self.kill(assigner_id)
 
     def events(self, assigner_id: int) -> list[Event]:
-        """The complete events that the present incarnation has printed."""
+        """Return the complete events that the current incarnation of an assigner has printed."""
         lines = self._events_file(assigner_id).read_text().splitlines(keepends=True)
         return [json.loads(line) for line in lines if line.endswith("\n")]
 
     def first_event(self, assigner_id: int, name: str) -> Event:
-        """Wait for the first event of a name; the program ends if there is none in time."""
-        end_s = time.monotonic() + EVENT_TIMEOUT_S
-        while time.monotonic() < end_s:
+        """Wait for the first event with a name and return it.
+
+        Raises:
+            SystemExit: There is no such event within EVENT_TIMEOUT_S.
+        """
+        deadline_s = time.monotonic() + EVENT_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             for event in self.events(assigner_id):
                 if event["what"] == name:
                     return event
             time.sleep(0.05)
-        raise SystemExit(f"assigner {assigner_id}: no {name} within {EVENT_TIMEOUT_S:g} s")
+        raise SystemExit(f"wait for assigner {assigner_id}: no event {name!r} within {EVENT_TIMEOUT_S:g} s")
 
     def wait_for_agreement(self, since_s: float) -> float:
-        """Wait until all have the same rows; returns when the last of them did."""
-        end_s = time.monotonic() + AGREEMENT_TIMEOUT_S
-        while time.monotonic() < end_s:
-            last = [self._last_versions(assigner_id) for assigner_id in self.processes]
-            is_agreed = all(event["versions"] == last[0]["versions"] for event in last)
-            if is_agreed and time.monotonic() > since_s + MIN_AGREEMENT_S:
-                return float(max(event["t"] for event in last))
+        """Wait until all replicas have the same rows, and return the time at which the last one changed.
+
+        Raises:
+            SystemExit: The replicas still differ after AGREEMENT_TIMEOUT_S.
+        """
+        deadline_s = time.monotonic() + AGREEMENT_TIMEOUT_S
+        while time.monotonic() < deadline_s:
+            latest_events = [self._latest_versions_event(assigner_id) for assigner_id in self.processes]
+            is_equal = all(event["versions"] == latest_events[0]["versions"] for event in latest_events)
+            if is_equal and time.monotonic() > since_s + MIN_AGREEMENT_WAIT_S:
+                return float(max(event["t"] for event in latest_events))
             time.sleep(0.1)
-        raise SystemExit(f"no agreement within {AGREEMENT_TIMEOUT_S:g} s")
+        raise SystemExit(f"wait for agreement: replicas still differ after {AGREEMENT_TIMEOUT_S:g} s")
 
-    def _last_versions(self, assigner_id: int) -> Event:
+    def _latest_versions_event(self, assigner_id: int) -> Event:
         return [event for event in self.events(assigner_id) if event["what"] == "holds"][-1]
 
     def _events_file(self, assigner_id: int) -> Path:
--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -1,11 +1,14 @@
-"""What replication between assigners costs, with processes on sockets.
+"""Measures the cost of replication between assigner processes that communicate over sockets.
 
     python -m benchmarks.replication_processes [--out docs/measurements] [--plays 2]
 
-One assigner of a group is killed, loses all and comes back: how long until it has what the others have, what that
-takes, and how late the others' timers are meanwhile (a decision that is due then is as late). One is paused and
-resumed: how long until all have the same. All idle: what that costs. A store that lost its disk is restored by
-three assigners: how long that takes.
+Four situations are measured:
+
+- One assigner of a group is killed, loses its memory and restarts: the time and the resources until it has
+  the rows of the others, and the delay of the others' timers meanwhile. A decision that is due then is as late.
+- One assigner is paused and resumed: the time until all replicas are equal.
+- All assigners are idle: processor time and traffic.
+- A store that lost its disk is restored by three assigners: the time that this takes.
 """
 
 from __future__ import annotations
@@ -26,18 +29,18 @@
 
 import click
 
-from benchmarks.replication_group import Event, Group
+from benchmarks.replication_group import AssignerGroup, Event
 from puffintide.scenarios.place import Ports, at
 
 GROUP_SIZES = (3, 6, 12)
 SLICE_COUNTS = (500, 10_000, 100_000)
-RESTORED_SLICE_COUNTS = SLICE_COUNTS[:2]  # the third is not restored within EVENT_TIMEOUT_S
+RESTORED_SLICE_COUNTS = SLICE_COUNTS[:2]  # A store of the third size is not restored within EVENT_TIMEOUT_S.
 IDLE_S = 4.0
 SETTLE_S = 1.0
-DOWN_S = 2.0  # from a kill to the next start
-PAUSED_S = 2.0
-AFTER_CATCH_UP_S = 0.5  # whose timers still count as during it
-USUAL_EXCHANGES = 4  # before the kill, of each assigner
+DOWNTIME_S = 2.0  # Time between a kill and the restart.
+PAUSE_S = 2.0
+AFTER_CATCH_UP_S = 0.5  # Time after a catch-up in which timer delays still count towards it.
+BASELINE_EXCHANGES = 4  # Number of exchanges of each assigner before the restart that form the baseline.
 BYTES_PER_MB = 1e6
 BYTES_PER_KB = 1e3
 MS_PER_S = 1000
@@ -46,19 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationFigures:
-    """Of one play of a group.
+    """Figures of one play of a group.
 
     Attributes:
-        reason: why the killed assigner ended its catching up.
-        rows: that it had then.
-        catch_up_s: from its start.
-        received_mb: by then.
-        cpu_s: processor time, from its start.
-        max_delay_ms: of the others' timers meanwhile.
-        usual_delay_ms: the median before.
-        agreement_s: from the end of a pause until all had the same.
-        idle_cores: processor time a second of one assigner when all are idle.
-        idle_kb_per_s: received by one meanwhile.
+        reason: Reason for which the killed assigner ended its catch-up.
+        rows: Number of rows that it had at the end of the catch-up.
+        catch_up_s: Seconds from its restart to the end of the catch-up.
+        received_mb: MB that it received by the end of the catch-up.
+        cpu_s: Processor time of the catch-up, in seconds.
+        max_delay_ms: Maximum delay of the others' timers during the catch-up.
+        baseline_delay_ms: Median delay of the others' timers in the exchanges before the restart.
+        agreement_s: Seconds from the end of a pause until all replicas were equal.
+        idle_cores: Processor time per second of one idle assigner.
+        idle_kb_per_s: kB per second that one idle assigner received.
     """
 
     reason: str
@@ -67,69 +70,71 @@
     received_mb: float
     cpu_s: float
     max_delay_ms: float
-    usual_delay_ms: float
+    baseline_delay_ms: float
     agreement_s: float
     idle_cores: float
     idle_kb_per_s: float
 
 
-def exchanges(events: Iterable[Event], since_s: float, until_s: float) -> list[Event]:
-    """The periodic events between two times."""
+def exchange_events(events: Iterable[Event], since_s: float, until_s: float) -> list[Event]:
+    """Return the events of periodic exchanges between two times."""
     return [event for event in events if event["what"] == "beat" and since_s <= event["t"] <= until_s]
 
 
 def measure_group(size: int, slice_count: int) -> ReplicationFigures:
-    """Play one group: idle, one killed and back, one paused and resumed."""
+    """Play one group: all idle, one killed and restarted, one paused and resumed."""
     with tempfile.TemporaryDirectory() as folder:
-        group = Group(size, slice_count, Path(folder))
+        group = AssignerGroup(size, slice_count, Path(folder))
         try:
             for assigner_id in range(size):
                 group.first_event(assigner_id, "caught_up")
-            idle = _idle_exchanges(group)
-            idle_s = idle[-1]["t"] - idle[0]["t"]
+            idle_events = _idle_exchange_events(group)
+            idle_s = idle_events[-1]["t"] - idle_events[0]["t"]
             group.kill(0)
-            time.sleep(DOWN_S)
+            time.sleep(DOWNTIME_S)
             started_at_s = time.monotonic()
             group.start(0, owns_slices=False)
-            began = group.first_event(0, "began")
-            caught_up = group.first_event(0, "caught_up")
+            start_event = group.first_event(0, "began")
+            catch_up_event = group.first_event(0, "caught_up")
             time.sleep(SETTLE_S)
-            others = [group.events(assigner_id) for assigner_id in range(1, size)]
-            until_s = caught_up["t"] + AFTER_CATCH_UP_S
-            during = [e["late"] for events in others for e in exchanges(events, started_at_s, until_s)]
-            before = [
+            other_events = [group.events(assigner_id) for assigner_id in range(1, size)]
+            until_s = catch_up_event["t"] + AFTER_CATCH_UP_S
+            delays_after_restart_s = [
+                e["late"] for events in other_events for e in exchange_events(events, started_at_s, until_s)
+            ]
+            delays_before_restart_s = [
                 e["late"]
-                for events in others
-                for e in exchanges(events, 0.0, started_at_s)[-USUAL_EXCHANGES:]
+                for events in other_events
+                for e in exchange_events(events, 0.0, started_at_s)[-BASELINE_EXCHANGES:]
             ]
             return ReplicationFigures(
-                caught_up["why"],
-                caught_up["tables"],
-                caught_up["t"] - began["t"],
-                caught_up["bytes"] / BYTES_PER_MB,
-                caught_up["cpu"] - began["cpu"],
-                MS_PER_S * max(during),
-                MS_PER_S * statistics.median(before),
+                catch_up_event["why"],
+                catch_up_event["tables"],
+                catch_up_event["t"] - start_event["t"],
+                catch_up_event["bytes"] / BYTES_PER_MB,
+                catch_up_event["cpu"] - start_event["cpu"],
+                MS_PER_S * max(delays_after_restart_s),
+                MS_PER_S * statistics.median(delays_before_restart_s),
                 agreement_s=_agreement_after_pause_s(group),
-                idle_cores=(idle[-1]["cpu"] - idle[0]["cpu"]) / idle_s,
-                idle_kb_per_s=(idle[-1]["bytes"] - idle[0]["bytes"]) / idle_s / BYTES_PER_KB,
+                idle_cores=(idle_events[-1]["cpu"] - idle_events[0]["cpu"]) / idle_s,
+                idle_kb_per_s=(idle_events[-1]["bytes"] - idle_events[0]["bytes"]) / idle_s / BYTES_PER_KB,
             )
         finally:
             group.stop()
 
 
-def _idle_exchanges(group: Group) -> list[Event]:
-    """The periodic events of one assigner over some seconds in which nothing changes."""
+def _idle_exchange_events(group: AssignerGroup) -> list[Event]:
+    """Return the events of one assigner's periodic exchanges while nothing changes for IDLE_S."""
     idle_from_s = group.wait_for_agreement(time.monotonic()) + SETTLE_S
     time.sleep(max(0.0, idle_from_s + IDLE_S - time.monotonic()))
-    return exchanges(group.events(1), idle_from_s, time.monotonic())
+    return exchange_events(group.events(1), idle_from_s, time.monotonic())
 
 
-def _agreement_after_pause_s(group: Group) -> float:
-    """Pause an assigner while another changes tables; seconds from its resumption until all agree."""
+def _agreement_after_pause_s(group: AssignerGroup) -> float:
+    """Pause an assigner while another changes tables, and return the seconds from resumption to agreement."""
     group.processes[1].send_signal(signal.SIGSTOP)
     group.processes[2].send_signal(signal.SIGUSR1)
-    time.sleep(PAUSED_S)
+    time.sleep(PAUSE_S)
     resumed_at_s = time.monotonic()
     group.processes[1].send_signal(signal.SIGCONT)
     return max(0.0, group.wait_for_agreement(resumed_at_s) - resumed_at_s)
@@ -137,13 +142,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RestorationFigures:
-    """Of one restoration of a store.
+    """Figures of one restoration of a store.
 
     Attributes:
-        tables: that were restored.
-        start_s: until the store was ready.
-        ownership_s: from then until all assigners own slices again.
-        response_cpu_s: processor time of an assigner's response, the most of all.
+        tables: Number of tables restored.
+        start_s: Seconds until the store was ready.
+        ownership_s: Seconds from then until all assigners owned slices again.
+        response_cpu_s: Highest processor time of an assigner's response, in seconds.
     """
 
     tables: int
@@ -153,12 +158,12 @@
 
 
 def measure_restoration(slice_count: int) -> RestorationFigures:
-    """Start an empty store beside three assigners that have all tables."""
+    """Start an empty store with three assigners that have all tables, and measure its restoration."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         address = at(Ports(os.getpid() * 40 + 500).take())
         config = _store_config(folder, address, slice_count)
-        group = Group(3, slice_count, folder, address)
+        group = AssignerGroup(3, slice_count, folder, address)
         assigner_ids = list(group.processes)
         try:
             for assigner_id in assigner_ids:
@@ -205,11 +210,11 @@
 
 
 def _median(figures: Iterable[Any], name: str) -> float:
-    return float(statistics.median(getattr(one, name) for one in figures))
+    return float(statistics.median(getattr(run, name) for run in figures))
 
 
 def group_rows(plays: int, medians: dict[tuple[int, int], tuple[float, float]]) -> Iterator[str]:
-    """Rows for all groups; adds the seconds to catch up and the idle kB/s of each to the medians."""
+    """Yield rows for all groups, and add the catch-up seconds and idle kB/s of each to the medians."""
     yield (
         "| assigners | slices | caught up after s | MB received | CPU s | timers late, ms | before, ms "
         "| agreed after a pause, s (max) | idle cores | idle kB/s |"
@@ -218,19 +223,19 @@
     for size in GROUP_SIZES:
         for slice_count in SLICE_COUNTS:
             figures = [measure_group(size, slice_count) for _ in range(plays)]
-            assert all(one.reason == "level with peers" for one in figures), figures
+            assert all(run.reason == "level with peers" for run in figures), figures
             medians[size, slice_count] = (_median(figures, "catch_up_s"), _median(figures, "idle_kb_per_s"))
             yield (
                 f"| {size} | {slice_count} | {_median(figures, 'catch_up_s'):.2f} "
                 f"| {_median(figures, 'received_mb'):.2f} | {_median(figures, 'cpu_s'):.2f} "
-                f"| {_median(figures, 'max_delay_ms'):.0f} | {_median(figures, 'usual_delay_ms'):.0f} "
-                f"| {_median(figures, 'agreement_s'):.2f} ({max(one.agreement_s for one in figures):.2f}) "
+                f"| {_median(figures, 'max_delay_ms'):.0f} | {_median(figures, 'baseline_delay_ms'):.0f} "
+                f"| {_median(figures, 'agreement_s'):.2f} ({max(run.agreement_s for run in figures):.2f}) "
                 f"| {_median(figures, 'idle_cores'):.4f} | {_median(figures, 'idle_kb_per_s'):.1f} |"
             )
 
 
 def restoration_rows(plays: int) -> Iterator[str]:
-    """Rows for the restoration of a store."""
+    """Yield rows on the restoration of a store."""
     yield "| slices | tables | store ready after s | all own slices again after s | CPU s of a response |"
     yield "| --- " * 5 + "|"
     for slice_count in RESTORED_SLICE_COUNTS:
@@ -267,7 +272,7 @@
 @click.option("--out", default="")
 @click.option("--plays", default=2)
 def main(out: str, plays: int) -> None:
-    """Print both tables row by row, and draw the figures of all groups into a folder."""
+    """Print both tables row by row, and draw the figures of all groups into a file of a folder."""
     medians: dict[tuple[int, int], tuple[float, float]] = {}
     for row in group_rows(plays, medians):
         click.echo(row)
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -1,10 +1,11 @@
-"""Attempts and responses in time of each retry mode, when a fleet near its limit suddenly becomes slow.
+"""Measures amplification and timely responses of each retry mode when a fleet near its limit becomes slow.
 
     python -m benchmarks.retry_storm [--seed 1] [--table FILE]
 
-The proxy's engine and emulated servers run in virtual time without sockets, so that a seed gives the same table
-anywhere. The fleet serves a fraction of its capacity for 10 s, is twice as slow for 10 s, then recovers.
-Amplification is the number of attempts over that of first attempts; a retry mode limits it to 1, 2, 2 or 3.
+The proxy's engine and emulated servers run in virtual time without sockets, so that a seed gives the same
+table on every machine. Load is a fraction of the fleet's capacity. The servers run at normal speed for 10 s,
+at half speed for 10 s, and then recover. Amplification is the number of attempts divided by the number of
+first attempts; the retry modes limit it to 1, 2, 2 and 3.
 """
 
 from __future__ import annotations
@@ -37,17 +38,17 @@
 SERVER_COUNT = 10
 SLICE_COUNT = 40
 MEAN_WORK_S = 0.1
-LENGTH_S = 30.0
-SLOW_FROM_S = 10.0
-SLOW_UNTIL_S = 20.0
-SLOWDOWN = 2.0
+ARRIVAL_DURATION_S = 30.0
+SLOWDOWN_START_S = 10.0
+SLOWDOWN_END_S = 20.0
+SLOWDOWN_FACTOR = 2.0
 REQUEST_TIMEOUT_S = 1.5
-REJECTION_DELAY_S = 0.001  # from an attempt to a saturated server's response
-MIN_TIMER_S = 1e-6
+REJECTION_DELAY_S = 0.001  # Time from an attempt to the rejection by a saturated server.
+MIN_TIMER_DELAY_S = 1e-6
 NON_IDEMPOTENT_CLASS = 1
-NON_IDEMPOTENT_PERIOD = 5  # each fifth request is of that class
-LOADS = (0.7, 0.9)  # fractions of the fleet's capacity
-MAX_ATTEMPTS = (1, 2, 2, 3)  # of a request, by retry mode
+REQUESTS_PER_NON_IDEMPOTENT = 5  # Every fifth request is of the non-idempotent class.
+LOADS = (0.7, 0.9)  # Loads as fractions of the fleet's capacity.
+MAX_ATTEMPTS = (1, 2, 2, 3)  # Maximum number of attempts of a request, by retry mode.
 REQUEST_CLASSES = (
     RequestClassPolicy(RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
     RequestClassPolicy(RepeatSafety.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 0.5),
@@ -76,7 +77,7 @@
 
 
 def engine_settings() -> EngineSettings:
-    """Settings of a proxy that admits everything and ejects no server."""
+    """Return the settings of a proxy that admits every request and ejects no server."""
     return EngineSettings(
         slice_count=SLICE_COUNT,
         request_classes=REQUEST_CLASSES,
@@ -95,24 +96,24 @@
 
 class _Event(NamedTuple):
     at_s: float
-    sequence: int  # events of the same time happen in the order in which they were scheduled
-    call: Callable[[], None]
+    sequence: int  # Orders events of the same time as they were scheduled.
+    callback: Callable[[], None]
 
 
 class RetrySimulation:
     """One proxy and its servers in virtual time.
 
     Args:
-        retry_mode: Of the proxy, 0 to 3.
-        load: Requests as a fraction of the fleet's capacity.
-        seed: Of arrivals, work and the engine's choices.
+        retry_mode: Retry mode of the proxy, 0 to 3.
+        load: Request rate as a fraction of the fleet's capacity.
+        seed: Seed of the arrivals, the work and the engine's random choices.
 
     Attributes:
-        requests: sent by clients.
-        first_attempts: the first attempts of requests.
-        attempts: of all requests.
-        answered_in_time: requests that ended well.
-        unsafe_repeats: attempts of non-idempotent requests after one that may have been executed.
+        requests: Number of requests that clients sent.
+        first_attempts: Number of first attempts.
+        attempts: Number of attempts of all requests.
+        answered_in_time: Number of requests that were answered successfully within their timeout.
+        unsafe_repeats: Number of attempts of non-idempotent requests after one that may have been executed.
     """
 
     def __init__(self, retry_mode: int, load: float, seed: int) -> None:
@@ -128,15 +129,15 @@
         self._now_s = 0.0
         self._events: list[_Event] = []
         self._last_sequence = 0
-        self._executed_attempts: Counter[Hashable] = Counter()  # by request
-        self._completion_check_at_s: dict[int, float] = {}  # by server
+        self._executed_attempt_counts: Counter[Hashable] = Counter()  # By request handle.
+        self._completion_check_at_s: dict[int, float] = {}  # By server id.
         self._configure_engine(retry_mode)
 
     def run(self) -> None:
-        """Play all requests to their ends."""
+        """Simulate until all requests have ended."""
         self._schedule_arrivals()
-        self._schedule(SLOW_FROM_S, lambda: self._set_slowdown(SLOWDOWN))
-        self._schedule(SLOW_UNTIL_S, lambda: self._set_slowdown(1.0))
+        self._schedule(SLOWDOWN_START_S, lambda: self._set_slowdown(SLOWDOWN_FACTOR))
+        self._schedule(SLOWDOWN_END_S, lambda: self._set_slowdown(1.0))
         while self._events or self.engine.next_timer_at() is not None:
             timer_at_s = self.engine.next_timer_at()
             if timer_at_s is not None and (not self._events or timer_at_s <= self._events[0].at_s):
@@ -145,7 +146,7 @@
             else:
                 event = heapq.heappop(self._events)
                 self._now_s = event.at_s
-                event.call()
+                event.callback()
 
     def _configure_engine(self, retry_mode: int) -> None:
         table = [m.TableEntry(server_id, 1.0, f"127.0.0.1:{server_id}") for server_id in range(SERVER_COUNT)]
@@ -156,17 +157,17 @@
 
     def _schedule_arrivals(self) -> None:
         at_s = 0.0
-        while at_s < LENGTH_S:
+        while at_s < ARRIVAL_DURATION_S:
             at_s += self._random.expovariate(self._request_rate)
             self.requests += 1
             self._schedule(at_s, partial(self._send_request, self.requests))
 
-    def _schedule(self, at_s: float, call: Callable[[], None]) -> None:
+    def _schedule(self, at_s: float, callback: Callable[[], None]) -> None:
         self._last_sequence += 1
-        heapq.heappush(self._events, _Event(at_s, self._last_sequence, call))
+        heapq.heappush(self._events, _Event(at_s, self._last_sequence, callback))
 
     def _send_request(self, request_id: int) -> None:
-        is_non_idempotent = request_id % NON_IDEMPOTENT_PERIOD == 0
+        is_non_idempotent = request_id % REQUESTS_PER_NON_IDEMPOTENT == 0
         class_index = NON_IDEMPOTENT_CLASS if is_non_idempotent else 0
         slice_id = request_id % SLICE_COUNT
         self._execute(
@@ -185,16 +186,16 @@
                 case CompleteRequest(_, status):
                     self.answered_in_time += status == m.AttemptStatus.OK
                 case CancelAttempt() | DisconnectServer():
-                    pass  # it stops no work
+                    pass  # Neither effect stops the work of an emulated server.
 
     def _send_attempt(self, attempt: SendAttempt) -> None:
         self.attempts += 1
         self.first_attempts += attempt.attempt_number == 0
-        is_repeat = attempt.attempt_number > 0 and self._executed_attempts[attempt.handle] > 0
+        is_repeat = attempt.attempt_number > 0 and self._executed_attempt_counts[attempt.handle] > 0
         self.unsafe_repeats += is_repeat and attempt.class_index == NON_IDEMPOTENT_CLASS
         work_s = self._random.lognormvariate(-0.1, 0.45) * MEAN_WORK_S
         if self._servers[attempt.server_id].offer(self._now_s, attempt.attempt_id, work_s, None):
-            self._executed_attempts[attempt.handle] += 1
+            self._executed_attempt_counts[attempt.handle] += 1
         else:
             self._schedule(self._now_s + REJECTION_DELAY_S, lambda: self._reject(attempt))
         self._schedule_completion_check(attempt.server_id)
@@ -210,7 +211,7 @@
         scheduled_at_s = self._completion_check_at_s.get(server_id, float("inf"))
         if completion_at_s is None or completion_at_s >= scheduled_at_s:
             return
-        check_at_s = max(completion_at_s, self._now_s + MIN_TIMER_S)
+        check_at_s = max(completion_at_s, self._now_s + MIN_TIMER_DELAY_S)
         self._completion_check_at_s[server_id] = check_at_s
         self._schedule(check_at_s, lambda: self._check_completions(server_id))
 
@@ -229,7 +230,7 @@
 
 
 def table_rows(seed: int) -> list[str]:
-    """A row of the table for each load and retry mode."""
+    """Return a table row for each load and retry mode."""
     rows = []
     for load in LOADS:
         for retry_mode, max_attempts in enumerate(MAX_ATTEMPTS):
@@ -248,7 +249,7 @@
 @click.option("--seed", default=1)
 @click.option("--table", default="")
 def main(seed: int, table: str) -> None:
-    """Print the table, and write it to a file."""
+    """Print the table and write it to a file."""
     lines = [f"| {' | '.join(HEADINGS)} |", "| --- " * len(HEADINGS) + "|", *table_rows(seed)]
     click.echo("\n".join(lines))
     if table:
