--- a/benchmarks/store_histories.py
+++ b/benchmarks/store_histories.py
@@ -1,8 +1,8 @@
-"""Checks histories of the store service under kills, pauses and slow or full disks for linearizability, by seed.
+"""Checks histories of the store service for linearizability under kills, pauses and slow or full disks.
 
     python -m benchmarks.store_histories [--seeds 0..3000] [--jobs 4] [--table FILE]
 
-Exit 1 if one is not linearizable; its seed plays the same again.
+The exit status is 1 if a history is not linearizable. Its seed reproduces it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from tests.store_histories import failing_seeds
 
-SEEDS_PER_TASK = 50
+SEEDS_PER_TASK = 50  # Number of seeds that a worker process takes at a time.
 
 
 @click.command()
@@ -23,19 +23,21 @@
 @click.option("--jobs", default=4)
 @click.option("--table", default="")
 def main(seeds: str, jobs: int, table: str) -> None:
-    """Plays the seeds from the first up to the second, in several processes."""
+    """Check the seeds of a range, whose end is excluded, in several processes."""
     first, end = map(int, seeds.split(".."))
-    starts = list(range(first, end, SEEDS_PER_TASK))
-    ends = [min(start + SEEDS_PER_TASK, end) for start in starts]
+    range_starts = list(range(first, end, SEEDS_PER_TASK))
+    range_ends = [min(start + SEEDS_PER_TASK, end) for start in range_starts]
     with ProcessPoolExecutor(jobs) as pool:
-        results = list(pool.map(failing_seeds, starts, ends))
-    failing = [seed for task_failing, _ in results for seed in task_failing]
+        results = list(pool.map(failing_seeds, range_starts, range_ends))
+    all_failing_seeds = [seed for task_failures, _ in results for seed in task_failures]
     operation_count = sum(count for _, count in results)
-    text = f"{end - first} seeds, {operation_count} operations, not linearizable: {failing or 'none'}."
-    click.echo(text)
+    summary = (
+        f"{end - first} seeds, {operation_count} operations, not linearizable: {all_failing_seeds or 'none'}."
+    )
+    click.echo(summary)
     if table:
-        Path(table).write_text(text + "\n", encoding="utf-8")
-    sys.exit(1 if failing else 0)
+        Path(table).write_text(summary + "\n", encoding="utf-8")
+    sys.exit(1 if all_failing_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/store_readers.py
+++ b/benchmarks/store_readers.py
@@ -1,9 +1,10 @@
-"""Readers that all come at once, as after a store's restart: how long until each has read.
+"""Measures how long simultaneous readers of the store take, as after a restart of the store.
 
     python -m benchmarks.store_readers [--readers 1,200,2000] [--table FILE]
 
-A real store with its file; readers over loopback from one other process. First each reads all, then all are cut and
-come again with the revision they have, after 1% of the slices has been written.
+The store runs as a process with its file. The readers connect over loopback from one other process. First,
+all readers request the whole state at once. Then 1% of the slices are written, and all readers reconnect and
+request the changes since the revision they have.
 """
 
 from __future__ import annotations
@@ -28,41 +29,49 @@
 
 
 async def read_once(
-    port: int, proxy_id: int, since_revision: int, store_id: str, started_s: float
+    port: int, proxy_id: int, since_revision: int, store_id: str, started_at_s: float
 ) -> tuple[float, int, m.ReadComplete]:
-    """Reads as one proxy; returns the seconds until all was read, the bytes, and the end of the response."""
+    """Read from the store as one proxy.
+
+    Returns:
+        The seconds until the response was complete, its size in bytes, and its last message.
+    """
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=MAX_LINE_BYTES + 1)
     writer.write(encode(m.Hello(m.PROTOCOL_VERSION, "proxy", proxy_id % 60000, 0, "readers")) + b"\n")
     writer.write(encode(m.ReadRequest(since_revision, store_id)) + b"\n")
     size = 0
     while True:
         line = await reader.readline()
-        assert line, "the store closed"
+        assert line, f"read from port {port}: the store closed the connection after {size} bytes"
         size += len(line)
         if line.startswith(b'{"t":"ping"'):
             writer.write(encode(m.Pong()) + b"\n")
         if line.startswith(b'{"t":"read_end"'):
-            end = decode(line.rstrip(b"\n"))
-            assert isinstance(end, m.ReadComplete)
+            read_complete = decode(line.rstrip(b"\n"))
+            assert isinstance(read_complete, m.ReadComplete)
             writer.close()
-            return time.monotonic() - started_s, size, end
+            return time.monotonic() - started_at_s, size, read_complete
 
 
 async def read_at_once(
     port: int, reader_count: int, since_revision: int, store_id: str
 ) -> tuple[list[float], int, m.ReadComplete]:
-    """Reads as many proxies at once; returns their sorted seconds, and the bytes and the end of one response."""
-    started_s = time.monotonic()
+    """Read from the store as several proxies at once.
+
+    Returns:
+        The sorted seconds of all readers, and the size in bytes and the last message of one response.
+    """
+    started_at_s = time.monotonic()
     results = await asyncio.gather(
-        *(read_once(port, k, since_revision, store_id, started_s) for k in range(reader_count))
+        *(read_once(port, k, since_revision, store_id, started_at_s) for k in range(reader_count))
     )
-    _, size, end = results[0]
-    return sorted(seconds for seconds, _, _ in results), size, end
+    _, size, read_complete = results[0]
+    return sorted(duration_s for duration_s, _, _ in results), size, read_complete
 
 
-def measure_size(slices: int, servers: int, counts: list[int]) -> list[str]:
-    """Rows of the table for a store of one size, for each number of readers."""
-    lines = []
+def measure_size(slices: int, servers: int, reader_counts: list[int]) -> list[str]:
+    """Return the table rows of one store size for each number of readers."""
+    table_lines = []
     rng = random.Random(4)
     with tempfile.TemporaryDirectory() as path:
         folder = Path(path)
@@ -70,50 +79,55 @@
         engine.commit(Commit(1, 1, tuple(random_slice(n, servers, 1, rng) for n in range(slices))))
         engine.close()
         port = Ports(os.getpid() * 29).take()
-        common = {
+        common_sections = {
             "deployment": {"name": "readers", "proxies": "1", "slices": str(slices), "assigners": "3"},
             "class read": {"aim_s": "1", "deadline_s": "4"},
         }
-        for count in counts:
+        for count in reader_counts:
             for written in (0, slices // 100):
                 if written:
                     engine = SqliteEngine(str(folder / "kept.db"))
                     snapshot = engine.load()
-                    rows = tuple(random_slice(n, servers, snapshot.revision + 1, rng) for n in range(written))
-                    engine.commit(Commit(snapshot.revision + 1, snapshot.highest_token, rows))
+                    written_slices = tuple(
+                        random_slice(n, servers, snapshot.revision + 1, rng) for n in range(written)
+                    )
+                    engine.commit(Commit(snapshot.revision + 1, snapshot.highest_token, written_slices))
                     engine.close()
                     since_revision, store_id = snapshot.revision, snapshot.store_id
                 else:
                     since_revision, store_id = -1, ""
                 section = {"listen": f"127.0.0.1:{port}", "file": str(folder / "kept.db")}
-                running = start_process(folder, "store", common | {"store": section})
+                store_process = start_process(folder, "store", common_sections | {"store": section})
                 try:
-                    times, size, end = asyncio.run(read_at_once(port, count, since_revision, store_id))
-                    memory = int(Path(f"/proc/{running.pid}/statm").read_text().split()[1]) * 4
+                    read_times_s, size, read_complete = asyncio.run(
+                        read_at_once(port, count, since_revision, store_id)
+                    )
+                    memory_kb = int(Path(f"/proc/{store_process.pid}/statm").read_text().split()[1]) * 4
                 finally:
-                    running.terminate()
-                    running.wait()
-                what = f"what changed ({end.slice_count})" if written else "all"
-                seconds = f"{statistics.median(times):.3f} | {times[-1]:.3f}"
-                lines.append(
-                    f"| {slices} | {count} | {what} | {seconds} | {size / 1e3:.0f} | {memory / 1024:.0f} |"
+                    store_process.terminate()
+                    store_process.wait()
+                response_kind = f"what changed ({read_complete.slice_count})" if written else "all"
+                time_cells = f"{statistics.median(read_times_s):.3f} | {read_times_s[-1]:.3f}"
+                table_lines.append(
+                    f"| {slices} | {count} | {response_kind} | {time_cells} "
+                    f"| {size / 1e3:.0f} | {memory_kb / 1024:.0f} |"
                 )
-    return lines
+    return table_lines
 
 
 @click.command()
 @click.option("--readers", default="1,200,2000")
 @click.option("--table", default="")
 def main(readers: str, table: str) -> None:
-    """Measures stores of two sizes under each number of readers."""
-    counts = [int(k) for k in readers.split(",")]
-    lines = [
+    """Measure stores of two sizes with each number of readers."""
+    reader_counts = [int(k) for k in readers.split(",")]
+    table_lines = [
         "| slices | readers at once | reading | median s | last s | KB each | the store's memory, MiB |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     for slices, servers in ((500, 77), (10_000, 300)):
-        lines += measure_size(slices, servers, counts)
-    text = "\n".join(lines)
+        table_lines += measure_size(slices, servers, reader_counts)
+    text = "\n".join(table_lines)
     click.echo(text)
     if table:
         Path(table).write_text(text + "\n", encoding="utf-8")
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,10 +1,11 @@
-"""The time from the kill of an assigner until others own its slices, measured many times.
+"""Measures the time from the kill of an assigner until others own its slices, over many kills.
 
     python -m benchmarks.takeover [--kills 20] [--slices 500] [--servers 77] [--assigners 3] [--table FILE]
 
-Real processes: the store with its file and the assigners; an endpoint list whose servers all run, and a reader of
-the store in place of a proxy, are scripted. No requests are played: what is timed is membership, commit and
-notification. Then the killed assigner starts again, and the time until it owns all of its slices again is taken.
+The store with its file and the assigners are processes. An endpoint list on which all servers are ready, and
+a reader of the store in place of a proxy, are scripted. No requests are sent, so that only membership, commit
+and notification are timed. Then the killed assigner restarts, and the time until it owns all of its slices
+again is measured.
 """
 
 from __future__ import annotations
@@ -28,40 +29,43 @@
 from puffintide.protocol.codec import decode, encode
 from puffintide.scenarios.place import Ports
 
-MAX_WAIT_S = 30.0  # for a change of ownership
+OWNERSHIP_TIMEOUT_S = 30.0  # Maximum wait for a change of ownership.
 POLL_INTERVAL_S = 0.005
 CONNECT_TIMEOUT_S = 5
 TAKEOVER_S = 2.5
-PORTS_SEED_FACTOR = 31  # so that runs beside each other use other ports
-NAME = "takeover"  # of the deployment
+PORTS_SEED_FACTOR = 31  # Gives concurrent runs different ports.
+DEPLOYMENT_NAME = "takeover"
 
 Sections = dict[str, dict[str, str]]
 
 
 class OwnershipReader:
-    """A stream to the store that records which assigner owns each slice, and since when."""
+    """A reader of the store that records the owner of each slice and the time of its last change."""
 
     def __init__(self, port: int) -> None:
         self._owner_ids: dict[int, int] = {}
         self._owned_since_s: dict[int, float] = {}
         self._socket = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
         self._socket.settimeout(None)
-        self._send(m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, NAME))
+        self._send(m.Hello(m.PROTOCOL_VERSION, "proxy", 0, 0, DEPLOYMENT_NAME))
         self._send(m.ReadRequest())
         threading.Thread(target=self._receive, daemon=True).start()
 
     def wait_until_owned(self, slice_ids: list[int], assigner_id: int) -> float:
-        """Wait until an assigner owns these slices; returns when the last of them became its own."""
-        return self._wait(slice_ids, assigner_id, is_owned=True)
+        """Wait until an assigner owns all given slices, and return the time of the last change of owner."""
+        return self._wait_for_ownership(slice_ids, assigner_id, is_owned=True)
 
     def wait_until_lost(self, slice_ids: list[int], assigner_id: int) -> float:
-        """Wait until others own all of these slices; returns when the last of them changed its owner."""
-        return self._wait(slice_ids, assigner_id, is_owned=False)
+        """Wait until others own all given slices, and return the time of the last change of owner."""
+        return self._wait_for_ownership(slice_ids, assigner_id, is_owned=False)
 
-    def _wait(self, slice_ids: list[int], assigner_id: int, is_owned: bool) -> float:
-        end_s = time.monotonic() + MAX_WAIT_S
+    def _wait_for_ownership(self, slice_ids: list[int], assigner_id: int, is_owned: bool) -> float:
+        deadline_s = time.monotonic() + OWNERSHIP_TIMEOUT_S
         while any((self._owner_ids.get(slice_id) == assigner_id) is not is_owned for slice_id in slice_ids):
-            assert time.monotonic() < end_s, f"ownership of assigner {assigner_id} is not {is_owned}"
+            assert time.monotonic() < deadline_s, (
+                f"wait for ownership by assigner {assigner_id} to become {is_owned}: "
+                f"timed out after {OWNERSHIP_TIMEOUT_S:g} s"
+            )
             time.sleep(POLL_INTERVAL_S)
         return max(self._owned_since_s[slice_id] for slice_id in slice_ids)
 
@@ -86,7 +90,7 @@
 
 
 def serve_endpoint_list(port: int, server_count: int) -> None:
-    """Serve a list of servers which all run, by threads that end with the process."""
+    """Serve an endpoint list on which all servers are ready, on daemon threads."""
     listener = socket.create_server(("127.0.0.1", port))
     entries = [m.EndpointEntry(i, i % 2, 0, 0, 1, 2.0, 1, -1.0, "127.0.0.1:9") for i in range(server_count)]
 
@@ -109,7 +113,7 @@
 
 
 def start_process(folder: Path, name: str, sections: Sections, *arguments: str) -> subprocess.Popen[str]:
-    """Start the process whose command is the name up to a hyphen, and wait until it is ready."""
+    """Start a process whose command is the name up to the first hyphen, and wait until it is ready."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_dict(sections)
     path = folder / f"{name}.ini"
@@ -119,20 +123,25 @@
     with (folder / f"{name}.err").open("a") as errors:
         process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=errors, text=True)
     assert process.stdout is not None
-    assert process.stdout.readline() == "ready\n", f"{name} did not start"
+    assert process.stdout.readline() == "ready\n", f"start of {name}: it did not print 'ready'"
     return process
 
 
 @dataclass(slots=True)
 class Durations:
-    """Seconds, a value for each kill."""
+    """Durations in seconds, one value for each kill.
+
+    Attributes:
+        takeover_s: Seconds from a kill until others owned all slices of the killed assigner.
+        reacquisition_s: Seconds from the restart of the assigner until it owned all of its slices again.
+    """
 
     takeover_s: list[float] = field(default_factory=list)
-    return_s: list[float] = field(default_factory=list)
+    reacquisition_s: list[float] = field(default_factory=list)
 
 
 class Cluster:
-    """The store and the assigners, as processes."""
+    """The processes of the store and the assigners."""
 
     def __init__(self, folder: Path, slice_count: int, server_count: int, assigner_count: int) -> None:
         ports = Ports(os.getpid() * PORTS_SEED_FACTOR)
@@ -144,7 +153,7 @@
         self._processes: dict[str, subprocess.Popen[str]] = {}
         self._sections: Sections = {
             "deployment": {
-                "name": NAME,
+                "name": DEPLOYMENT_NAME,
                 "zones": "a, b",
                 "assigners": str(assigner_count),
                 "proxies": "1",
@@ -161,7 +170,7 @@
         self._processes["store"] = start_process(self._folder, "store", self._sections | {"store": section})
 
     def start_assigner(self, assigner_id: int, incarnation: int) -> None:
-        """Start an assigner; its incarnation has to rise from start to start."""
+        """Start an assigner; its incarnation must increase with each start."""
         section = {
             "id": str(assigner_id),
             "listen": f"127.0.0.1:{self._ports[assigner_id]}",
@@ -174,7 +183,7 @@
         self._processes[name] = start_process(self._folder, name, sections, "--life", str(incarnation))
 
     def kill_assigner(self, assigner_id: int) -> None:
-        """Kill an assigner and wait for its end."""
+        """Kill an assigner and wait until it has exited."""
         process = self._processes[f"assigner-{assigner_id}"]
         process.send_signal(signal.SIGKILL)
         process.wait()
@@ -187,7 +196,7 @@
 
 
 def measure(cluster: Cluster, slice_count: int, kills: int) -> Durations:
-    """Start all processes, then kill one assigner after the other and start it again."""
+    """Start all processes, then kill and restart the assigners in turn."""
     cluster.start_store()
     for assigner_id in cluster.assigner_ids:
         cluster.start_assigner(assigner_id, 1)
@@ -208,13 +217,13 @@
         durations.takeover_s.append(reader.wait_until_lost(slice_ids, assigner_id) - killed_at_s)
         cluster.start_assigner(assigner_id, kill + 2)
         started_at_s = time.monotonic()
-        returned_at_s = reader.wait_until_owned(slice_ids, assigner_id)
-        durations.return_s.append(max(0.0, returned_at_s - started_at_s))
+        reacquired_at_s = reader.wait_until_owned(slice_ids, assigner_id)
+        durations.reacquisition_s.append(max(0.0, reacquired_at_s - started_at_s))
     return durations
 
 
 def table_row(name: str, durations_s: list[float]) -> str:
-    """The least, the median and the longest duration."""
+    """Return a table row with the minimum, the median and the maximum duration."""
     ordered = sorted(durations_s)
     return f"| {name} | {ordered[0]:.2f} | {ordered[len(ordered) // 2]:.2f} | {ordered[-1]:.2f} |"
 
@@ -226,7 +235,7 @@
 @click.option("--assigners", default=3)
 @click.option("--table", default="")
 def main(kills: int, slices: int, servers: int, assigners: int, table: str) -> None:
-    """Print the table, and write it to a file."""
+    """Print the table and write it to a file."""
     with tempfile.TemporaryDirectory() as name:
         cluster = Cluster(Path(name), slices, servers, assigners)
         try:
@@ -238,7 +247,7 @@
         "| least s | median s | most s |",
         "| --- | --- | --- | --- |",
         table_row("until others own all of its slices", durations.takeover_s),
-        table_row("until it owns them again", durations.return_s),
+        table_row("until it owns them again", durations.reacquisition_s),
     ]
     text = "\n".join(lines)
     click.echo(text)
--- a/benchmarks/zone_days.py
+++ b/benchmarks/zone_days.py
@@ -1,14 +1,16 @@
-"""Scenarios in which a zone is lost: with the zone plan, with the decision module alone, and with a uniform spread.
+"""Compares zone losses with the zone plan, with the decision module alone and with a uniform spread.
 
     python -m benchmarks.zone_days [SCENE ...] [--base days/bad-day.ini] [--seeds 3] [--jobs 3] [--out DIR]
         [--table FILE] [--plot FILE]
 
-Scenes are those of puffintide/scenarios/zone_scenarios.py, all of them by default. Each is played with the same
-seeds with three planners. "alike" is the plainest of directors: each slice goes to one of the ready servers in
-turn by its number, at once whenever the list changes. A row contains medians over the seeds: the score, that of
-the worst 10 s, how long after the first loss the service was back at 95% of what it was before, and after the
-last return; slices migrated (actions that put one on a server), servers that collapsed, and whether the rules
-were kept. All figures are of emulators.
+The scenes are those of puffintide/scenarios/zone_scenarios.py, by default all of them. Each scene is played
+with three planners and the same seeds. The planner "alike" is the simplest baseline: it places each slice on
+one ready server, chosen by the slice's number modulo their count, immediately whenever the list changes.
+
+A row has medians over the seeds: the score, the score of the worst 10 s, the time after the first loss until
+the service is back at 95% of its score before, the same after the last return, the slices migrated (actions
+that place one on a server), and the servers that collapsed. It also shows whether the rules were kept. All
+figures are of emulators.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 
 import click
 
-from benchmarks.zone_figures import Figures, read_figures
+from benchmarks.zone_figures import ZoneFigures, read_figures
 from puffintide.config.loader import read_config
 from puffintide.decisions.actions import Action, SetWeight
 from puffintide.decisions.events import (
@@ -42,7 +44,7 @@
 from puffintide.scenarios.runner import ScenarioRunner
 from puffintide.scenarios.zone_scenarios import ZONE_SCENARIOS, script
 
-PORTS_PER_RUN = 997  # runs beside each other use other ports
+PORT_RANGE_PER_RUN = 997  # Gives concurrent runs different ports.
 HEADINGS = (
     "scene",
     "planner",
@@ -57,7 +59,7 @@
 
 
 class Planner(StrEnum):
-    """What decides upon the slices of a lost zone."""
+    """Component that decides about the slices of a lost zone."""
 
     PLAN = "plan"
     MODULE = "module"
@@ -65,14 +67,14 @@
 
 
 class UniformDirector:
-    """A director to which all ready servers are alike, and which follows every change of the list at once."""
+    """A director that treats all ready servers alike and follows every change of the list immediately."""
 
     def __init__(self, _settings: Settings) -> None:
         self._statuses: dict[int, int] = {}
         self._tables: dict[int, set[int]] = {}
 
     def handle(self, _now_s: float, events: Sequence[Event]) -> list[Action]:
-        """Take in events and return the actions that make all tables uniform."""
+        """Apply events and return the actions that make all tables uniform."""
         for event in events:
             self._apply(event)
         ready_ids = sorted(i for i, status in self._statuses.items() if status == EndpointStatus.READY)
@@ -99,54 +101,56 @@
 
 
 def run_uniform_assigner(arguments: list[str]) -> None:
-    """Run an assigner process with the uniform director in place of the module's."""
+    """Run an assigner process with the uniform director in place of the decision module's director."""
     from puffintide.assigner import service
     from puffintide.cli.main import cli
 
-    patched: Any = service
-    patched.Director = UniformDirector
+    patched_service: Any = service
+    patched_service.Director = UniformDirector
     cli(["assigner", *arguments], standalone_mode=False)
 
 
-class Run(NamedTuple):
-    """A scene to play."""
+class ScenarioRun(NamedTuple):
+    """A scene to play with a planner and a seed."""
 
     scene: str
     planner: Planner
     seed: int
 
 
-def play(run: Run, base: str, out: Path, number: int) -> Figures:
-    """Play a scene over the text of a base scenario.
+def play_run(run: ScenarioRun, base: str, out: Path, number: int) -> ZoneFigures:
+    """Play a scene on top of the text of a base scenario, and return its figures.
 
     Raises:
-        PlayError: It could not be played.
+        PlayError: The scene could not be played.
     """
     folder = out / f"{run.scene}-{run.planner}-{run.seed}"
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "script.ini"
-    path.write_text(_with_planner(script(base, run.scene), run.planner), encoding="utf-8")
+    path.write_text(_text_with_planner(script(base, run.scene), run.planner), encoding="utf-8")
     config = read_config(str(path))
-    runner = ScenarioRunner(config, path.read_text(), folder, run.seed, port_start=number * PORTS_PER_RUN)
+    runner = ScenarioRunner(
+        config, path.read_text(), folder, run.seed, port_start=number * PORT_RANGE_PER_RUN
+    )
     if run.planner is Planner.UNIFORM:
         runner.assigner_command = ("benchmarks.zone_days", "--assigner")
     runner.play()
     return read_figures(folder, run.seed)
 
 
-def _with_planner(text: str, planner: Planner) -> str:
+def _text_with_planner(text: str, planner: Planner) -> str:
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     parser.read_string(text)
     if not parser.has_section("zones"):
         parser.add_section("zones")
     parser["zones"]["plan"] = "yes" if planner is Planner.PLAN else "no"
-    changed = io.StringIO()
-    parser.write(changed)
-    return changed.getvalue()
+    changed_text = io.StringIO()
+    parser.write(changed_text)
+    return changed_text.getvalue()
 
 
-def table_row(scene: str, planner: Planner, runs: Sequence[Figures]) -> str:
-    """Medians of runs, and all of their verdicts."""
+def table_row(scene: str, planner: Planner, runs: Sequence[ZoneFigures]) -> str:
+    """Return a table row with the medians of runs and all of their verdicts."""
     if not runs:
         return f"| {scene} | {planner} | not played | | | | | | |"
     cells = [
@@ -163,24 +167,24 @@
     return f"| {' | '.join(cells)} |"
 
 
-Results = dict[tuple[str, Planner], list[Figures]]
+Results = dict[tuple[str, Planner], list[ZoneFigures]]
 
 
-def play_all(runs: Iterable[Run], base: str, out: Path, jobs: int) -> Results:
-    """Play runs, so many at a time; one that can't be played is printed and left out."""
+def play_all(runs: Iterable[ScenarioRun], base: str, out: Path, jobs: int) -> Results:
+    """Play runs concurrently; a run that cannot be played is reported on standard error and left out."""
 
-    def play_or_report(number: int, run: Run) -> Figures | None:
+    def play_or_report(number: int, run: ScenarioRun) -> ZoneFigures | None:
         try:
-            return play(run, base, out, number)
+            return play_run(run, base, out, number)
         except PlayError as error:
             click.echo(f"{run.scene}, {run.planner}, seed {run.seed}: {error}", err=True)
             return None
 
     runs = list(runs)
     with ThreadPoolExecutor(jobs) as pool:
-        played = list(pool.map(play_or_report, range(len(runs)), runs))
+        played_figures = list(pool.map(play_or_report, range(len(runs)), runs))
     results: Results = defaultdict(list)
-    for run, figures in zip(runs, played, strict=True):
+    for run, figures in zip(runs, played_figures, strict=True):
         if figures is not None:
             results[run.scene, run.planner].append(figures)
     return results
@@ -196,9 +200,13 @@
     for axis, scene in zip(axes[:, 0], scenes, strict=True):
         for planner in Planner:
             series = [run.series for run in results.get((scene, planner), [])]
-            times = sorted(set.intersection(*(set(one) for one in series))) if series else []
-            medians = [statistics.median(one[at_s] for one in series) for at_s in times]
-            axis.plot(times, medians, label=planner)
+            shared_times_s = (
+                sorted(set.intersection(*(set(run_series) for run_series in series))) if series else []
+            )
+            medians = [
+                statistics.median(run_series[at_s] for run_series in series) for at_s in shared_times_s
+            ]
+            axis.plot(shared_times_s, medians, label=planner)
         axis.set_title(f"{scene}: {ZONE_SCENARIOS[scene].description}", fontsize=9)
         axis.set_ylabel("score")
         axis.set_ylim(0, 1.05)
@@ -233,11 +241,11 @@
     table: str,
     plot: str,
 ) -> None:
-    """Play scenes, print the table, and write it and the curves to files."""
+    """Play scenes, print the table, and write the table and the curves to files."""
     played_scenes = scenes or tuple(ZONE_SCENARIOS)
     played_planners = [Planner(planner) for planner in planners] or list(Planner)
     runs = [
-        Run(scene, planner, seed)
+        ScenarioRun(scene, planner, seed)
         for scene in played_scenes
         for seed in range(1, seeds + 1)
         for planner in played_planners
--- a/benchmarks/zone_loads.py
+++ b/benchmarks/zone_loads.py
@@ -1,11 +1,11 @@
-"""The work that each server of a scenario was sent, second by second, beside its capacity.
+"""Shows the work that each server of a scenario received over time, relative to its capacity.
 
     python -m benchmarks.zone_loads DIR [--plot FILE]
 
-From the recording proxy's records: the work of each attempt that reached a server, as a fraction of the server's
-capacity (cores times speed), in means over 3 s. A server that warms up counts with its full capacity, so that its
-curve shows its slow start. Prints, for each zone, the highest mean and the longest time that any of its servers was
-above its capacity.
+The figures come from the recording proxy's records: the work of each attempt that reached a server, as a
+fraction of the server's capacity (cores times speed), in means over 3 s. A server that is warming up counts
+with its full capacity, so that its curve shows the slow start. For each zone, the output is the highest mean
+and the longest time that any of its servers was above its capacity.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from puffintide.config.loader import read_config
 from puffintide.protocol.messages import AttemptRequest
 
-MEAN_OVER_S = 3
-SERVER_LINK_PREFIX = "try:"  # of the names of network paths to servers
-COLOURS = ("tab:red", "tab:blue", "tab:green", "tab:orange")  # by zone
+MEAN_WINDOW_S = 3  # Window of the moving means.
+SERVER_LINK_PREFIX = "try:"  # Prefix of the names of network paths to servers.
+ZONE_COLOURS = ("tab:red", "tab:blue", "tab:green", "tab:orange")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoads:
-    """The load of each server.
+    """The load of each server over the scenario.
 
     Attributes:
-        utilization: fractions of capacity by server id, a value for each second of the scenario.
-        zones: by server id.
+        utilization: Fractions of capacity by server id, with one value for each second of the scenario.
+        zones: Zones by server id.
     """
 
     utilization: dict[int, list[float]]
@@ -41,29 +41,31 @@
 
 
 def read_loads(folder: Path) -> ServerLoads:
-    """Work out the load from the records of a scenario.
+    """Compute the load from the records of a scenario.
 
     Raises:
-        ConfigError: day.ini of the folder is invalid or has no [day].
+        ConfigError: The file day.ini of the folder is invalid or has no section [day].
     """
     config = read_config(str(folder / "day.ini"), ("day",))
     assert config.day is not None
     duration_s = int(config.day.length_s)
     started_at_s = _first_row(folder / "day.jsonl", "begin")["t"]
-    starts = [row for row in read_json_lines(folder / "fleet.jsonl") if row["what"] == "start"]
-    capacity = {row["server"]: row["capacity"] for row in starts}
-    zones = {row["server"]: row["zone"] for row in starts}
+    start_rows = [row for row in read_json_lines(folder / "fleet.jsonl") if row["what"] == "start"]
+    capacity = {row["server"]: row["capacity"] for row in start_rows}
+    zones = {row["server"]: row["zone"] for row in start_rows}
     with (folder / "tap.jsonl").open("rb") as lines:
-        work_s = _work_by_second(read_records(lines, "tap.jsonl").records, started_at_s)
+        work_by_second_s = _work_by_second(read_records(lines, "tap.jsonl").records, started_at_s)
     utilization = {}
     for server_id in sorted(capacity):
-        by_second = [work_s[server_id][second] / capacity[server_id] for second in range(duration_s)]
-        utilization[server_id] = _moving_means(by_second)
+        utilization_by_second = [
+            work_by_second_s[server_id][second] / capacity[server_id] for second in range(duration_s)
+        ]
+        utilization[server_id] = _moving_means(utilization_by_second)
     return ServerLoads(utilization, zones)
 
 
 def longest_run_above(values: Iterable[float], threshold: float) -> int:
-    """The number of values in the longest sequence above a threshold."""
+    """Return the length of the longest sequence of values above a threshold."""
     longest = 0
     current = 0
     for value in values:
@@ -79,22 +81,22 @@
 def _work_by_second(
     records: Iterable[Record], started_at_s: float
 ) -> defaultdict[int, defaultdict[int, float]]:
-    """Work in seconds that reached each server, by second since the start."""
-    work_s: defaultdict[int, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
+    """Return the work in seconds that reached each server, by second since the start."""
+    work_by_second_s: defaultdict[int, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
     for record in records:
         if not isinstance(record.message, AttemptRequest) or record.delivered_at_s is None:
             continue
         if not record.link.startswith(SERVER_LINK_PREFIX):
             continue
         server_id = int(record.link.removeprefix(SERVER_LINK_PREFIX))
-        work_s[server_id][int(record.delivered_at_s - started_at_s)] += record.message.work_s
-    return work_s
+        work_by_second_s[server_id][int(record.delivered_at_s - started_at_s)] += record.message.work_s
+    return work_by_second_s
 
 
 def _moving_means(values: list[float]) -> list[float]:
-    """The mean of each value and those before it, over MEAN_OVER_S values as far as there are any."""
+    """Return the mean of each value and the values before it, over at most MEAN_WINDOW_S values."""
     return [
-        sum(values[max(0, index - MEAN_OVER_S + 1) : index + 1]) / min(MEAN_OVER_S, index + 1)
+        sum(values[max(0, index - MEAN_WINDOW_S + 1) : index + 1]) / min(MEAN_WINDOW_S, index + 1)
         for index in range(len(values))
     ]
 
@@ -107,7 +109,7 @@
 
     figure, axes = pyplot.subplots(figsize=(7, 3.5))
     for server_id, values in loads.utilization.items():
-        colour = COLOURS[loads.zones[server_id] % len(COLOURS)]
+        colour = ZONE_COLOURS[loads.zones[server_id] % len(ZONE_COLOURS)]
         axes.plot(values, color=colour, linewidth=0.8, alpha=0.7)
     axes.axhline(1.0, color="black", linewidth=0.6)
     axes.set_xlabel("seconds")
@@ -120,7 +122,7 @@
 @click.argument("folder")
 @click.option("--plot", default="")
 def main(folder: str, plot: str) -> None:
-    """Print the table of zones, and draw the curves of all servers to a file."""
+    """Print the table of zones and draw the curves of all servers to a file."""
     loads = read_loads(Path(folder))
     click.echo("| zone | servers | highest mean of 3 s, fraction of capacity | longest above capacity s |")
     click.echo("| --- | --- | --- | --- |")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The packages import each other downwards only, as docs/architecture.md has it."""
+"""Checks that packages import only packages of lower layers, as docs/architecture.md specifies."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "puffintide"
-LAYERS = [  # from the bottom; modules directly in puffintide/ are not listed: they import no package above protocol
+# Layers from the bottom up. Modules directly in puffintide/ are not listed: they import no package above
+# protocol.
+LAYERS = [
     ["decisions", "tls"],
     ["config", "protocol"],
     ["replication", "zones"],
@@ -44,13 +46,15 @@
 @pytest.mark.parametrize("package", sorted(LAYER_BY_PACKAGE))
 def test_package_imports_lower_layers_only(package: str) -> None:
     for path in (PACKAGE / package).rglob("*.py"):
-        others = (imported_packages(path) & LAYER_BY_PACKAGE.keys()) - {package}
-        upwards = {other for other in others if LAYER_BY_PACKAGE[other] >= LAYER_BY_PACKAGE[package]}
-        assert not upwards, f"{path} imports {upwards}"
+        internal_imports = (imported_packages(path) & LAYER_BY_PACKAGE.keys()) - {package}
+        upward_imports = {
+            other for other in internal_imports if LAYER_BY_PACKAGE[other] >= LAYER_BY_PACKAGE[package]
+        }
+        assert not upward_imports, f"{path} imports {upward_imports}"
 
 
 @pytest.mark.parametrize("package", ["decisions", "bench_adapter"])
-def test_decisions_and_their_bench_adapter_need_the_standard_library_alone(package: str) -> None:
+def test_decisions_and_bench_adapter_import_standard_library_only(package: str) -> None:
     for path in (PACKAGE / package).rglob("*.py"):
         assert imported_packages(path) <= {"decisions", "bench_adapter"}, path
         roots = {name.split(".")[0] for name in imported_modules(path)} - {"puffintide"}
