--- a/benchmarks/replication_processes.py
+++ b/benchmarks/replication_processes.py
@@ -5,7 +5,7 @@
 Four situations are measured:
 
 - One assigner of a group is killed, loses its memory and restarts: the time and the resources until it has
-  the rows of the others, and the delay of the others' timers meanwhile. A decision that is due then is as late.
+  the rows of the others, and the delay of the others' timers meanwhile. A decision due then is as late.
 - One assigner is paused and resumed: the time until all replicas are equal.
 - All assigners are idle: processor time and traffic.
 - A store that lost its disk is restored by three assigners: the time that this takes.
