--- a/puffintide/cli/__init__.py
+++ b/puffintide/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, on click and rich."""
+"""Command line of the program, built on click and rich."""
--- a/puffintide/cli/common.py
+++ b/puffintide/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: how they read a configuration, reach the operator's peers, and print."""
+"""Helpers that the commands share: reading a configuration, connecting as an operator, and printing."""
 
 from __future__ import annotations
 
@@ -23,10 +23,17 @@
 
 
 def load_config(path: str, *required_sections: str) -> Config:
-    """Read a configuration file.
+    """Read and validate a configuration file.
+
+    Args:
+        path: Path of the INI file.
+        *required_sections: Titles of the sections that must be present in addition to [deployment].
+
+    Returns:
+        The validated configuration.
 
     Raises:
-        CommandError: It is invalid, or lacks a section; with a line for each fault.
+        CommandError: The file is invalid or lacks a section; the message has one line for each error.
     """
     try:
         return read_config(path, required_sections)
@@ -38,14 +45,14 @@
     """Check that a file exists.
 
     Raises:
-        CommandError: It does not.
+        CommandError: The file does not exist.
     """
     if not Path(path).is_file():
-        raise CommandError(f"{path}: is not there")
+        raise CommandError(f"{path}: file does not exist")
 
 
 def operator_client(config: Config) -> OperatorClient:
-    """A client for the [operator] section of a configuration, with its certificates."""
+    """Create a client from the [operator] and [tls] sections of a configuration."""
     from puffintide.cli.operator_client import OperatorClient
     from puffintide.cli.process_runtime import tls_contexts
     from puffintide.logs import setup
--- a/puffintide/cli/emulator_commands.py
+++ b/puffintide/cli/emulator_commands.py
@@ -1,4 +1,4 @@
-"""The standin command group: the emulators of a scenario, which `day run` starts."""
+"""Commands that run the emulators of a scenario."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @click.group("standin")
 def standin() -> None:
-    """Emulators of a scenario; `day run` starts them."""
+    """Run the emulators of a scenario. `day run` starts these commands."""
 
 
 @standin.command("fleet")
 @click.option("--out", required=True)
 def fleet(out: str) -> None:
-    """Session servers and their list."""
+    """Run the emulated session servers and the endpoint list."""
     from puffintide.cli.emulator_processes import run_fleet
 
     run_fleet(Path(out))
@@ -24,10 +24,10 @@
 @standin.command("tap")
 @click.option("--out", required=True)
 def tap(out: str) -> None:
-    """The proxy that records what passes between the parties."""
-    from puffintide.cli.emulator_processes import run_tap
+    """Run the recording proxy, which records the messages between processes."""
+    from puffintide.cli.emulator_processes import run_recording_proxy
 
-    run_tap(Path(out))
+    run_recording_proxy(Path(out))
 
 
 @standin.command("proxies")
@@ -35,7 +35,7 @@
 @click.option("--first", type=int, required=True)
 @click.option("--last", type=int, required=True)
 def proxies(out: str, first: int, last: int) -> None:
-    """Plain proxies, numbered from first up to last."""
+    """Run the proxies with ids from FIRST up to, but not including, LAST."""
     from puffintide.cli.emulator_processes import run_proxies
 
     run_proxies(Path(out), first, last)
@@ -44,7 +44,7 @@
 @standin.command("clients")
 @click.option("--out", required=True)
 def clients(out: str) -> None:
-    """Clients that send the scenario's requests."""
+    """Run the clients, which send the requests of the scenario."""
     from puffintide.cli.emulator_processes import run_clients
 
     run_clients(Path(out))
--- a/puffintide/cli/emulator_processes.py
+++ b/puffintide/cli/emulator_processes.py
@@ -1,4 +1,4 @@
-"""Starts the emulators of a scenario. The runner controls them by JSON lines on standard input."""
+"""Runs the emulators of a scenario, which the scenario runner controls by JSON lines on standard input."""
 
 from __future__ import annotations
 
@@ -23,43 +23,44 @@
 
 MAX_CLIENTS_PER_PROXY = 10
 COMPLETION_CHECK_INTERVAL_S = 0.2
-LAST_RESPONSES_S = 0.5  # between the last request's end and that of the process
+# Time between the end of the last request and that of the process, in seconds.
+FINAL_RESPONSE_GRACE_S = 0.5
 
-Command = Callable[[str, dict[str, Any]], object]  # operation and arguments
+CommandHandler = Callable[[str, dict[str, Any]], object]  # Takes an operation and its arguments.
 
 
 class _ControlReceiver(LineOnlyReceiver):
-    """Commands of the runner; the end of the input ends the process."""
+    """Executes the commands of the scenario runner, and stops the process at the end of the input."""
 
     delimiter = b"\n"
 
-    def __init__(self, reactor: Any, execute: Command) -> None:
+    def __init__(self, reactor: Any, execute: CommandHandler) -> None:
         self.reactor = reactor
         self.execute = execute
 
     def lineReceived(self, line: bytes) -> None:
-        """Execute one command."""
-        row = json.loads(line)
-        self.execute(row["what"], row["args"])
+        """Decode and execute one command."""
+        command = json.loads(line)
+        self.execute(command["what"], command["args"])
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002
-        """The runner has ended."""
+        """Stop the reactor, as the scenario runner has ended."""
         if self.reactor.running:
             self.reactor.stop()
 
 
-def _run_controlled(reactor: Any, execute: Command) -> None:
+def _run_controlled(reactor: Any, execute: CommandHandler) -> None:
     StandardIO(_ControlReceiver(reactor, execute), reactor=reactor)  # type: ignore[no-untyped-call]
     run_reactor(reactor)
 
 
 @contextlib.contextmanager
-def _ports_required() -> Iterator[None]:
-    """A port that is in use ends the process with one line."""
+def _exit_if_port_in_use() -> Iterator[None]:
+    """End the process with one line on stderr if a port cannot be listened on."""
     try:
         yield
     except CannotListenError as error:
-        exit_with_error(f"can't listen on {error.interface}:{error.port}: {error.socketError}")
+        exit_with_error(f"cannot listen on {error.interface}:{error.port}: {error.socketError}")
 
 
 def _read_scenario(folder: Path) -> tuple[Config, Place]:
@@ -76,13 +77,13 @@
     addresses = [place.tapped(f"try:{server_id}") for server_id in range(len(place.servers))]
     with (folder / "fleet.jsonl").open("w", encoding="utf-8") as record:
         service = FleetService(reactor, config, place.servers, addresses, record)
-        with _ports_required():
+        with _exit_if_port_in_use():
             service.start(place.news)
         _run_controlled(reactor, service.execute)
 
 
-def run_tap(folder: Path) -> None:
-    """Run the recording proxy."""
+def run_recording_proxy(folder: Path) -> None:
+    """Run the recording proxy until the runner ends."""
     from puffintide.scenarios.link_faults import parse_link_fault
     from puffintide.scenarios.recording_proxy import RecordingProxy
 
@@ -99,14 +100,14 @@
 
     with (folder / "tap.jsonl").open("wb", buffering=1 << 16) as sink:
         proxy = RecordingProxy(reactor, place.links, config.net.model_dump(), config.day.seed, sink)
-        with _ports_required():
+        with _exit_if_port_in_use():
             proxy.listen()
         _run_controlled(reactor, execute)
         proxy.close()
 
 
 def run_proxies(folder: Path, first: int, last: int) -> None:
-    """Run proxies, numbered from first up to last, in one process."""
+    """Run the proxies with ids from first up to, but not including, last in one process."""
     from puffintide.config.schema import ProxyProcess
     from puffintide.proxy.service import ProxyService
 
@@ -131,7 +132,7 @@
 
 
 def run_clients(folder: Path) -> None:
-    """Run the clients, until their last request has ended."""
+    """Run the clients until their last request has ended."""
     from puffintide.emulators.clients import Clients
 
     reactor = monotonic_reactor()
@@ -139,7 +140,7 @@
 
     def stop_when_done() -> None:
         if clients.done():
-            reactor.callLater(LAST_RESPONSES_S, reactor.stop)
+            reactor.callLater(FINAL_RESPONSE_GRACE_S, reactor.stop)
         else:
             reactor.callLater(COMPLETION_CHECK_INTERVAL_S, stop_when_done)
 
--- a/puffintide/cli/errors.py
+++ b/puffintide/cli/errors.py
@@ -8,15 +8,15 @@
 
 
 class CommandError(click.ClickException):
-    """A command failed: one line for each fault, exit code 2."""
+    """Failure of a command; the message has one line for each error, and the exit code is 2."""
 
     exit_code = 2
 
     def show(self, file: IO[Any] | None = None) -> None:  # noqa: ARG002
-        """Print the faults on stderr."""
+        """Print each line of the message on stderr."""
         for line in self.message.splitlines():
             click.echo(f"puffintide: {line}", err=True)
 
 
 class OperatorError(CommandError):
-    """There is no response to an operator's request, or it was rejected."""
+    """Rejection of an operator's request, or lack of a response to it."""
--- a/puffintide/cli/key_commands.py
+++ b/puffintide/cli/key_commands.py
@@ -1,4 +1,4 @@
-"""The keys command: a development authority and its certificates."""
+"""Command that creates a development certificate authority and certificates."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 @click.option("--deployment", default="default")
 @click.option("--days", default=90.0)
 def keys(folder: str, names: tuple[str, ...], deployment: str, days: float) -> None:
-    """Makes a development authority in FOLDER, and certificates for NAMES such as assigner-0, proxy-3, store-0."""
+    """Create a development authority and certificates.
+
+    The authority is created in FOLDER if there is none, and a certificate for each of NAMES. A name is
+    ROLE-NUMBER, such as assigner-0, proxy-3 or store-0.
+    """
     from puffintide.tls.errors import KeyCreationError
     from puffintide.tls.keys import create_authority, create_certificate
 
@@ -27,7 +31,7 @@
         for name in names:
             role, _, number = name.rpartition("-")
             if not role or not number.isdigit():
-                raise KeyCreationError(f"{name!r} is not ROLE-NUMBER")
+                raise KeyCreationError(f"name {name!r} must be ROLE-NUMBER, such as assigner-0")
             dns_name = f"{name}.{deployment}.puffintide"
             create_certificate(path, dns_name, days)
             click.echo(f"{path / dns_name}.pem: written")
--- a/puffintide/cli/main.py
+++ b/puffintide/cli/main.py
@@ -1,4 +1,7 @@
-"""puffintide: the commands. Each reads its arguments, calls the package that does the work, and prints."""
+"""Entry point of the puffintide command, with all its subcommands.
+
+Each command reads its arguments, calls the package that does the work, and prints the result.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 @click.group()
 @click.version_option(package_name="puffintide", prog_name="puffintide")
 def cli() -> None:
-    """A traffic director: hands tables to plain proxies and keeps service good when things fail."""
+    """Run and operate a traffic director, which sends tables to proxies and limits the effect of failures."""
 
 
 for command in (check_config, assigner, store, copies, charge, proxy, zone, keys, standin, day, audit):
--- a/puffintide/cli/operator_client.py
+++ b/puffintide/cli/operator_client.py
@@ -18,20 +18,20 @@
 from puffintide.tls.context import TlsContextFactory
 
 RESPONSE_TIMEOUT_S = 5.0
-NO_ORIGIN = -1
+NO_ORIGIN = -1  # Origin id of a replica that belongs to no assigner.
 
 
 class _Exchange:
-    """One request on a stream of its own, and what came back."""
+    """Request on its own stream, and the response to it."""
 
     def __init__(self, request: m.Message) -> None:
         self.request = request
-        self.response: AnyMessage | str | None = None  # a text: why there is none
+        self.response: AnyMessage | str | None = None  # A text is the reason why there is no response.
         self.ownerships: list[m.SliceOwnership] = []
         self.deltas: list[m.ReplicationDelta] = []
 
     def receive(self, message: AnyMessage) -> None:
-        """Handle a message that is not the greeting."""
+        """Collect a part of the response, or complete the exchange with its last message."""
         match message:
             case m.SliceOwnerships():
                 self.ownerships.extend(message.ownerships)
@@ -45,17 +45,19 @@
                 self.complete(message.reason)
 
     def complete(self, response: AnyMessage | str) -> None:
-        """The response; only the first one counts."""
+        """Set the response, unless there is one already."""
         if self.response is None:
             self.response = response
 
 
 class OperatorClient:
-    """Runs the reactor until all requests have a response, or time is up. Usable once per process.
+    """Sends requests, and runs the reactor until all have a response or the timeout has passed.
+
+    It can be used once per process, as the reactor cannot be started again.
 
     Args:
-        config: With an operator's section.
-        tls: Certificates; None for plain TCP.
+        config: Configuration with an [operator] section.
+        tls: Source of TLS contexts, or None for plain TCP.
     """
 
     def __init__(self, config: Config, tls: TlsContextFactory | None = None) -> None:
@@ -67,7 +69,15 @@
         self._exchanges: list[_Exchange] = []
 
     def request_zone_command(self, zone: str, operation: str, pace: float) -> m.ZoneCommands:
-        """Order a zone drained, held or returned. Returns the commands in force.
+        """Send a command that drains, holds or returns a zone.
+
+        Args:
+            zone: Name of the zone.
+            operation: "drain", "hold" or "return".
+            pace: Speed of the steps, as a factor; 1 is the default speed.
+
+        Returns:
+            The zone commands in force.
 
         Raises:
             OperatorError: The zone is unknown, or the store did not accept the command.
@@ -82,10 +92,10 @@
         return response
 
     def send_to_store(self, message: m.Message) -> str:
-        """Send an order to the store, and return its note.
+        """Send a command to the store, and return the note in its response; empty if there is none.
 
         Raises:
-            OperatorError: The store did not accept the order.
+            OperatorError: The store did not accept the command.
         """
         response = self._request_store(message)
         if isinstance(response, m.CommandCompleted):
@@ -95,10 +105,10 @@
         return ""
 
     def read_ownerships(self) -> list[m.SliceOwnership]:
-        """Tables and owners of all slices, as the store has them.
+        """Read the tables and owners of all slices from the store.
 
         Raises:
-            OperatorError: The store did not answer.
+            OperatorError: The store did not respond.
         """
         response = self._request_store(m.ReadRequest())
         if not isinstance(response, m.SliceOwnerships):
@@ -106,7 +116,11 @@
         return response.ownerships
 
     def read_replicas(self) -> dict[str, Replica | str]:
-        """What each assigner has of the others, by address; a text where it did not answer."""
+        """Read each assigner's replica of the others.
+
+        Returns:
+            The replicas by address; a text is the reason why an assigner did not respond.
+        """
         self._run([(address, m.ReplicaRequest()) for address in self.operator.assigners])
         replicas: dict[str, Replica | str] = {}
         for address, exchange in zip(self.operator.assigners, self._exchanges, strict=True):
@@ -120,7 +134,11 @@
         return replicas
 
     def read_zone_status(self) -> dict[str, m.ZoneStatusReport | str]:
-        """How each assigner judges the zones, by address; a text where it did not answer."""
+        """Read each assigner's status of the zones.
+
+        Returns:
+            The reports by address; a text is the reason why an assigner did not respond.
+        """
         self._run([(address, m.ZoneStatusRequest()) for address in self.operator.assigners])
         reports: dict[str, m.ZoneStatusReport | str] = {}
         for address, exchange in zip(self.operator.assigners, self._exchanges, strict=True):
@@ -133,7 +151,7 @@
         return _response_of(self._exchanges[0])
 
     def _run(self, requests: list[tuple[str, m.Message]]) -> None:
-        """Send each request to its address, and wait for the responses."""
+        """Send each request to its address, and wait for the responses or the timeout."""
         self._exchanges = [_Exchange(request) for _, request in requests]
         for (address, _), exchange in zip(requests, self._exchanges, strict=True):
             client = StreamClient(
--- a/puffintide/cli/ownership_commands.py
+++ b/puffintide/cli/ownership_commands.py
@@ -1,4 +1,4 @@
-"""The charge command group: which assigner owns which slices."""
+"""Commands that show and change which assigner owns which slices."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @click.group("charge")
 def charge() -> None:
-    """Which assigner owns which slices; needs an [operator] section."""
+    """Show and change which assigner owns which slices. Needs an [operator] section."""
 
 
 @charge.command("move")
@@ -24,17 +24,20 @@
 @click.argument("assigner", type=int)
 @operator_config_option
 def move(slices: str, assigner: int, path: str) -> None:
-    """Makes ASSIGNER the home of SLICES, such as 3,7 or 10-19; -1 undoes that. They migrate step by step."""
+    """Set ASSIGNER as the home of SLICES, such as 3,7 or 10-19.
+
+    The assigner -1 restores their default homes. The slices migrate step by step.
+    """
     slice_ids = parse_slices(slices)
     send_to_store(path, MigrateSlices(slice_ids, assigner, "operator"))
     click.echo(f"{len(slice_ids)} slices have their home at assigner {assigner}")
 
 
 def parse_slices(text: str) -> list[int]:
-    """Slices from numbers and ranges, parted by commas.
+    """Parse comma-separated numbers and ranges of slices.
 
     Raises:
-        CommandError: The text is nothing of that kind.
+        CommandError: The text has another form, or a range is too long.
     """
     slice_ids: list[int] = []
     for word in text.split(","):
@@ -42,7 +45,9 @@
         last = last if dash else first
         valid = first.isdigit() and last.isdigit()
         if not valid or int(last) - int(first) > MAX_RANGE_LENGTH:
-            raise CommandError(f"slices {text!r}: must be numbers or ranges, such as 3,7 or 10-19")
+            raise CommandError(
+                f"slices {text!r}: must be comma-separated numbers or ranges, such as 3,7 or 10-19"
+            )
         slice_ids += range(int(first), int(last) + 1)
     return slice_ids
 
@@ -50,7 +55,7 @@
 @charge.command("show")
 @operator_config_option
 def show(path: str) -> None:
-    """How many slices each assigner owns, and which."""
+    """Show how many slices each assigner owns, and which."""
     ownerships = operator_client(load_config(path, "operator")).read_ownerships()
     table = Table("assigner", "slices", "which")
     for owner_id in sorted({ownership.owner_id for ownership in ownerships}):
@@ -61,7 +66,7 @@
 
 
 def format_ranges(numbers: list[int]) -> str:
-    """Numbers as ranges, such as 3, 10-19; long lists are cut."""
+    """Format numbers as ranges, such as "3, 10-19"; after MAX_SHOWN_RANGES the list is truncated."""
     ranges: list[list[int]] = []
     for number in sorted(numbers):
         if ranges and number == ranges[-1][-1] + 1:
--- a/puffintide/cli/process_commands.py
+++ b/puffintide/cli/process_commands.py
@@ -1,4 +1,4 @@
-"""Commands that run one process of a deployment."""
+"""Commands that check a configuration or run one process of a deployment."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @click.command("check-config")
 @click.argument("file")
 def check_config(file: str) -> None:
-    """Checks an INI file, and reports every error at once."""
+    """Check an INI file, and report all its errors."""
     config = load_config(file)
     click.echo(
         f"{file}: good ({config.deployment.name}: {config.deployment.slices} slices, "
@@ -20,9 +20,9 @@
 
 @click.command()
 @click.option("--config", "path", required=True, help="INI file with an [assigner] section.")
-@click.option("--life", default=0, help="Incarnation of this assigner; by default the time.")
+@click.option("--life", default=0, help="Incarnation of this assigner; 0 means the time in seconds.")
 def assigner(path: str, life: int) -> None:
-    """Runs one assigner until it is stopped."""
+    """Run an assigner until it is stopped."""
     from puffintide.cli.processes import run_assigner
 
     run_assigner(load_config(path, "assigner"), life)
@@ -31,7 +31,7 @@
 @click.command()
 @click.option("--config", "path", required=True, help="INI file with a [proxy] section.")
 def proxy(path: str) -> None:
-    """Runs one proxy."""
+    """Run a proxy until it is stopped."""
     from puffintide.cli.processes import run_proxy
 
     run_proxy(load_config(path, "proxy"))
--- a/puffintide/cli/process_runtime.py
+++ b/puffintide/cli/process_runtime.py
@@ -1,4 +1,4 @@
-"""How every process listens, runs on the reactor, and ends."""
+"""Functions with which every process listens, runs on the reactor, and ends."""
 
 from __future__ import annotations
 
@@ -21,13 +21,19 @@
 
 
 def exit_with_error(text: str) -> NoReturn:
-    """End the process with one line on stderr."""
+    """End the process with one line on stderr and exit code 2."""
     print(f"puffintide: {text}", file=sys.stderr)
     sys.exit(EXIT_INVALID_INPUT)
 
 
 def tls_contexts(config: Config, log: Logger) -> TlsContextFactory | None:
-    """The contexts of a configuration's [tls] section; None without one. Unusable files end the process."""
+    """Create the source of TLS contexts from a configuration's [tls] section.
+
+    Invalid files end the process.
+
+    Returns:
+        The source of TLS contexts, or None if the configuration has no [tls] section.
+    """
     if config.tls is None:
         return None
     try:
@@ -42,7 +48,7 @@
 
 
 def _listen_shared(reactor: Any, host: str, port: int, factory: Any, tls: TlsContextFactory | None) -> Any:
-    """Listen on a port that several processes share; the system distributes connections among them."""
+    """Listen on a port that several processes share; the kernel distributes connections among them."""
     listener = socket.socket()
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -55,13 +61,13 @@
     except OSError as error:
         raise CannotListenError(host, port, error) from error  # type: ignore[no-untyped-call]
     finally:
-        listener.close()  # the reactor has its own copy
+        listener.close()  # The reactor has duplicated the file descriptor.
 
 
 def listen(
     reactor: Any, address: str, factory: Any, tls: TlsContextFactory | None = None, shared: bool = False
 ) -> Any:
-    """Listen on HOST:PORT, and return the port. An address that can't be used ends the process."""
+    """Listen on HOST:PORT, and return the listening port. A failure ends the process."""
     host, _, port = address.rpartition(":")
     try:
         if shared:
@@ -70,15 +76,16 @@
             return reactor.listenTCP(int(port), factory, LISTEN_BACKLOG, host)
         return reactor.listenSSL(int(port), factory, tls, LISTEN_BACKLOG, host)
     except CannotListenError as error:
-        exit_with_error(f"can't listen on {address}: {error.socketError}")
+        exit_with_error(f"cannot listen on {address}: {error.socketError}")
 
 
 def run_reactor(reactor: Any, shut_down: Callable[[Callable[[], None]], None] | None = None) -> None:
-    """Print "ready", and run until SIGTERM or Ctrl-C.
+    """Print "ready", and run the reactor until SIGTERM or Ctrl-C.
 
     Args:
-        reactor: Not running yet.
-        shut_down: Called at SIGTERM; it has to call its argument once the service has stopped. None: stop at once.
+        reactor: The reactor, which does not run yet.
+        shut_down: Called at SIGTERM; must call its argument once the service has stopped. None stops the
+            reactor at once.
     """
 
     def stop() -> None:
@@ -95,6 +102,6 @@
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(on_sigterm))
 
     set_handler()
-    reactor.callWhenRunning(set_handler)  # the reactor has set its own as it started
+    reactor.callWhenRunning(set_handler)  # The reactor sets its own handler as it starts.
     print("ready", flush=True)
     reactor.run()
--- a/puffintide/cli/processes.py
+++ b/puffintide/cli/processes.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a deployment: assigner, store, proxy."""
+"""Runs the processes of a deployment: assigner, store and proxy."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     """Run an assigner until it is stopped.
 
     Args:
-        config: With an [assigner] section.
-        incarnation: Of this assigner; 0: the time in seconds.
+        config: Configuration with an [assigner] section.
+        incarnation: Incarnation of this assigner; 0 means the time in seconds.
     """
     from puffintide.assigner.service import AssignerService
 
@@ -42,18 +42,21 @@
 
 
 def _backup_path(folder: str, name: str) -> str:
-    """The path of a backup.
+    """Return the path of a backup.
 
     Raises:
-        ValueError: The name is not that of a file in the folder.
+        ValueError: The name is not a valid name of a file in the folder.
     """
     if not name or name.startswith(".") or "/" in name or len(name) > MAX_BACKUP_NAME_LENGTH:
-        raise ValueError(f"{name[:MAX_BACKUP_NAME_LENGTH]!r} is no name of a file")
+        raise ValueError(
+            f"backup {name[:MAX_BACKUP_NAME_LENGTH]!r}: must be a file name of 1 to {MAX_BACKUP_NAME_LENGTH} "
+            "characters, without '/' and not starting with '.'"
+        )
     return str(Path(folder) / name)
 
 
 def _storage_engine(config: Config, process: StoreProcess) -> StorageEngine:
-    """The engine that a store is configured for."""
+    """Create the storage engine that a store is configured with."""
     from puffintide.store.memory import MemoryEngine
     from puffintide.store.sqlite import SqliteEngine
 
@@ -71,7 +74,7 @@
 def _load_tables(
     config: Config, process: StoreProcess, ledger: OwnershipLedger
 ) -> tuple[StorageEngine, StoreSnapshot]:
-    """Open the store's engine, and load what it has into the ledger. A failure ends the process."""
+    """Open the storage engine, and load its contents into the ledger. A failure ends the process."""
     from puffintide.store.errors import StoreError
     from puffintide.store.initial_tables import read_initial_tables
 
@@ -101,7 +104,7 @@
 
 
 def _table_restore(config: Config, process: StoreProcess) -> TableRestore | None:
-    """Restores an empty store from the assigners' replicas; None where that is not configured."""
+    """Create the restore of an empty store from the assigners' replicas, or None if it is not configured."""
     from puffintide.replication.table_restore import TableRestore
 
     if not process.refill:
@@ -110,7 +113,7 @@
 
 
 def run_store(config: Config) -> None:
-    """Run the store until it is stopped, or another one has taken its place."""
+    """Run the store until it is stopped or superseded by another store process."""
     from functools import partial
 
     from twisted.internet.defer import maybeDeferred
@@ -125,7 +128,7 @@
     log = setup("store", process.log, process.level)
     ledger = _ownership_ledger(config, reactor.seconds())
     engine, snapshot = _load_tables(config, process, ledger)
-    pool = ThreadPool(1, 1, "engine")  # one thread: the engine's calls follow each other
+    pool = ThreadPool(1, 1, "engine")  # One thread executes the engine's calls in sequence.
     service = StoreService(
         reactor,
         ledger,
@@ -140,19 +143,19 @@
         table_restore=_table_restore(config, process),
     )
     listen(reactor, process.listen, service.factory(), tls_contexts(config, log))
-    started = {"file": process.file, "identity": snapshot.store_id, "revision": snapshot.revision}
-    log.info("started", slices=len(snapshot.slices), **started)
+    storage = {"file": process.file, "identity": snapshot.store_id, "revision": snapshot.revision}
+    log.info("started", slices=len(snapshot.slices), **storage)
     reactor.callWhenRunning(pool.start)
     reactor.addSystemEventTrigger("during", "shutdown", pool.stop)
     service.start()
     run_reactor(reactor)
     engine.close()
     if service.superseded:
-        exit_with_error("another store serves in this one's place")
+        exit_with_error(f"store {process.listen}: superseded by another store process")
 
 
 def run_proxy(config: Config) -> None:
-    """Run a proxy until it is stopped; it shuts down gracefully."""
+    """Run a proxy until it is stopped, and shut it down gracefully."""
     from puffintide.proxy.service import ProxyService
 
     assert config.proxy is not None
--- a/puffintide/cli/replica_commands.py
+++ b/puffintide/cli/replica_commands.py
@@ -1,4 +1,4 @@
-"""The copies command group: what assigners have of each other."""
+"""Commands that show and compare the assigners' replicas of each other."""
 
 from __future__ import annotations
 
@@ -22,21 +22,22 @@
 def _conflicts(replicas: Mapping[str, Replica | str]) -> list[str]:
     from puffintide.replication.table_replicas import table_conflicts
 
-    answered = {address: replica for address, replica in replicas.items() if not isinstance(replica, str)}
-    return table_conflicts(answered)
+    available = {address: replica for address, replica in replicas.items() if not isinstance(replica, str)}
+    return table_conflicts(available)
 
 
 @click.group("copies")
 def copies() -> None:
-    """What assigners have of each other; needs an [operator] section that names them."""
+    """Show and compare the assigners' replicas. Needs an [operator] section that lists the assigners."""
 
 
 @copies.command("show")
 @operator_config_option
 def show(path: str) -> None:
-    """Origins, versions and ages, as each assigner has them; then where they differ and what counts.
+    """Show the origins, versions and ages in each assigner's replica, and the tables that conflict.
 
-    Exit 1 if one did not answer.
+    The conflicts follow the table, each with the version that takes precedence. The exit code is 1 if an
+    assigner did not respond.
     """
     table = Table("assigner", "origin", "life", "up to", "tables", "others", "youngest s", "oldest s")
     replicas = _read_replicas(path)
@@ -74,7 +75,11 @@
 @copies.command("check")
 @operator_config_option
 def check(path: str) -> None:
-    """Exit 1 and a line each where tables that ought to agree don't, or an assigner does not answer."""
+    """Check that the assigners hold the same tables.
+
+    Print one line for each table that differs and each assigner that does not respond; the exit code is 1 if
+    there is any.
+    """
     replicas = _read_replicas(path)
     problems = [f"{address}: {reason}" for address, reason in replicas.items() if isinstance(reason, str)]
     problems += _conflicts(replicas)
--- a/puffintide/cli/result_tables.py
+++ b/puffintide/cli/result_tables.py
@@ -1,4 +1,4 @@
-"""Prints the results of scenarios."""
+"""Formats and prints the results of scenarios."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 
 
 def print_result(result: ScenarioResult, folder: Path) -> None:
-    """Print the rules, the service, and what was found."""
+    """Print the verdicts of the rules, the service, the findings and the gaps in the records."""
     report = result.report
     _print_rules(result, folder)
     _print_service(result.service)
     drains_s = report.drain_durations_s
     if drains_s:
         console.print(
-            f"from hearing that a server drains or is gone to the last request sent there: "
-            f"p50 {quantile(drains_s, 0.5):.2f} s, p99 {quantile(drains_s, 0.99):.2f} s, max {drains_s[-1]:.2f} s"
+            f"time from the notice of a server's drain or removal to the last request sent to it: "
+            f"p50 {quantile(drains_s, 0.5):.2f} s, p99 {quantile(drains_s, 0.99):.2f} s, "
+            f"max {drains_s[-1]:.2f} s"
         )
     for finding in report.findings[:MAX_SHOWN_FINDINGS]:
         console.print(
-            f"{finding.rule}: at {finding.at_s:.3f}, {finding.subject}: {finding.value:.3g} beside "
+            f"{finding.rule}: at {finding.at_s:.3f}, {finding.subject}: value {finding.value:.3g}, limit "
             f"{finding.limit:.3g}, records {list(finding.records)}"
         )
     for gap in result.gaps[:MAX_SHOWN_GAPS]:
@@ -70,7 +71,12 @@
 
 
 def comparison_row(name: str, result: ScenarioResult | str) -> list[str]:
-    """A row for a table of several scenarios; a text says why one was not played."""
+    """Return the row of one scenario in a table that compares several.
+
+    Args:
+        name: Name of the scenario.
+        result: Result of the scenario; a text is the reason why it was not run.
+    """
     if isinstance(result, str):
         return [name, f"not played: {result}", "", "", "", ""]
     report = result.report
@@ -94,7 +100,7 @@
 
 
 def comparison_exit_code(results: list[ScenarioResult | str]) -> ExitCode:
-    """How a command that shows several scenarios ends."""
+    """Return the exit code of a command that shows several scenarios."""
     exit_code = ExitCode.RULES_KEPT
     for result in results:
         if isinstance(result, str):
@@ -107,5 +113,5 @@
 
 
 def markdown_table(rows: list[list[str]]) -> str:
-    """Rows as a table in Markdown."""
+    """Format rows as a Markdown table."""
     return "\n".join("| " + " | ".join(row) + " |" for row in rows)
--- a/puffintide/cli/scenario_commands.py
+++ b/puffintide/cli/scenario_commands.py
@@ -1,4 +1,4 @@
-"""The day command group, which plays scenarios, and the audit command."""
+"""Commands that run, check and import scenarios, and that audit their records."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @click.group("day")
 def day() -> None:
-    """Scenarios on loopback."""
+    """Run, check and import scenarios. All processes use loopback."""
 
 
 @day.command("check")
 @click.argument("file")
 def check(file: str) -> None:
-    """Checks a scenario's script without running it."""
+    """Check a scenario file without running it."""
     from puffintide.scenarios.faults import plan
 
     config = load_config(file, *SCENARIO_SECTIONS)
@@ -42,11 +42,14 @@
 @click.argument("source")
 @click.argument("target")
 @click.option(
-    "--scale", type=click.FloatRange(0.01, 4), default=1.0, help="Of servers, proxies, slices, load."
+    "--scale",
+    type=click.FloatRange(0.01, 4),
+    default=1.0,
+    help="Factor for the numbers of servers, proxies and slices and for the load.",
 )
-@click.option("--length", type=float, default=None, help="Cuts the scenario, seconds.")
+@click.option("--length", type=float, default=None, help="Length to cut the scenario to, in seconds.")
 def import_(source: str, target: str, scale: float, length: float | None) -> None:
-    """Turns a day drawn by the users' bench into a script."""
+    """Convert a scenario of the bench from SOURCE to a scenario file TARGET."""
     from puffintide.scenarios.errors import ImportFormatError
     from puffintide.scenarios.importer import import_day
 
@@ -62,12 +65,12 @@
 @day.command("run")
 @click.argument("file")
 @click.option("--out", required=True, help="Folder for records, logs and configurations.")
-@click.option("--seed", type=int, default=None, help="Instead of the script's own.")
-@click.option("--quiet", is_flag=True, help="No progress bar.")
+@click.option("--seed", type=int, default=None, help="Seed that replaces the one in the file.")
+@click.option("--quiet", is_flag=True, help="Do not show a progress bar.")
 def run(file: str, out: str, seed: int | None, quiet: bool) -> None:
-    """Plays a scenario, audits it and prints the result.
+    """Run a scenario, audit its records and print the result.
 
-    Exit: 0 rules kept, 1 a rule broke, 2 bad input, 3 can't tell.
+    Exit codes: 0 all rules kept, 1 a rule broken, 2 invalid input, 3 records incomplete.
     """
     from puffintide.scenarios.errors import PlayError, PortError
     from puffintide.scenarios.runner import ScenarioRunner
@@ -91,13 +94,13 @@
 
 
 def _with_seed(text: str, seed: int) -> str:
-    """The script with another seed."""
+    """Return the text of a scenario file with another seed."""
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     parser.read_string(text)
     parser["day"]["seed"] = str(seed)
-    changed = io.StringIO()
-    parser.write(changed)
-    return changed.getvalue()
+    output = io.StringIO()
+    parser.write(output)
+    return output.getvalue()
 
 
 def _play_with_progress(runner: ScenarioRunner) -> None:
@@ -114,11 +117,13 @@
 @click.argument("file")
 @click.option("--out", required=True, help="Folder for each scenario's records.")
 @click.option("--seed", type=int, default=1)
-@click.option("--jobs", type=click.IntRange(1, 8), default=2, help="Scenarios played at once.")
-@click.option("--only", multiple=True, help="Kinds to play; by default all.")
-@click.option("--table", "table_path", default="", help="A file for the table, Markdown.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 8), default=2, help="Number of scenarios run at the same time."
+)
+@click.option("--only", multiple=True, help="Kind of fault to run; by default all.")
+@click.option("--table", "table_path", default="", help="File for the table in Markdown.")
 def kinds(file: str, out: str, seed: int, jobs: int, only: tuple[str, ...], table_path: str) -> None:
-    """Plays every kind of fault alone over a scenario's fleet and load; one row each."""
+    """Run each kind of fault alone with a scenario's fleet and load, and print one row for each."""
     from puffintide.cli.result_tables import (
         COMPARISON_HEADER,
         comparison_exit_code,
@@ -151,7 +156,7 @@
 @click.command()
 @click.argument("folder")
 def audit(folder: str) -> None:
-    """Audits the records of a scenario again. Exit codes as of `day run`."""
+    """Audit the records of a scenario again. The exit codes are those of `day run`."""
     sys.exit(_print_result(Path(folder)))
 
 
--- a/puffintide/cli/store_commands.py
+++ b/puffintide/cli/store_commands.py
@@ -1,4 +1,4 @@
-"""The store command group: runs the store, and looks after its files."""
+"""Commands that run the store and manage its files."""
 
 from __future__ import annotations
 
@@ -21,21 +21,28 @@
 @click.option("--config", "path", default="", help="INI file with a [store] section.")
 @click.pass_context
 def store(context: click.Context, path: str) -> None:
-    """Runs the store of tables and ownership; with a command, looks after its files."""
+    """Run the store of tables and ownership. A subcommand manages its files."""
     from puffintide.cli.processes import run_store
 
     if context.invoked_subcommand is not None:
         return
     if not path:
-        raise CommandError("--config is missing")
+        raise CommandError("store: option --config is missing")
     run_store(load_config(path, "store"))
 
 
 def send_to_store(path: str, message: Message) -> str:
-    """Send an operator's order to the store of a configuration, and return its note.
+    """Send an operator's command to the store, and return the note in its response.
+
+    Args:
+        path: Path of an INI file with an [operator] section.
+        message: The command.
+
+    Returns:
+        The store's note; empty if there is none.
 
     Raises:
-        OperatorError: The store did not accept it.
+        OperatorError: The store did not accept the command.
     """
     return operator_client(load_config(path, "operator")).send_to_store(message)
 
@@ -44,7 +51,7 @@
 @click.argument("name")
 @operator_config_option
 def backup(name: str, path: str) -> None:
-    """Has a running store write a backup NAME into its folder for them."""
+    """Write a backup of a running store. The store writes NAME into its folder for backups."""
     click.echo(send_to_store(path, BackupRequest(name)))
 
 
@@ -52,7 +59,7 @@
 @click.argument("backup")
 @click.argument("file")
 def restore(backup: str, file: str) -> None:
-    """Puts BACKUP in place of a stopped store's FILE, which is kept as FILE.before."""
+    """Replace a stopped store's FILE with BACKUP. The old file is kept as FILE.before."""
     from puffintide.store.errors import StoreError
     from puffintide.store.sqlite_restore import restore_backup
 
@@ -67,7 +74,7 @@
 @store.command("verify")
 @click.argument("file")
 def verify(file: str) -> None:
-    """Checks every row of a stopped store's FILE, or of a backup. Exit 1 if something is damaged."""
+    """Check every row of a stopped store's FILE or of a backup. The exit code is 1 if one is damaged."""
     from puffintide.store.errors import StoreError
     from puffintide.store.sqlite import SqliteEngine
 
@@ -88,7 +95,7 @@
 @store.command("dump")
 @click.argument("file")
 def dump(file: str) -> None:
-    """Prints the contents of a stopped store's FILE, or of a backup, as JSON lines."""
+    """Print the contents of a stopped store's FILE or of a backup as JSON lines."""
     from puffintide.store.errors import StoreError
     from puffintide.store.sqlite import SqliteEngine
 
@@ -120,6 +127,9 @@
 @store.command("refill")
 @operator_config_option
 def refill(path: str) -> None:
-    """Has an empty store with `refill = yes` go on with the tables of the assigners that have answered."""
+    """Restore the tables of an empty store now.
+
+    The store must have `refill = yes`. It uses the replicas of the assigners that have responded so far.
+    """
     send_to_store(path, RestoreFromReplicas("operator"))
-    click.echo("refilled; see its log for how many tables, from whom")
+    click.echo("refilled; the store's log has the number of tables and their assigners")
--- a/puffintide/cli/zone_commands.py
+++ b/puffintide/cli/zone_commands.py
@@ -1,4 +1,4 @@
-"""The zone command group: an operator's commands for zones, and how assigners judge them."""
+"""Commands that drain, hold and return zones, and that show the assigners' status of them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 from puffintide.cli.common import console, load_config, operator_client, operator_config_option
 from puffintide.protocol.messages import ZoneStatus, ZoneStatusReport
 
-USUAL_PACE = 1.0
+DEFAULT_PACE = 1.0
 
 pace_option = click.option(
-    "--pace", type=click.FloatRange(0.1, 10), default=USUAL_PACE, help="Of its steps; 1 is the usual."
+    "--pace",
+    type=click.FloatRange(0.1, 10),
+    default=DEFAULT_PACE,
+    help="Speed of the steps, as a factor; 1 is the default.",
 )
 
 
 @click.group("zone")
 def zone() -> None:
-    """An operator's commands for zones, and how assigners judge them; needs an [operator] section."""
+    """Drain, hold and return zones, and show their status. Needs an [operator] section."""
 
 
 def _send(path: str, name: str, operation: str, pace: float) -> None:
@@ -37,7 +40,10 @@
 @operator_config_option
 @pace_option
 def drain(name: str, path: str, pace: float) -> None:
-    """Migrates a zone's slices away step by step, as far as others have capacity, and keeps it out."""
+    """Migrate a zone's slices away step by step.
+
+    The slices migrate as far as the other zones have capacity. The zone is kept out of use.
+    """
     _send(path, name, "drain", pace)
 
 
@@ -45,8 +51,11 @@
 @click.argument("name")
 @operator_config_option
 def hold(name: str, path: str) -> None:
-    """Keeps a zone out at once. It is still used where nothing else is left."""
-    _send(path, name, "hold", USUAL_PACE)
+    """Take a zone out of use at once.
+
+    The zone is still used where no other servers are left.
+    """
+    _send(path, name, "hold", DEFAULT_PACE)
 
 
 @zone.command("return")
@@ -54,28 +63,28 @@
 @operator_config_option
 @pace_option
 def return_(name: str, path: str, pace: float) -> None:
-    """Lets a zone that was drained or held come back, step by step."""
+    """Return a drained or held zone to use, step by step."""
     _send(path, name, "return", pace)
 
 
 @zone.command("show")
 @operator_config_option
 def show(path: str) -> None:
-    """How each assigner judges each zone. Exit 1 if one does not answer."""
+    """Show each assigner's status of each zone. The exit code is 1 if one does not respond."""
     config = load_config(path, "operator")
     table = Table("assigner", "zone", "phase", "why", "there", "bound", "losses", "its load goes to")
-    missing = 0
+    missing_count = 0
     for address, report in operator_client(config).read_zone_status().items():
         if not isinstance(report, ZoneStatusReport):
             table.add_row(address, "", report)
-            missing += 1
+            missing_count += 1
             continue
         if not report.zone_plan_enabled:
             table.add_row(str(report.assigner_id), "", "no zone plan ([zones] plan = no)")
         for status in report.zones:
             _add_row(table, report.assigner_id, status, config.deployment.zones)
     console.print(table)
-    sys.exit(1 if missing else 0)
+    sys.exit(1 if missing_count else 0)
 
 
 def _add_row(table: Table, assigner_id: int, status: ZoneStatus, zones: list[str]) -> None:
--- a/puffintide/config/__init__.py
+++ b/puffintide/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: INI read by configparser, checked by pydantic, all errors told at once."""
+"""Configuration files: INI parsed by configparser, validated by pydantic, all errors reported together."""
--- a/puffintide/config/consistency.py
+++ b/puffintide/config/consistency.py
@@ -1,4 +1,4 @@
-"""Errors that no section of a configuration shows alone."""
+"""Checks that involve more than one section of a configuration."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from puffintide.config import schema
 
-MAX_CLASSES = 16  # bits of a class mask
+MAX_CLASSES = 16  # Number of bits in a class mask.
 
 
 def consistency_errors(
@@ -16,7 +16,18 @@
     faults: Mapping[str, schema.Fault],
     zones: Mapping[str, schema.ZoneSection],
 ) -> list[str]:
-    """What does not fit together, one text for each error."""
+    """Return one message for each inconsistency between sections.
+
+    Args:
+        path: Path of the configuration file, which each message starts with.
+        sections: Valid sections that have no name, by title.
+        classes: Valid [class NAME] sections, by name.
+        faults: Valid [fault NAME] sections, by name.
+        zones: Valid [zone NAME] sections, by name.
+
+    Returns:
+        The messages; empty if the sections are consistent.
+    """
     errors: list[str] = []
     deployment = sections.get("deployment")
     if isinstance(deployment, schema.Deployment):
@@ -24,7 +35,7 @@
         errors += _fault_errors(deployment, sections.get("fleet"), faults)
         errors += _zone_errors(deployment, zones)
     if len(classes) > MAX_CLASSES:
-        errors.append(f"{len(classes)} classes; at most {MAX_CLASSES}")
+        errors.append(f"{len(classes)} [class NAME] sections; at most {MAX_CLASSES} are allowed")
     return [f"{path}: {error}" for error in errors]
 
 
@@ -34,12 +45,15 @@
     if not isinstance(assigner, schema.AssignerProcess):
         return
     if assigner.id >= deployment.assigners:
-        allowed = f"0 to {deployment.assigners - 1}, as [deployment] assigners says"
-        yield f"[assigner] id = {assigner.id}: allowed: {allowed}"
+        allowed = f"0 to {deployment.assigners - 1} ([deployment] assigners = {deployment.assigners})"
+        yield f"[assigner] id = {assigner.id}: must be from {allowed}"
     if isinstance(peers, schema.PeersSection) and not 1 < len(peers.addresses) == deployment.assigners:
-        yield f"[peers] addresses: {len(peers.addresses)} of the {deployment.assigners} assigners"
+        yield (
+            f"[peers] addresses: lists {len(peers.addresses)} assigners; must list all, and at least 2 "
+            f"([deployment] assigners = {deployment.assigners})"
+        )
     if assigner.zone >= len(deployment.zones):
-        yield f"[assigner] zone = {assigner.zone}: there are {len(deployment.zones)}"
+        yield f"[assigner] zone = {assigner.zone}: must be from 0 to {len(deployment.zones) - 1}"
 
 
 def _fault_errors(
@@ -47,11 +61,14 @@
 ) -> Iterator[str]:
     for name, fault in sorted(faults.items()):
         if fault.zone >= len(deployment.zones):
-            yield f"[fault {name}] zone = {fault.zone}: no such zone"
+            allowed = f"0 to {len(deployment.zones) - 1}"
+            yield f"[fault {name}] zone = {fault.zone}: no such zone; allowed: {allowed}"
         if isinstance(fleet, schema.Fleet):
+            server_count = fleet.servers + fleet.spare
             for server_id in fault.servers:
-                if not 0 <= server_id < fleet.servers + fleet.spare:
-                    yield f"[fault {name}] servers = {server_id}: no such server"
+                if not 0 <= server_id < server_count:
+                    allowed = f"0 to {server_count - 1}"
+                    yield f"[fault {name}] servers = {server_id}: no such server; allowed: {allowed}"
 
 
 def _zone_errors(deployment: schema.Deployment, zones: Mapping[str, schema.ZoneSection]) -> Iterator[str]:
@@ -63,5 +80,5 @@
         if unknown or len(set(section.near)) < len(section.near):
             yield (
                 f"[zone {name}] near = {', '.join(section.near)!r}: "
-                f"must name other zones, each once: {', '.join(known)}"
+                f"must list other zones, each at most once; zones: {', '.join(known)}"
             )
--- a/puffintide/config/decision_settings.py
+++ b/puffintide/config/decision_settings.py
@@ -1,4 +1,4 @@
-"""The settings of an assigner's decisions, from a configuration."""
+"""Builds the settings of an assigner's decisions from a configuration."""
 
 from __future__ import annotations
 
@@ -7,23 +7,27 @@
 
 
 def zone_distances(config: Config) -> tuple[tuple[int, ...], ...]:
-    """By zone, the distance of each zone: 0 its own, then as [zone NAME] has it, then all others alike.
+    """Return the distance from each zone to each zone, both by index.
 
-    Empty where no zone has a section.
+    A zone has distance 0 to itself. The zones that its [zone NAME] section lists follow at 1, 2 and so on,
+    and all others share the next distance.
+
+    Returns:
+        One row for each zone; empty if no zone has a section.
     """
-    if not config.near:
+    if not config.zone_sections:
         return ()
     zones = config.deployment.zones
     rows = []
     for name in zones:
-        nearest = config.near[name].near if name in config.near else []
+        nearest = config.zone_sections[name].near if name in config.zone_sections else []
         distances = {name: 0} | {other: rank for rank, other in enumerate(nearest, 1)}
         rows.append(tuple(distances.get(other, len(nearest) + 1) for other in zones))
     return tuple(rows)
 
 
 def request_classes(config: Config) -> tuple[RequestClass, ...]:
-    """The request classes, in order."""
+    """Return the request classes in the order of their sections."""
     return tuple(
         RequestClass(
             section.effect,
@@ -39,7 +43,17 @@
 
 
 def decision_settings(config: Config, assigner_index: int, zone: int, seed: int) -> Settings:
-    """The settings of one assigner."""
+    """Build the settings of one assigner.
+
+    Args:
+        config: The configuration of the deployment.
+        assigner_index: The assigner's id.
+        zone: Index of the assigner's zone.
+        seed: Seed of the assigner's random choices.
+
+    Returns:
+        The settings of the assigner's decisions.
+    """
     deployment = config.deployment
     channel = config.channel
     return Settings(
--- a/puffintide/config/errors.py
+++ b/puffintide/config/errors.py
@@ -4,7 +4,7 @@
 
 
 class ConfigError(Exception):
-    """A configuration is invalid; `lines` has one for each fault."""
+    """Invalid configuration; `lines` holds one message for each error."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
--- a/puffintide/config/loader.py
+++ b/puffintide/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads configuration files. Every error names file, section, key, value and what is allowed."""
+"""Reads configuration files. An error message names the file, section, key and value, and what is allowed."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 }
 MAX_FILE_BYTES = 4 << 20
 
-RawSections = dict[str, dict[str, str]]  # values by section and key
+RawSections = dict[str, dict[str, str]]  # Values by section title and key.
 
 
 @dataclass
 class ParsedSections:
-    """Valid sections, and the errors of the others."""
+    """Valid sections, and the error messages of the invalid ones."""
 
     single: dict[str, schema.Section] = field(default_factory=dict)
     classes: dict[str, schema.ClassSection] = field(default_factory=dict)
@@ -55,7 +55,7 @@
     errors: list[str] = field(default_factory=list)
 
     def add(self, title: str, section: schema.Section) -> None:
-        """Add a valid section."""
+        """Add a valid section under its title."""
         name = title.partition(" ")[2].strip()
         match section:
             case schema.ClassSection():
@@ -69,64 +69,72 @@
 
 
 def read_config(path: str, required_sections: tuple[str, ...] = ()) -> Config:
-    """Read a file.
+    """Read and validate a configuration file.
 
     Args:
-        path: INI file.
-        required_sections: That have to be there, beside [deployment].
+        path: Path of the INI file.
+        required_sections: Titles of the sections that must be present in addition to [deployment].
+
+    Returns:
+        The validated configuration.
 
     Raises:
-        ConfigError: The file can't be read or is invalid; with all its errors.
+        ConfigError: The file cannot be read or is invalid; the error holds one message for each problem.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=(";",))
     try:
         if Path(path).stat().st_size > MAX_FILE_BYTES:
-            raise ConfigError([f"{path}: larger than {MAX_FILE_BYTES} bytes"])
+            raise ConfigError([f"{path}: file is larger than {MAX_FILE_BYTES} bytes"])
         parser.read_string(Path(path).read_text(encoding="utf-8"), source=path)
     except OSError as error:
-        raise ConfigError([f"{path}: {error.strerror or error}"]) from error
+        raise ConfigError([f"{path}: cannot read the file: {error.strerror or error}"]) from error
     except UnicodeDecodeError as error:
-        raise ConfigError([f"{path}: not UTF-8 at byte {error.start}"]) from error
+        raise ConfigError([f"{path}: file is not valid UTF-8 at byte {error.start}"]) from error
     except configparser.Error as error:
-        raise ConfigError([f"{path}: {' '.join(str(error).split())}"]) from error
+        raise ConfigError([f"{path}: invalid INI file: {' '.join(str(error).split())}"]) from error
     sections = {title: dict(parser.items(title)) for title in parser.sections()}
     return parse_config(path, sections, required_sections)
 
 
 def parse_config(path: str, sections: RawSections, required_sections: tuple[str, ...] = ()) -> Config:
-    """A configuration from its sections.
+    """Validate the sections of a configuration.
 
     Args:
-        path: Of the file, for the errors.
-        sections: Values by section and key.
-        required_sections: That have to be there, beside [deployment].
+        path: Path of the configuration file, which each error message starts with.
+        sections: Values by section title and key.
+        required_sections: Titles of the sections that must be present in addition to [deployment].
+
+    Returns:
+        The validated configuration.
 
     Raises:
-        ConfigError: It is invalid; with all its errors.
+        ConfigError: The configuration is invalid; the error holds one message for each problem.
     """
     parsed = ParsedSections()
     for title, values in sections.items():
         _parse_section(path, title, values, parsed)
     for title in ("deployment", *required_sections):
         if title not in sections:
-            parsed.errors.append(f"{path}: [{title}]: section is missing")
+            parsed.errors.append(f"{path}: [{title}]: required section is missing")
     if not any(title.startswith("class ") for title in sections):
-        parsed.errors.append(f"{path}: [class NAME]: at least one class of requests is needed")
+        parsed.errors.append(f"{path}: [class NAME]: at least one such section is required")
     parsed.errors += consistency_errors(path, parsed.single, parsed.classes, parsed.faults, parsed.zones)
     if parsed.errors:
         raise ConfigError(parsed.errors)
     single: dict[str, Any] = parsed.single
-    return Config(path=path, classes=parsed.classes, faults=parsed.faults, near=parsed.zones, **single)
+    return Config(
+        path=path, classes=parsed.classes, faults=parsed.faults, zone_sections=parsed.zones, **single
+    )
 
 
-def _model_of(title: str) -> type[schema.Section] | None:
-    """The model of a section; None if there is no such section."""
+def _section_model(title: str) -> type[schema.Section] | None:
+    """Return the model of a section, or None if the title is unknown."""
     kind, _, name = title.partition(" ")
     return SECTIONS.get(title) or (NAMED_SECTIONS.get(kind) if name else None)
 
 
 def _parse_section(path: str, title: str, values: dict[str, str], parsed: ParsedSections) -> None:
-    model = _model_of(title)
+    model = _section_model(title)
     if model is None:
         allowed = ", ".join([*SECTIONS, *(f"{kind} NAME" for kind in NAMED_SECTIONS)])
         parsed.errors.append(f"{path}: [{title}]: unknown section; allowed: {allowed}")
@@ -135,22 +143,33 @@
         parsed.add(title, model.model_validate(values))
     except ValidationError as error:
         for details in error.errors():
-            text = _describe(str(details["type"]), str(details["msg"]), details["loc"], values, model)
+            text = _describe_error(str(details["type"]), str(details["msg"]), details["loc"], values, model)
             parsed.errors.append(f"{path}: [{title}] {text}")
 
 
-def _describe(
+def _describe_error(
     error_type: str,
     message: str,
     location: tuple[int | str, ...],
     values: dict[str, str],
     model: type[schema.Section],
 ) -> str:
-    """A key, and what is wrong with it."""
+    """Describe an error of one key as `KEY = VALUE: MESSAGE`.
+
+    Args:
+        error_type: Type of the error in pydantic's terms.
+        message: Message of pydantic or of a validator.
+        location: Path of the invalid field; empty if a validator of the whole section failed.
+        values: Values of the section by key.
+        model: Model of the section.
+
+    Returns:
+        The message without file and section.
+    """
     key = str(location[0]) if location else ""
     if error_type == "extra_forbidden":
         return f"{key}: unknown key; allowed: {', '.join(model.model_fields)}"
     if error_type == "missing":
-        return f"{key}: key is missing"
+        return f"{key}: required key is missing"
     value = f" = {values[key]!r}" if key in values else ""
     return f"{key}{value}: {message.removeprefix('Value error, ')}"
--- a/puffintide/config/model.py
+++ b/puffintide/config/model.py
@@ -1,4 +1,4 @@
-"""The contents of a configuration file."""
+"""Defines the contents of a configuration file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True)
 class Config:
-    """A valid configuration. A section that its file lacks has its defaults, or is None if it has none."""
+    """Validated configuration.
+
+    A section that the file lacks has its default values, or is None if it has no defaults.
+    """
 
     path: str
     deployment: schema.Deployment
@@ -20,7 +23,7 @@
     rules: schema.Rules = field(default_factory=schema.Rules)
     charge: schema.StoreSection = field(default_factory=schema.StoreSection)
     zones: schema.ZonesSection = field(default_factory=schema.ZonesSection)
-    near: dict[str, schema.ZoneSection] = field(default_factory=dict)  # by zone
+    zone_sections: dict[str, schema.ZoneSection] = field(default_factory=dict)  # By zone name.
     operator: schema.OperatorSection | None = None
     peers: schema.PeersSection | None = None
     classes: dict[str, schema.ClassSection] = field(default_factory=dict)
--- a/puffintide/config/schema/__init__.py
+++ b/puffintide/config/schema/__init__.py
@@ -1,4 +1,4 @@
-"""The sections that a configuration file may have, as pydantic models. Their fields are the file's keys."""
+"""Pydantic models of the sections that a configuration file may have. The fields are the keys of the file."""
 
 from __future__ import annotations
 
--- a/puffintide/config/schema/processes.py
+++ b/puffintide/config/schema/processes.py
@@ -1,4 +1,4 @@
-"""Sections that describe one process each. Times are in seconds."""
+"""Defines the sections that describe one process each. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -6,84 +6,100 @@
 
 from pydantic import Field, model_validator
 
-from puffintide.config.schema.types import Address, Addresses, Amount, Count, Positive, Section, check_address
+from puffintide.config.schema.types import (
+    Address,
+    Addresses,
+    Count,
+    NonNegative,
+    Positive,
+    Section,
+    check_address,
+)
 
 
 class Process(Section):
-    """What the sections of all processes have."""
+    """Keys that the sections of all processes have."""
 
-    log: str = ""  # a file; empty: stderr
+    log: str = ""  # Path of the log file; empty means stderr.
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class AssignerProcess(Process):
-    """[assigner]: one assigner."""
+    """[assigner]: settings of one assigner."""
 
     id: int = Field(ge=0)
     zone: int = Field(default=0, ge=0)
     listen: Address
     store: Address
     list: Address
-    list_cache: str = ""  # a file that caches the endpoint list; empty: none
+    list_cache: str = ""  # Path of a file that caches the endpoint list; empty means no cache.
     seed: int = 1
     tick_s: Positive = 0.02
 
 
 class ProxyProcess(Process):
-    """[proxy]: one proxy."""
+    """[proxy]: settings of one proxy."""
 
     id: int = Field(ge=0, lt=65535)
     zone: int = Field(default=0, ge=0)
-    listen: Address  # of the program's own protocol
-    assigners: Addresses = Field(min_length=1)  # of all, in order of id
+    listen: Address  # Address for clients that speak the program's own protocol.
+    assigners: Addresses = Field(min_length=1)  # Addresses of all assigners, in the order of their ids.
     store: Address
-    state: str = ""  # a file for the tables as last received; empty: none
-    connect_s: Positive = 0.25
-    reserve_s: Amount = 0.015  # the final response is sent so long before the client's deadline
-    held_most: Count = 2000  # requests queued for a server
-    open_most: Count = 20000  # requests in flight or queued
-    clients_most: Count = 2000  # connections
-    http: str = ""  # HOST:PORT for HTTP clients; empty: none
-    head_most: Count = 16384  # bytes of a request's or a response's head
-    body_most: int = Field(default=8 << 20, ge=0)  # bytes of a request's body
-    replay_most: int = Field(default=65536, ge=0)  # bytes of a body buffered for a retry
-    head_s: Positive = 5.0  # for a head to be received, and for a client to read what is sent
-    idle_s: Positive = 30.0  # a connection without a request is closed
-    pool_most: Count = 100  # connections to one server
-    access_every: int = Field(default=0, ge=0)  # one request in so many is logged; 0: none
-    shared_port: bool = False  # several proxies, each with its own id, share one port
+    state: str = ""  # Path of a file that keeps the tables as last received; empty means none.
+    connect_s: Positive = 0.25  # Timeout of a connection attempt to a server, in seconds.
+    # Time before the client's deadline at which the final response is sent, in seconds.
+    reserve_s: NonNegative = 0.015
+    held_most: Count = 2000  # Maximum number of requests queued for a server.
+    open_most: Count = 20000  # Maximum number of requests in flight or queued.
+    clients_most: Count = 2000  # Maximum number of client connections.
+    http: str = ""  # HOST:PORT for HTTP clients; empty means none.
+    head_most: Count = 16384  # Maximum size of the head of a request or response, in bytes.
+    body_most: int = Field(default=8 << 20, ge=0)  # Maximum size of a request's body, in bytes.
+    # Maximum size of a body that is buffered for a retry, in bytes.
+    replay_most: int = Field(default=65536, ge=0)
+    # Timeout for receiving a head, and for a client to read what is sent to it, in seconds.
+    head_s: Positive = 5.0
+    idle_s: Positive = 30.0  # Time after which a connection without a request is closed, in seconds.
+    pool_most: Count = 100  # Maximum number of connections to one server.
+    access_every: int = Field(default=0, ge=0)  # One in this number of requests is logged; 0 means none.
+    shared_port: bool = False  # Whether several proxies, each with its own id, share one port.
 
     @model_validator(mode="after")
-    def _loopback(self) -> ProxyProcess:
+    def _check_http(self) -> ProxyProcess:
         if self.http:
             check_address(self.http)
         return self
 
 
 class StoreProcess(Process):
-    """[store]: the store of tables and ownership."""
+    """[store]: settings of the store of tables and ownership."""
 
     listen: Address
-    file: str = ""  # of the database; empty: in memory, lost at the end
-    etcd: Addresses = Field(default=[])  # members of a cluster, in place of a file
-    backups: str = ""  # a folder for backups; empty: none can be made
-    streams_most: Count = 5000
-    refill: bool = False  # an empty store restores its tables from the assigners' replicas
-    refill_wait_s: Positive = 5.0  # after the first answer it goes on with more than half of them
+    # Path of the database; empty means in memory, where data is lost at the end of the process.
+    file: str = ""
+    etcd: Addresses = Field(default=[])  # Addresses of the members of an etcd cluster that replaces the file.
+    backups: str = ""  # Path of a folder for backups; empty means that no backups can be made.
+    streams_most: Count = 5000  # Maximum number of streams.
+    refill: bool = False  # Whether an empty store restores its tables from the assigners' replicas.
+    # Time after the first answer, in seconds, at which the restore goes on with the answers of more than half
+    # of the assigners.
+    refill_wait_s: Positive = 5.0
 
     @model_validator(mode="after")
-    def _one(self) -> StoreProcess:
+    def _check_alternatives(self) -> StoreProcess:
         if self.file and self.etcd:
-            raise ValueError("file and etcd are both there; one is allowed")
+            raise ValueError(
+                f"file = {self.file!r} and etcd = {', '.join(self.etcd)!r} are mutually exclusive"
+            )
         if self.refill and self.start_tables:
-            raise ValueError("refill and start_tables are both there; one is allowed")
+            raise ValueError(f"refill and start_tables = {self.start_tables!r} are mutually exclusive")
         return self
 
-    start_tables: str = ""  # a file of initial tables, JSON lines of SliceOwnership
+    start_tables: str = ""  # Path of a file of initial tables: JSON lines of SliceOwnership.
 
 
 class OperatorSection(Section):
-    """[operator]: whom an operator's commands connect to."""
+    """[operator]: addresses that an operator's commands connect to."""
 
     store: Address
     assigners: Addresses = Field(default=[])
@@ -91,7 +107,7 @@
 
 
 class Tls(Section):
-    """[tls]: files in PEM. With it every stream of the process is TLS, both ends showing a certificate."""
+    """[tls]: PEM files. With this section all streams use TLS, and both ends present a certificate."""
 
     ca: str
     cert: str
--- a/puffintide/config/schema/types.py
+++ b/puffintide/config/schema/types.py
@@ -1,4 +1,4 @@
-"""Types of the values in configuration files."""
+"""Defines the types of the values in configuration files."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def split_words(value: object) -> object:
-    """Words parted by commas, as a list."""
+    """Split a comma-separated text into a list; return any other value unchanged."""
     if not isinstance(value, str):
         return value
     return [word.strip() for word in value.split(",") if word.strip()]
 
 
 def check_address(value: str) -> str:
-    """HOST:PORT on loopback.
+    """Return the value if it is HOST:PORT on loopback.
 
     Raises:
-        ValueError: It is not.
+        ValueError: The host is not on loopback, or the port is invalid.
     """
     host, _, port = value.rpartition(":")
     if host not in ("127.0.0.1", "localhost") and not host.startswith(LOOPBACK_PREFIX):
@@ -32,10 +32,10 @@
 
 
 def parse_curve(value: object) -> object:
-    """Points TIME:LEVEL, parted by commas, in order of time.
+    """Parse comma-separated points TIME:LEVEL in ascending order of time; return any other value unchanged.
 
     Raises:
-        ValueError: It is something else.
+        ValueError: A point is malformed, or the times are not in ascending order.
     """
     if not isinstance(value, str):
         return value
@@ -43,11 +43,11 @@
     for word in value.split(","):
         time_s, colon, level = word.partition(":")
         if not colon:
-            raise ValueError("must be points TIME:LEVEL, parted by commas")
+            raise ValueError("must be comma-separated points TIME:LEVEL")
         points.append((float(time_s), float(level)))
     times_s = [time_s for time_s, _ in points]
     if times_s != sorted(times_s):
-        raise ValueError("times must rise")
+        raise ValueError("times must be in ascending order")
     return points
 
 
@@ -58,12 +58,12 @@
 Addresses = Annotated[list[Address], BeforeValidator(split_words)]
 Curve = Annotated[list[tuple[float, float]], BeforeValidator(parse_curve)]
 Positive = Annotated[float, Field(gt=0, allow_inf_nan=False)]
-Amount = Annotated[float, Field(ge=0, allow_inf_nan=False)]
-Share = Annotated[float, Field(ge=0, le=1)]
+NonNegative = Annotated[float, Field(ge=0, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=1, le=65535)]
 
 
 class Section(BaseModel):
-    """A section of a file; the fields are its keys. Unknown keys are errors."""
+    """Section of a configuration file. The fields are its keys; an unknown key is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -112,7 +112,7 @@
     ("rules", "cold_from", "1.5", "less than or equal to 1"),
     ("class once", "aim_s", "1", "key is missing"),
     ("load", "shape", "0:1, 5", "TIME:LEVEL"),
-    ("load", "shape", "5:1, 0:1", "rise"),
+    ("load", "shape", "5:1, 0:1", "times must be in ascending order"),
     ("fault hang", "kind", "boredom", "allowed: crash"),
     ("fault hang", "servers", "99", "no such server"),
     ("fault zone", "zone", "7", "no such zone"),
