--- a/puffintide/config/loader.py
+++ b/puffintide/config/loader.py
@@ -55,7 +55,7 @@
     errors: list[str] = field(default_factory=list)
 
     def add(self, title: str, section: schema.Section) -> None:
-        """Add a valid section under its title."""
+        """Add a valid section under its name, or under its title if it has no name."""
         name = title.partition(" ")[2].strip()
         match section:
             case schema.ClassSection():
