--- a/puffintide/decisions/capacity.py
+++ b/puffintide/decisions/capacity.py
@@ -42,7 +42,7 @@
         return self._warm_capacity(server_id) * self._fleet.warm_up_fraction(server_id)
 
     def usable_capacity(self, server_id: int) -> float:
-        """Return the capacity that plans of all assigners together may use now, in requests per second."""
+        """Return the capacity of a server that all assigners together may plan with now, in requests per second."""
         recovery_fraction = parameters.RECOVERY_LEVELS[self._fleet.servers[server_id].recovery_level]
         fraction = recovery_fraction * self._fleet.capacity_limits.get(server_id, 1.0)
         return self._warm_capacity(server_id) * fraction * self._fleet.warm_up_fraction(server_id)
@@ -85,8 +85,8 @@
         self._estimate_saturated_in_flight(ready, others_per_weight)
         if self._saturated_in_flight <= 0:
             return
-        # A single assigner observes all requests in flight, with less noise than reported values. It does not
-        # rely on that alone with unreliable zones, as latencies then include that of a slow network path.
+        # A single assigner observes all requests in flight, with less noise than reported values. With
+        # unreliable zones it prefers reported values, as the latencies include that of a slow network path.
         only_own = self._fleet.settings.assigner_count == 1 and not self._fleet.unreliable_zones
         for server in ready:
             weight = server.endpoint.weight
@@ -103,8 +103,8 @@
     def _others_in_flight_per_weight(self, ready: list[ServerState]) -> float:
         """Return the in-flight requests of other assigners per unit of listed weight.
 
-        It is needed only if servers report no requests in flight. Requests are taken to be spread evenly, as
-        slices are assigned by a hash.
+        It is 0 if servers report their requests in flight, as no estimate is needed then. Otherwise requests
+        are assumed to be spread evenly over warm servers, as slices are assigned by a hash.
         """
         total_weight = sum(
             server.endpoint.weight for server in ready if self._fleet.is_warm(server.server_id)
@@ -122,8 +122,8 @@
     def _estimate_saturated_in_flight(self, ready: list[ServerState], others_per_weight: float) -> None:
         """Estimate how many requests a saturated server has in flight.
 
-        The fraction of saturated servers equals the fraction of delayed health checks. The in-flight count of
-        a saturated server is thus the quantile of the recorded counts at that fraction from the top. Without
+        The fraction of saturated servers is taken to equal that of delayed health checks. The in-flight count
+        of a saturated server is thus the quantile of the recorded counts at that fraction from the top. Without
         enough health checks, the median server is assumed to be at ASSUMED_MEDIAN_LOAD.
         """
         recorded = self._fleet.recorded_checks
--- a/puffintide/decisions/director.py
+++ b/puffintide/decisions/director.py
@@ -73,9 +73,11 @@
     def handle(self, now_s: float, events: Sequence[Event]) -> list[Action]:
         """Apply events, run a round if one is due, and return the resulting actions in order.
 
+        A round is due on the first call, on a TimerFired event and on an urgent change.
+
         Args:
             now_s: The time on the assigner's clock, in seconds. It never decreases.
-            events: The events since the last call. A TimerFired event or an urgent change starts a round.
+            events: The events since the last call.
         """
         fleet = self.fleet
         is_first_call = fleet.now_s < 0
--- a/puffintide/decisions/events.py
+++ b/puffintide/decisions/events.py
@@ -15,7 +15,7 @@
 
 
 class ListUpdateType(StrEnum):
-    """Contents of an update of the endpoint list; the values are those of the wire protocol."""
+    """Contents of an update of the endpoint list; the values are those of Puffintide's own protocol."""
 
     DELTA = "delta"  # Holds only the endpoints that changed.
     SNAPSHOT = "full"  # Holds all endpoints.
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerObservation:
-    """Observation by another assigner of a server, or of the fleet (server_id -1), from its replica."""
+    """Observation by another assigner, received by replication: of a server, or of the fleet (server_id -1)."""
 
     server_id: int
     recovery_level: int = -1  # Index into RECOVERY_LEVELS, where 0 is ejected; -1 means not reported.
--- a/puffintide/decisions/health.py
+++ b/puffintide/decisions/health.py
@@ -153,8 +153,8 @@
 def schedule_health_checks(fleet: FleetState) -> list[SendHealthCheck]:
     """Return the health checks to send now.
 
-    The second check of each server is sent after a fixed part of the period, which spreads the load of
-    checks.
+    The second check of a server follows after a part of the period that depends on its id, so that checks of
+    all servers are not sent together.
     """
     if not fleet.settings.health_checks_enabled:
         return []
--- a/puffintide/decisions/observations.py
+++ b/puffintide/decisions/observations.py
@@ -118,7 +118,7 @@
 def apply_stored_weight(fleet: FleetState, event: StoredWeight) -> None:
     """Apply a stored weight entry to a granted slice.
 
-    The first server with a primary weight becomes the default server of the slice.
+    The server with the lowest id among those with primary weights becomes the default server of the slice.
     """
     slice_state = fleet.slices.get(event.slice_id)
     if slice_state is None or event.weight <= 0:
@@ -153,7 +153,8 @@
 def apply_peer_observation(fleet: FleetState, event: PeerObservation) -> None:
     """Apply another assigner's observation of a server.
 
-    A recovery level is applied only as long as the server has not responded to this assigner's requests.
+    A recovery level is applied only if it is lower than the known one, and only until the server has first
+    responded to this assigner's requests.
     """
     server = fleet.servers.get(event.server_id)
     if server is None:
--- a/puffintide/decisions/parameters.py
+++ b/puffintide/decisions/parameters.py
@@ -17,9 +17,11 @@
 # Time constant of capacity and of other assigners' load, which vary slowly.
 SLOW_AVERAGE_TIME_CONSTANT_S = 8.0
 AVERAGE_MIN_INTERVAL_S = 0.1  # Shortest interval that a sample is weighted with.
-FAILURE_AVERAGE_ATTEMPTS = 3  # Number of attempts that weigh as much as one second of the interval.
+# A report of failures is weighted with its interval times its attempts, divided by this number.
+FAILURE_AVERAGE_ATTEMPTS = 3
 REPORT_EXPIRY_CYCLES = 3  # Report cycles after which a rate that was not reported again counts as 0.
-# Report cycles after a start before capacities and ordinary changes are trusted.
+# Report cycles after a start before ordinary changes are sent and load is shed. The average of the capacity
+# per listed weight also waits for as many cycles after a change of ownership.
 SETTLING_REPORT_CYCLES = 2.0
 
 # Load and capacity.
@@ -53,7 +55,7 @@
 # Number of slices that an assigner's quota of a server must hold for capacity to be divided evenly.
 MIN_SLICES_PER_QUOTA = 2.0
 SEVERE_OVERLOAD_UTILIZATION = 2  # Utilization above which a server may fill others up to MAX_UTILIZATION.
-SEVERE_OVERLOAD_FAILURE_FRACTION = 0.4  # Smallest fraction of failed attempts of such a server.
+SEVERE_OVERLOAD_FAILURE_FRACTION = 0.4  # Fraction of failed attempts that such a server must exceed.
 NO_QUEUE_FAILURE_FRACTION = 0.005  # Fraction of failed attempts below which a server may be free of queueing.
 STANDBY_WEIGHT = 0.004  # Weight of a standby entry, which gives proxies a server for retries.
 
@@ -76,7 +78,7 @@
 MAX_RECOVERY_LEVEL = len(RECOVERY_LEVELS) - 1
 # Time without faults per level; without health checks, each ejection doubles it at level 0.
 RECOVERY_STEP_S = 2.0
-MAX_RECOVERY_DOUBLINGS = 4
+MAX_RECOVERY_DOUBLINGS = 4  # Number of ejections after which the time no longer doubles.
 REMOVED_SERVER_RETENTION_S = 600.0  # Time after which a removed server that is in no table is forgotten.
 
 # Admission.
@@ -84,7 +86,8 @@
 ADMISSION_TARGET_UTILIZATION = 0.75  # Value that load shedding reduces it to.
 MIN_ADMISSION_FRACTION = 0.2  # Smallest fraction of a request class that is admitted.
 MIN_ADMISSION_CHANGE = 0.08  # Smaller changes of a fraction are not sent.
-# Capacity added per unit of load below the target, as clients resend rejected requests.
+# Fraction of capacity added per unit of load below the target. Clients resend rejected requests, so demand
+# appears too high while load is shed.
 RESENT_REQUESTS_FACTOR = 2.0
 
 # Publication.
--- a/puffintide/decisions/placement.py
+++ b/puffintide/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Placement of slices: each round starts from the default servers and moves few slices to alternates.
+"""Placement of slices: each round starts from the default servers and moves just enough slices to alternates.
 
 This is the allocator of Edge Fabric (SIGCOMM 2017, section 5.1). Load is projected as if every slice were on
 its default server. Servers above a threshold then shed slices, in order, to alternates that have capacity.
@@ -83,7 +83,10 @@
         return alternate_id or projection.lowest_utilization_server(slice_id)
 
     def _move_off_unavailable_servers(self) -> None:
-        """Move slices off draining and removed servers, and off ejected ones if no other is overloaded."""
+        """Move slices off draining and removed servers, and off ejected ones unless that overloads another.
+
+        Withdrawn servers and those with limit 0 are treated like ejected ones.
+        """
         projection = self._projection
         for slice_id in sorted(self._fleet.slices):
             old_id = next(iter(projection.plan[slice_id]), None)
@@ -122,14 +125,14 @@
             if target_id is not None:
                 projection.move(slice_id, server_id, target_id)
             elif projection.all_warming and projection.load[server_id] > projection.safe_load(server_id):
-                # All servers are warming up. Leaving a slice unserved is better than letting a server
-                # collapse.
+                # All servers are warming up. An unserved slice is better than a collapsed server.
                 projection.drop(slice_id, server_id)
 
     def _shedding_target_load(self, server_id: int) -> float:
         """Return the load down to which this assigner sheds slices from a server.
 
-        It is the overload threshold plus the part of the excess that other assigners shed.
+        It is the overload threshold. For a warm server, the part of the excess that other assigners shed is
+        added.
         """
         projection = self._projection
         threshold = parameters.OVERLOAD_UTILIZATION * projection.capacity[server_id]
@@ -167,7 +170,10 @@
         return is_failing and projection.load[server_id] > limit
 
     def _duplicate_slices_on_collapse_prone_servers(self) -> None:
-        """Add a second server to slices that are only on a warming server that one hot key can collapse."""
+        """Split slices in two that are only on a warming server that one new hot key can collapse.
+
+        The second part is placed together with those of hot slices.
+        """
         if self._fleet.settings.single_writer:
             return
         projection = self._projection
@@ -211,7 +217,7 @@
     def _move_off_warming_servers(self, slice_id: int) -> None:
         """Move a slice off servers that are warming up.
 
-        The load of parts for which no server was found falls on the planned servers, and would overload
+        The load of parts for which no server was found falls on the planned servers, and could overload
         warming ones.
         """
         projection = self._projection
--- a/puffintide/decisions/projection.py
+++ b/puffintide/decisions/projection.py
@@ -33,7 +33,7 @@
 
     Attributes:
         plan: The servers of each slice.
-        capacity: The capacity of each ready server that the plan may use.
+        capacity: The part of each ready server's capacity that the plan may use.
         load: The planned load of each ready server, including the load of other assigners.
         base_load: The load before slices are moved off their servers; it is the same for every assigner.
         usable: The servers that slices may be placed on.
@@ -59,7 +59,7 @@
             server_id: fleet.servers[server_id].other_assigners_load or 0.0 for server_id in self.capacity
         }
         self.usable = self._find_usable_servers()
-        if not self.usable:  # Ejected servers are better than no server.
+        if not self.usable:  # Any ready server, even an ejected one, is better than none.
             self.usable = set(self.capacity)
             self.capacity = {
                 server_id: estimator.unrestricted_capacity(server_id) for server_id in self.capacity
@@ -77,7 +77,10 @@
         self._total_capacity = max(sum(self.capacity[server_id] for server_id in self.usable), MIN_CAPACITY)
 
     def record_base_load(self) -> None:
-        """Record the current loads, which all assigners see alike, as the base of spare capacity."""
+        """Record the current loads as the base load.
+
+        All assigners see it alike, and each takes its quota of the spare capacity above it.
+        """
         self.base_load = dict(self.load)
 
     def _find_usable_servers(self) -> set[int]:
@@ -140,8 +143,8 @@
     def added_load(self, slice_id: int, server_id: int) -> float:
         """Return the load that a part of a slice would add to a server.
 
-        The load is higher if the server has not cached the keys. Split slices have no such extra load, as the
-        few keys that make a slice hot are soon cached on any server.
+        The load is higher if the server has not cached the keys. On a warm server, split slices have no such
+        extra load, as the few keys that make a slice hot are soon cached on any server.
         """
         part_rate = self.part_rate[slice_id]
         if not self._fleet.settings.caches_keys:
@@ -225,7 +228,7 @@
         self.plan[slice_id].append(new_id)
 
     def drop(self, slice_id: int, server_id: int) -> None:
-        """Remove a slice from the plan and its load from a server that is warming up."""
+        """Remove a slice from the plan, and the load of one part of it from a server that is warming up."""
         self.plan[slice_id] = []
         self.load[server_id] -= self.part_rate[slice_id] * parameters.WARMING_CACHE_MISS_COST
 
--- a/puffintide/decisions/publication.py
+++ b/puffintide/decisions/publication.py
@@ -72,8 +72,9 @@
     def _is_urgent(self, state: SliceState, planned_ids: list[int]) -> bool:
         """Return whether a table must change at once.
 
-        A change is urgent if the table holds an unavailable server or no usable server. It is also urgent if
-        the slice is on a server with reduced capacity and the plan has other servers for it.
+        A change is urgent if the table, without withdrawn servers, holds an unavailable server or none at
+        all. It is also urgent if the slice is on a server with reduced capacity and the plan has other
+        servers for it.
         """
         fleet = self._fleet
         admitted_ids = [server_id for server_id in state.weights if server_id not in fleet.withdrawn_servers]
@@ -93,7 +94,7 @@
         return is_ejected or not self._fleet.is_warm(server_id)
 
     def _ordinary_slices(self, plan: Plan, urgent_ids: list[int]) -> list[int]:
-        """Return the other slices whose tables may change; none if reports are late or incomplete."""
+        """Return the other slices, sorted by id; none if reports are late or do not cover all slices yet."""
         fleet = self._fleet
         max_report_age_s = parameters.AVERAGE_TIME_CONSTANT_S + 2 * fleet.settings.report_period_s
         if fleet.now_s - fleet.last_report_s > max_report_age_s or fleet.is_settling():
--- a/puffintide/decisions/ranking.py
+++ b/puffintide/decisions/ranking.py
@@ -7,7 +7,7 @@
 
 from puffintide.decisions.state import FleetState
 
-MAX_ZONES = 256  # Upper bound of zone numbers.
+MAX_ZONES = 256  # Zone numbers are below this.
 
 
 class AlternateRanking:
--- a/puffintide/decisions/settings.py
+++ b/puffintide/decisions/settings.py
@@ -17,7 +17,7 @@
     """Whether a request may be executed more than once; the values are those of the settings."""
 
     IDEMPOTENT = "repeatable"
-    IDEMPOTENCY_KEY = "by_key"  # Servers drop repeats by key within the window.
+    IDEMPOTENCY_KEY = "by_key"  # Servers drop repeats by key within the deduplication window.
     NON_IDEMPOTENT = "once"
 
 
@@ -82,7 +82,7 @@
 
 
 class SettingsError(Exception):
-    """A setting is missing or invalid; the message names its key."""
+    """Raised if settings are not a JSON object, or for a missing or invalid setting, which the message names."""
 
 
 _MISSING = object()
--- a/puffintide/decisions/state.py
+++ b/puffintide/decisions/state.py
@@ -36,7 +36,7 @@
     shortest_health_check_s: float = math.inf
     service_time_s: float | None = None
     capacity_per_s: float | None = None  # Capacity when warm and healthy.
-    relative_speed: float = 1.0  # Speed relative to servers of the same listed weight.
+    relative_speed: float = 1.0  # Averaged ratio of the median service time to its own.
     other_assigners_load: float | None = None  # Requests per second.
     last_success_s: float = 0.0
     next_health_check_s: float = 0.0
@@ -79,7 +79,10 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """State that the parts of a director share."""
+    """State that the parts of a director share.
+
+    Where a comment names a module, only that module writes the field.
+    """
 
     settings: Settings
     servers: dict[int, ServerState] = field(default_factory=dict)
@@ -91,16 +94,18 @@
     ownership_changed_s: float = 0.0  # Time of the last grant or revocation of a slice.
     slice_revoked_s: float = -math.inf
     capacity_limits: dict[int, float] = field(default_factory=dict)  # Fractions below 1, from the zone plan.
-    unreliable_zones: set[int] = field(default_factory=set)  # The network path to them is slow.
+    # Written by health: zones with a slow network path, whose servers are not the cause of delayed checks.
+    unreliable_zones: set[int] = field(default_factory=set)
     # Latest health checks: requests in flight per unit of listed weight, and whether the check was delayed.
     recorded_checks: deque[tuple[float, bool]] = field(
         default_factory=lambda: deque(maxlen=parameters.MAX_RECORDED_HEALTH_CHECKS)
     )
-    withdrawn_servers: set[int] = field(default_factory=set)  # Withdrawn from all tables.
-    admission_fractions: dict[int, float] = field(default_factory=dict)  # By request class.
+    withdrawn_servers: set[int] = field(default_factory=set)  # Written by withdrawals: out of all tables.
+    # Written by admission, keyed by request class.
+    admission_fractions: dict[int, float] = field(default_factory=dict)
     urgent_change_pending: bool = False  # A change must not wait for the next ordinary batch.
     admission_update_pending: bool = False  # Admission fractions must be sent.
-    withdrawals_resend_pending: bool = False  # A proxy connected and needs all withdrawals.
+    withdrawals_resend_pending: bool = False  # A proxy connected that has no withdrawals yet.
 
     def is_ready(self, server_id: int) -> bool:
         """Return whether a server may be in tables according to endpoint lists."""
--- a/puffintide/decisions/withdrawals.py
+++ b/puffintide/decisions/withdrawals.py
@@ -28,7 +28,7 @@
     ) -> list[SetWithdrawn]:
         """Withdraw unavailable servers, readmit others, and resend withdrawals to newly connected proxies.
 
-        This sets fleet.urgent_change_pending if not all unavailable servers could be withdrawn now.
+        This sets fleet.urgent_change_pending to whether some unavailable servers could not be withdrawn now.
 
         Args:
             plan: The servers that each slice should be on.
@@ -102,8 +102,8 @@
     def _entry_limit(self, unavailable_count: int, budget: ChannelBudget) -> int:
         """Return how many entries may be sent now.
 
-        It is 0 while withdrawals would have to be sent one by one, as each message costs a header at every
-        proxy.
+        It is 0 while the channel has capacity for only a few of the withdrawals. Sending them one by one would
+        cost a header for every proxy each time.
         """
         proxy_count = self._channel.proxy_count
         if budget.withdrawals < min(parameters.RESERVED_ENTRIES_PER_PROXY, unavailable_count) * proxy_count:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -71,7 +71,7 @@
 
 
 def test_capacity_is_not_learned_from_the_first_report_after_a_revocation() -> None:
-    """The first reports cover only some servers, so their responses are not the total rate of the fleet."""
+    """After a start or a revocation, the first reports cover only some servers and not the whole rate."""
     world = big_world(40)
     world.run(12)
     before = world.director.estimator.capacity_per_weight
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -14,7 +14,10 @@
 
 
 def drain_half_of_the_fleet(world: World) -> list[list[Action]]:
-    """Drain servers 1 and 2, and return the actions; a slow channel cannot rewrite their tables in time."""
+    """Drain servers 1 and 2 of four at once, and return the actions.
+
+    A slow channel cannot rewrite all of their tables within the grace period.
+    """
     world.request_rates = dict.fromkeys(world.request_rates, 40.0 / len(world.request_rates))
     world.run(5)
     log_length = len(world.log)
