--- a/puffintide/zones/director.py
+++ b/puffintide/zones/director.py
@@ -33,7 +33,7 @@
         self._logged_states: dict[int, tuple[str, str]] = {}  # Phase and cause last logged, by zone.
 
     def handle(self, now_s: float, events: Sequence[Event]) -> list[Action]:
-        """Process the events of a round and return the resulting actions.
+        """Pass events to the zone plan and the director, and return the resulting actions.
 
         Director.handle describes the arguments.
         """
--- a/puffintide/zones/plan.py
+++ b/puffintide/zones/plan.py
@@ -46,22 +46,24 @@
 
     @property
     def is_impaired(self) -> bool:
-        """Whether other zones take over load of this zone."""
+        """Return whether other zones take over load of this zone."""
         return self.command is not None or not self.is_available
 
     @property
     def is_available(self) -> bool:
-        """Whether the phase of the zone itself imposes no capacity limit."""
+        """Return whether the phase of the zone itself imposes no capacity limit."""
         return self.phase in (ZonePhase.HEALTHY, ZonePhase.DEGRADED)
 
 
 class ZonePlan:
-    """Call observe with each event, then update for the capacity limits.
+    """Tracks the phase of each zone and computes the capacity limits of its servers.
+
+    The caller passes every event to observe, and then calls update for the capacity limits.
 
     Attributes:
-        servers: The servers of each zone.
-        recovery: The recovery ramps.
-        capacity_limits: What update returned last.
+        servers: The listed and missing servers of each zone.
+        recovery: The recovery ramps of the servers of recovering zones.
+        capacity_limits: The capacity limits that update returned last, by server id.
     """
 
     def __init__(self, settings: Settings, limits: ZoneLimits) -> None:
@@ -164,7 +166,10 @@
             self.recovery.end(zone_id)
 
     def _mark_lost(self, now_s: float, zone_id: int) -> None:
-        """Set the phase of a zone to lost and record the time of the loss."""
+        """Set the phase of a zone to lost and record the time of the loss.
+
+        The cause is "silent" if servers of the zone are still listed as ready, and "list" otherwise.
+        """
         zone = self._zones[zone_id]
         zone.loss_times_s = [
             lost_at_s for lost_at_s in zone.loss_times_s if now_s - lost_at_s < parameters.FLAP_WINDOW_S
@@ -218,7 +223,7 @@
         """Return the capacity limit of a server, from 0 to 1."""
         zone = self._zones.get(zone_id, _Zone())
         if zone.command == ZoneOperation.DRAIN:
-            # The limit falls linearly, so that few slices move, and few keys need caching, at a time.
+            # The limit falls linearly, so that only a few slices move, and need their keys cached, at a time.
             drained_fraction = parameters.RAMP_PER_S * zone.pace * (now_s - zone.transition_started_at_s)
             return max(0.0, UNRESTRICTED - drained_fraction)
         if zone.command is not None or zone.phase == ZonePhase.HELD_DOWN:
@@ -241,7 +246,7 @@
         return min(UNRESTRICTED, max_load / decision_parameters.OVERLOAD_UTILIZATION)
 
     def states(self) -> list[ZoneState]:
-        """Return the states of all zones as of the last update."""
+        """Return the states of all zones as of the last update, sorted by zone number."""
         return [self._build_zone_state(zone_id) for zone_id in sorted(self._zones)]
 
     def _build_zone_state(self, zone_id: int) -> ZoneState:
--- a/puffintide/zones/servers.py
+++ b/puffintide/zones/servers.py
@@ -31,7 +31,7 @@
         self._missing: dict[int, MissingServer] = {}  # By server id.
 
     def apply(self, now_s: float, event: EndpointListUpdate) -> list[int]:
-        """Take in an update of the list, and return the servers that were ready and now are missing."""
+        """Apply an update of the endpoint list, and return the ids of servers that it removed without draining."""
         if event.update_type == ListUpdateType.FAILED:
             return []
         updated_endpoints = {endpoint.server_id: endpoint for endpoint in event.endpoints}
--- a/puffintide/zones/state.py
+++ b/puffintide/zones/state.py
@@ -53,9 +53,9 @@
     zone: int
     phase: ZonePhase
     cause: str
-    available_fraction: float  # Available fraction of the weight of its usual servers.
-    min_capacity_fraction: float  # Smallest capacity limit of its ready servers.
-    max_capacity_fraction: float  # Largest capacity limit of its ready servers.
+    available_fraction: float  # Fraction of its usual servers' weight that is listed as ready.
+    min_capacity_fraction: float  # Smallest capacity limit of its ready servers; 0 if it has none.
+    max_capacity_fraction: float  # Largest capacity limit of its ready servers; 0 if it has none.
     held_until_s: float = 0.0  # End of the last hold-down, on the assigner's clock.
     flap_count: int = 0  # Number of losses within FLAP_WINDOW_S up to the last loss.
     spillover: Spillover = ()
--- a/tests/test_zoned_director.py
+++ b/tests/test_zoned_director.py
@@ -43,8 +43,8 @@
     make = staticmethod(Director)  # type: ignore[assignment]
 
 
-def make_eight_server_world(make: type[ZonedWorld], **changes: object) -> ZonedWorld:
-    world = make(servers=SERVERS, slice_count=64, proxy_count=3, **changes)
+def make_eight_server_world(world_type: type[ZonedWorld], **changes: object) -> ZonedWorld:
+    world = world_type(servers=SERVERS, slice_count=64, proxy_count=3, **changes)
     world.request_rates = dict.fromkeys(world.request_rates, 1.2)  # 0.32 of the capacity.
     world.run(30)
     return world
@@ -52,8 +52,8 @@
 
 def test_zone_plan_reduces_slices_moved_at_once_when_warm_servers_return() -> None:
     largest_batches = {}
-    for make in (UnzonedWorld, ZonedWorld):
-        world = make_eight_server_world(make)
+    for world_type in (UnzonedWorld, ZonedWorld):
+        world = make_eight_server_world(world_type)
         world.list_zone(0, EndpointStatus.REMOVED)
         world.run(12)
         assert all(world.admitted_weights(n) for n in world.tables)
@@ -62,7 +62,7 @@
         world.run(60)
         returned_load = sum(world.load(s) for s in SERVERS if s % 2 == 0)
         assert returned_load > 0.8 * 38.4  # 80 % of the load that the zone had before.
-        largest_batches[make] = max(world.placement_batch_sizes(recovery_start))
+        largest_batches[world_type] = max(world.placement_batch_sizes(recovery_start))
     assert largest_batches[ZonedWorld] < 0.7 * largest_batches[UnzonedWorld], largest_batches
 
 
@@ -105,9 +105,9 @@
 
 
 def test_remaining_assigner_uses_quota_of_failed_assigners() -> None:
-    """An assigner may use a quota of the other servers' spare capacity for slices of the overloaded server 2.
+    """Server 2 is overloaded, and its slices move to spare capacity of the other servers.
 
-    The quota depends on the number of assigners that share the capacity.
+    An assigner may use only its quota of that capacity, which is larger the fewer assigners remain.
     """
     moved_slices = {}
     for count in (4, 1):
@@ -122,7 +122,7 @@
 
 
 def test_restarted_servers_count_as_warming_up_before_the_director_knows_them() -> None:
-    """The director does not know restarted servers yet and would report them as warm.
+    """The director does not know about the restart yet, so it would report the servers as warm.
 
     The ramp would then hold them at its start fraction during an overload.
     """
