--- a/puffintide/bench_adapter/errors.py
+++ b/puffintide/bench_adapter/errors.py
@@ -8,4 +8,4 @@
 
 
 class BenchProtocolError(BenchAdapterError):
-    """Raised for input that violates the bench's protocol; the text names the violation and its position."""
+    """Raised for input that violates the bench's protocol; the text says what could not be processed and why."""
--- a/puffintide/bench_adapter/event_decoder.py
+++ b/puffintide/bench_adapter/event_decoder.py
@@ -196,7 +196,7 @@
 
 
 def _skip_proxy_load_report(reader: RecordReader) -> None:
-    """Skip a load report that is not of a slice; the decision module does not use it."""
+    """Skip a proxy's load report that is not about a slice; the decision module does not use it."""
     reader.read_fields("HIHId")
 
 
