--- a/puffintide/platform/client_messages.py
+++ b/puffintide/platform/client_messages.py
@@ -91,15 +91,16 @@
     return decode_json(_client_message_decoder, line)
 
 
-def _check_counts(total: int, failed: int, interval_ms: float) -> None:
+def _check_counts(reported: str, total: int, failed: int, interval_ms: float) -> None:
     if not (0 <= total <= MAX_COUNT and 0 <= failed <= MAX_COUNT):
         raise InvalidMessageError(
-            f"invalid load report: counts {failed} of {total} are not within 0 to {MAX_COUNT}"
+            f"invalid load report of {reported}: counts {failed} of {total} are not within 0 to {MAX_COUNT}"
         )
     if not 0 < interval_ms <= MAX_INTERVAL_S * MS_PER_S:
         limit_ms = MAX_INTERVAL_S * MS_PER_S
         raise InvalidMessageError(
-            f"invalid load report: interval of {interval_ms:g} ms is not above 0 and at most {limit_ms:g} ms"
+            f"invalid load report of {reported}: "
+            f"interval of {interval_ms:g} ms is not above 0 and at most {limit_ms:g} ms"
         )
 
 
@@ -109,7 +110,7 @@
     Raises:
         InvalidMessageError: A value is out of range, or the zone or host is unknown.
     """
-    _check_counts(report.attempts, report.failed_attempts, report.interval_ms)
+    _check_counts(f"host {quoted(report.host)}", report.attempts, report.failed_attempts, report.interval_ms)
     if report.failed_attempts > report.attempts:
         raise InvalidMessageError(
             f"invalid load report of host {quoted(report.host)}: "
@@ -117,7 +118,10 @@
         )
     zone = names.zones.get(report.zone)
     if zone is None:
-        raise InvalidMessageError(f"invalid load report: zone {quoted(report.zone)} is not in the settings")
+        raise InvalidMessageError(
+            f"invalid load report of host {quoted(report.host)}: "
+            f"zone {quoted(report.zone)} is not in the settings"
+        )
     server_id = hosts.server_id(report.host)
     if server_id is None:
         raise InvalidMessageError(f"invalid load report: host {quoted(report.host)} is unknown")
@@ -147,11 +151,12 @@
     Raises:
         InvalidMessageError: A value is out of range, or the class or slice is unknown.
     """
-    _check_counts(report.requests, report.unanswered, report.interval_ms)
+    _check_counts(f"slice {report.slice_id}", report.requests, report.unanswered, report.interval_ms)
     class_index = names.classes.get(report.class_name)
     if class_index is None:
         raise InvalidMessageError(
-            f"invalid load report: class {quoted(report.class_name)} is not in the settings"
+            f"invalid load report of slice {report.slice_id}: "
+            f"class {quoted(report.class_name)} is not in the settings"
         )
     if not 0 <= report.slice_id < slice_count:
         raise InvalidMessageError(
--- a/puffintide/platform/config.py
+++ b/puffintide/platform/config.py
@@ -1,4 +1,4 @@
-"""Parses the platform's configuration file to typed values. Only load_config() performs I/O."""
+"""Parses the platform's configuration file into typed values. Only load_config() performs I/O."""
 
 from __future__ import annotations
 
--- a/puffintide/platform/discovery_messages.py
+++ b/puffintide/platform/discovery_messages.py
@@ -88,7 +88,10 @@
 def _decode_member(text: bytes, names: SettingsNames) -> _Member:
     member = decode_json(_member_decoder, text)
     if member.status not in STATUSES:
-        raise InvalidMessageError(f"health {quoted(member.status)} of {quoted(member.host)}")
+        raise InvalidMessageError(
+            f"invalid endpoint entry of host {quoted(member.host)}: "
+            f"health {quoted(member.status)} is not one of {', '.join(STATUSES)}"
+        )
     if member.zone not in names.zones and STATUSES[member.status] is not EndpointStatus.REMOVED:
         raise InvalidMessageError(
             f"invalid endpoint entry of host {quoted(member.host)}: "
--- a/puffintide/platform/endpoint_list.py
+++ b/puffintide/platform/endpoint_list.py
@@ -23,8 +23,8 @@
         """Return the type of update that a message is applied as, or None if it is ignored.
 
         A snapshot with invalid entries is applied as a delta, so that the servers of these entries are not
-        removed. A snapshot older than the list in use is ignored, as it would undo drains. It is accepted if
-        nothing newer has been received for STALE_LIST_GRACE_S.
+        removed. A snapshot older than the list in use is ignored, as it would undo drains. It is accepted
+        once only older snapshots have been received for STALE_LIST_GRACE_S.
 
         Args:
             now_s: The current time in seconds.
--- a/puffintide/platform/errors.py
+++ b/puffintide/platform/errors.py
@@ -32,4 +32,4 @@
 
 
 class MalformedMessageError(StreamError):
-    """Raised for a line that cannot be parsed as a message."""
+    """Raised for a line that is not JSON."""
--- a/puffintide/platform/health_check_client.py
+++ b/puffintide/platform/health_check_client.py
@@ -82,7 +82,10 @@
             self.client.on_response(self._exchange.status or 0, b"".join(self._body))
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Fail the check in flight, or reconnect if the peer closed the connection while it was idle."""
+        """Fail the check in flight, or reconnect if the peer closed the connection while it was idle.
+
+        Do nothing if this side dropped the connection.
+        """
         self._end(HealthCheckStatus.RESET)
 
     def drop(self) -> None:
--- a/puffintide/platform/listener.py
+++ b/puffintide/platform/listener.py
@@ -28,7 +28,7 @@
 MAX_LINE_BYTES = 1 << 20
 MAX_UNIDENTIFIED_LINE_BYTES = 4096
 # Time in seconds after which a connection that is not identified as a collector is closed. The platform
-# grants 1 s and requires at most 3 s.
+# grants 1 s to identify, and requires that others are closed after 3 s at most.
 IDENTIFY_TIMEOUT_S = 1.5
 SWEEP_PERIOD_S = 0.25  # Period of the check for expired connections, in seconds.
 CLOSE_TIMEOUT_S = 0.5  # Time in seconds after which a closing connection is aborted.
--- a/puffintide/platform/relay_messages.py
+++ b/puffintide/platform/relay_messages.py
@@ -73,8 +73,8 @@
 
 
 RelayMessage = ProxyJoined | ProxyDeparted | CheckpointApplied | SliceGranted | TableWeight
-_relay_messages = msgspec.json.Decoder(_RelayMessage)
-_relay_objects: dict[str, msgspec.json.Decoder[RelayMessage]] = {
+_relay_message_decoder = msgspec.json.Decoder(_RelayMessage)
+_object_decoders: dict[str, msgspec.json.Decoder[RelayMessage]] = {
     "joined": msgspec.json.Decoder(ProxyJoined),
     "left": msgspec.json.Decoder(ProxyDeparted),
     "applied": msgspec.json.Decoder(CheckpointApplied),
@@ -93,10 +93,10 @@
         MalformedMessageError: The line is not JSON.
         InvalidMessageError: The line is JSON, but not a valid message of the relay's watch.
     """
-    message = decode_json(_relay_messages, line)
+    message = decode_json(_relay_message_decoder, line)
     if not message.type:
         return Heartbeat()
-    decoder = _relay_objects.get(message.type)
+    decoder = _object_decoders.get(message.type)
     if decoder is None:
         return None
     return decode_json(decoder, bytes(message.object))
--- a/puffintide/platform/relay_snapshot.py
+++ b/puffintide/platform/relay_snapshot.py
@@ -28,7 +28,7 @@
     """Reads one snapshot and calls on_done(tables, complete) exactly once.
 
     `tables` holds the tables of all owned slices, or None if the snapshot failed. `complete` is set if a
-    heartbeat ended the snapshot, and unset if it ended by a pause.
+    heartbeat ended the snapshot, and unset if a pause ended it or it failed.
     """
 
     transport: Any
--- a/puffintide/platform/relay_state.py
+++ b/puffintide/platform/relay_state.py
@@ -52,7 +52,7 @@
 
 
 class RelayState:
-    """Converts the messages of successive watches to changes of the state."""
+    """Converts the messages of successive watches into changes of the state."""
 
     def __init__(self) -> None:
         self.proxies: dict[int, ProxyJoined] = {}
--- a/puffintide/platform/service.py
+++ b/puffintide/platform/service.py
@@ -86,7 +86,7 @@
         """Listen for connections, and connect to discovery and relay.
 
         Raises:
-            CannotListenError: The listen address is already in use.
+            CannotListenError: The listen address cannot be used, for example because it is taken.
         """
         host, port = self.config.listen
         self.port = self.reactor.listenTCP(port, self.listener, backlog=LISTEN_BACKLOG, interface=host)
--- a/puffintide/platform/watch_stream.py
+++ b/puffintide/platform/watch_stream.py
@@ -1,4 +1,4 @@
-"""A watch: an endless HTTP response with one JSON object a line, reopened when it breaks or falls silent."""
+"""A watch: an endless HTTP response with one JSON object per line, reopened when it breaks or falls silent."""
 
 from __future__ import annotations
 
@@ -144,7 +144,7 @@
         self._check_silence()
 
     def change_address(self, address: Address) -> None:
-        """Replace the stream by one from another address."""
+        """Replace the stream by one to another address."""
         if address == self.address:
             return
         self.address = address
--- a/tests/platform_peers.py
+++ b/tests/platform_peers.py
@@ -95,7 +95,7 @@
         self._requests.put((connection, target, body))
 
     def next_request(self, target: str, limit_s: float = MAX_WAIT_S) -> tuple[HttpConnection, str, bytes]:
-        """Return the next request whose method and target begin so; others stay queued.
+        """Return the next request whose method and target start with `target`; others stay queued.
 
         Raises:
             TimeoutError: No such request was received in time.
@@ -116,7 +116,7 @@
                 self._requests.put(row)
 
     def has_request(self, target: str) -> bool:
-        """Return whether a request whose method and target begin so is queued."""
+        """Return whether a request whose method and target start with `target` is queued."""
         try:
             self._requests.put(self.next_request(target, 0.0))
         except TimeoutError:
@@ -138,7 +138,7 @@
         self.received: list[dict[str, Any]] = []
 
     def apply_call(self, body: bytes, applied: bool = True) -> bytes:
-        """Record the orders of a call, apply them if told so, and return the body of the answer."""
+        """Record the orders of a call, apply them if `applied` is set, and return the body of the answer."""
         rows = json.loads(body)["orders"]
         self.received += rows
         for row in rows if applied else []:
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -140,9 +140,9 @@
     """A relay that stores tables; `call_results` sets the results of the next calls.
 
     "" applies a call and answers it; this is the default. "lost" and "reset" do not apply the call, and leave
-    it unanswered or reset its connection; "carried" and "carried, reset" do so after applying it. "throttled"
-    rejects the call, "spoilt" applies it and sends a malformed answer, and "bad K" applies only the orders
-    before order K.
+    it unanswered or reset its connection. "applied, unanswered" and "applied, reset" do so after applying it.
+    "throttled" rejects the call. "applied, malformed" applies it and sends a malformed answer. "bad K" applies
+    only the orders before order K.
     """
 
     def __init__(self, net: VirtualNetwork, port: int = RELAY) -> None:
@@ -172,28 +172,28 @@
                 break
             self.apply(row)
         match result:
-            case "lost" | "carried":
+            case "lost" | "applied, unanswered":
                 return  # The call is never answered.
-            case "reset" | "carried, reset":
+            case "reset" | "applied, reset":
                 connection.transport.abortConnection()
             case "throttled":
                 connection.send_response(429, b'{"error":"throttled"}')
-            case "spoilt":
+            case "applied, malformed":
                 connection.send_response(200, b'{"accepted":"many')
             case _:
                 connection.send_response(200, json.dumps({"accepted": accepted}).encode())
 
-    def send_snapshot(self, c: ServerConnection) -> None:
+    def send_snapshot(self, connection: ServerConnection) -> None:
         for proxy_id in self.proxies:
             is_first = proxy_id in self.first_connections
             row = {"sidecar": proxy_id, "az": "a", "share": 5.0, "standing": is_first}
-            c.send_line({"type": "joined", "object": row})
+            connection.send_line({"type": "joined", "object": row})
         self.first_connections = set()
         for slice_id, table in self.tables.items():
-            c.send_line({"type": "given", "object": {"partition": slice_id, "yes": True}})
+            connection.send_line({"type": "given", "object": {"partition": slice_id, "yes": True}})
             for host, share in table.items():
                 weight = {"partition": slice_id, "host": host, "share": share}
-                c.send_line({"type": "held", "object": weight})
+                connection.send_line({"type": "held", "object": weight})
 
     def apply(self, row: dict[str, Any]) -> None:
         match row["do"]:
@@ -398,7 +398,7 @@
             connection.transport.abortConnection()
 
     def director_tables(self) -> dict[int, dict[str, float]]:
-        """Return the tables of the decision module, by the platform's host names."""
+        """Return the tables of the director, by the platform's host names."""
         slices: Any = self.assigner.runtime.director.slices  # type: ignore[attr-defined]
         return {
             slice_id: {str(self.assigner.hosts.host(server_id)): w for server_id, w in state.weights.items()}
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -93,7 +93,7 @@
         if k == 18:
             platform.discovery.change(entry(1, born_ms=int(platform.wall_s * 1000) - 500))
         if k == 22:
-            platform.relay.call_results = ["reset", "throttled", "carried"]
+            platform.relay.call_results = ["reset", "throttled", "applied, unanswered"]
             platform.discovery.change(entry(2, "left"))
         if k == 28:
             platform.break_watches()
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -44,9 +44,9 @@
     ],
 )
 def test_invalid_configuration_raises_error_that_names_the_key(changes: dict[str, Any], key: str) -> None:
-    tree = {name: value for name, value in (CONFIG | changes).items() if value is not ...}
+    document = {name: value for name, value in (CONFIG | changes).items() if value is not ...}
     with pytest.raises(ConfigError, match=key):
-        parse_config(json.dumps(tree).encode())
+        parse_config(json.dumps(document).encode())
     for text in (b"", b"{", b"[]", b"\xff"):
         with pytest.raises(ConfigError):
             parse_config(text)
--- a/tests/test_platform_listener.py
+++ b/tests/test_platform_listener.py
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.processes
 
 
-def test_collectors_report_and_are_never_sent_anything(platform: Platform) -> None:
+def test_collector_reports_are_counted_and_rejections_are_not_sent_to_it(platform: Platform) -> None:
     collector = platform.collector()
     platform.report(collector, 2)
     collector.send(
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -50,7 +50,7 @@
     assert decode_server_report(report=..., avg=...).load_values == ()
     report = decode_client_message(b'{"msg":"heat","partition":3,"kind":"start","n":2,"bad":5,"window":500}')
     assert isinstance(report, SliceReport)
-    # Attempts of an earlier window can fail in this one, so failures may exceed attempts.
+    # Unanswered requests may have arrived in an earlier interval, so they may exceed the requests of this one.
     assert slice_load_report(report, NAMES, 4) == SliceLoadReport(3, 1, 2, 5, 0.5)
     with pytest.raises(InvalidMessageError):
         slice_load_report(report, NAMES, 3)
--- a/tests/test_platform_relay_session.py
+++ b/tests/test_platform_relay_session.py
@@ -48,7 +48,8 @@
 
 
 @pytest.mark.parametrize(
-    "result", ["lost", "reset", "carried", "carried, reset", "spoilt", "throttled", "bad 0"]
+    "result",
+    ["lost", "reset", "applied, unanswered", "applied, reset", "applied, malformed", "throttled", "bad 0"],
 )
 def test_no_order_is_lost_or_undone_whatever_the_result_of_a_call(platform: Platform, result: str) -> None:
     platform.relay.call_results = [result, "" if result == "bad 0" else result, ""]
@@ -67,7 +68,7 @@
 def test_each_call_counts_towards_the_message_limit(tmp_path: Path) -> None:
     platform = Platform(tmp_path, reloadsMax=2)
     platform.advance(1.0)
-    platform.relay.call_results = ["carried"] * 20
+    platform.relay.call_results = ["applied, unanswered"] * 20
     platform.relay.send_snapshot = lambda _c: None  # type: ignore[method-assign, assignment]
     platform.relay.unresponsive = True
     platform.discovery.change(entry(1, "leaving"))
@@ -169,7 +170,9 @@
 def test_empty_snapshot_does_not_resolve_an_uncertain_call(platform: Platform) -> None:
     platform.relay.call_results = ["lost"]
     send_snapshot = platform.relay.send_snapshot
-    platform.relay.send_snapshot = lambda c: platform.reactor.callLater(0.2, send_snapshot, c)  # type: ignore[method-assign]
+    platform.relay.send_snapshot = lambda connection: platform.reactor.callLater(  # type: ignore[method-assign]
+        0.2, send_snapshot, connection
+    )
     platform.discovery.change(entry(1, "leaving"))
     platform.advance(2.0)
     assert "s-1" not in platform.relay.routable_hosts()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -350,7 +350,7 @@
 def test_uncertain_weights_are_dropped_when_their_slice_was_revoked_and_granted_again(
     new_platform: Callable[..., Platform],
 ) -> None:
-    """Between the call and the read of its result, another assigner owned the slice and changed its table."""
+    """Between the call and its resolving snapshot, another assigner owned the slice and changed its table."""
     platform = new_platform().start()
     platform.drain(1)
     connection, body = platform.call()
