--- a/puffintide/store/commits.py
+++ b/puffintide/store/commits.py
@@ -139,7 +139,7 @@
         if self._committing or self._retry_timer is not None:
             return
         if not (self.ledger.changed or self.pending.zone_commands):
-            if self.pending.waiting:  # The writes repeated stored values or were rejected.
+            if self.pending.waiting:  # Nothing changed, for example because the writes were rejected.
                 waiting = self.pending.waiting
                 self.pending.waiting = WaitingPeers()
                 self.publish(PendingChanges(waiting=waiting))
--- a/puffintide/store/durable_state.py
+++ b/puffintide/store/durable_state.py
@@ -1,6 +1,6 @@
-"""In-memory copy of the committed state, from which reads and notifications are served.
+"""In-memory copy of the committed state.
 
-They never wait for the disk.
+Reads and notifications are served from it, so that building them never waits for the disk.
 """
 
 from __future__ import annotations
--- a/puffintide/store/errors.py
+++ b/puffintide/store/errors.py
@@ -4,7 +4,7 @@
 
 
 class StoreError(Exception):
-    """Storage operation that failed. The text names the operation and the place in one line."""
+    """Storage operation that failed. The text says in one line what failed, and where."""
 
 
 class StoreSupersededError(StoreError):
--- a/puffintide/store/etcd/client.py
+++ b/puffintide/store/etcd/client.py
@@ -13,7 +13,7 @@
 from puffintide.store.etcd.rpc_pb2_grpc import KVStub, LeaseStub
 
 CALL_TIMEOUT_S = 3.0  # Timeout of one gRPC call, in seconds.
-MAX_CALL_ATTEMPTS = 3  # Attempts of a call that finds no leader, as an election may be in progress.
+MAX_CALL_ATTEMPTS = 3  # Attempts of a call that finds no leader: an election may be in progress.
 MAX_READ_ATTEMPTS = 3  # Attempts of a read whose revision is compacted before its last page.
 PAGE_KEYS = 500  # Maximum number of keys in one range response.
 MAX_MESSAGE_BYTES = 64 << 20  # Maximum size of a received gRPC message, in bytes.
@@ -38,7 +38,9 @@
 
 
 def read_credentials(files: TlsFiles) -> Any:
-    """Return credentials for mutual TLS with the cluster, whose members' certificates name their addresses.
+    """Return credentials for mutual TLS with the cluster.
+
+    The certificate of each member must name the member's address.
 
     Raises:
         StoreError: A file cannot be read.
@@ -79,6 +81,8 @@
     def _call(self, call: Callable[[], Result]) -> Result:
         """Make a call, and retry it at the next member if no member or no leader answers.
 
+        There are MAX_CALL_ATTEMPTS attempts, or one for each member if there are more members.
+
         A transaction may have been executed although its response was lost. The caller detects this by the
         comparisons of its transactions.
 
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -85,7 +85,7 @@
         self.client = EtcdClient(endpoints, self.prefix, credentials)
         self._holder_value = secrets.token_hex(8).encode()  # Identifies this process.
         self._lease_id = 0
-        self._holder_revision = 0  # Create revision of this process's `holder` key, or 0.
+        self._holder_revision = 0  # Create revision of this process's `holder` key, or 0 before it is set.
         self._meta = Meta(FORMAT, "", 0, 0)
         self._meta_revision = 0  # Mod revision of `meta` in etcd, as last written or read.
         self._staged_rows: list[KeyedRow] = []  # Valid rows that are not yet moved to their final keys.
@@ -136,7 +136,8 @@
     ) -> pb.TxnResponse:
         """Execute operations if this process still holds the store.
 
-        If the lease has expired and no other process has written since, it is acquired again.
+        If the lease has expired and no other process holds the store or has written to it, the store is
+        acquired again.
 
         Args:
             operations: Operations that are executed atomically.
@@ -201,7 +202,7 @@
         try:
             self._meta = _meta_decoder.decode(pair.value)
         except msgspec.DecodeError as error:
-            raise StoreDamagedError(f"{self.prefix}meta: {error}") from error
+            raise StoreDamagedError(f"cannot load {self.prefix}meta from etcd: {error}") from error
         self._meta_revision = pair.mod_revision
         if self._meta.format != FORMAT:
             raise StoreFormatError(
@@ -220,7 +221,7 @@
                 name = self._staging_key(self._meta.revision, chunk_number)
                 self._staged_rows += decode_chunk(stored[name].value)
         except (msgspec.DecodeError, KeyError) as error:
-            raise StoreDamagedError(f"{self.prefix}: {error}") from error
+            raise StoreDamagedError(f"cannot load the rows below {self.prefix} in etcd: {error!r}") from error
         return rows | dict(self._staged_rows)
 
     @staticmethod
@@ -244,7 +245,7 @@
 
         Raises:
             StoreSupersededError: Another process holds the store, or has written to it.
-            StoreError: Nothing of the commit is stored.
+            StoreError: The commit failed. It may be stored nevertheless if the response was lost in each attempt.
         """
         if not self._holder_revision:
             raise StoreError(
--- a/puffintide/store/ownership.py
+++ b/puffintide/store/ownership.py
@@ -87,7 +87,7 @@
         self._credited_at_s = opened_at_s
 
     def home_of(self, slice_id: int) -> int:
-        """Return the assigner that owns the slice whenever that assigner is connected."""
+        """Return the slice's home: the assigner that should own the slice whenever it is connected."""
         override = self.slices[slice_id].home_override
         return override if override >= 0 else slice_id % self.assigner_count
 
@@ -143,7 +143,7 @@
         self._credited_at_s = now_s
 
     def _next_owner(self, now_s: float, slice_id: int, record: SliceRecord) -> int | None:
-        """Return the assigner that replaces the current owner, or None.
+        """Return the assigner that replaces the current owner, or None if the owner stays.
 
         A return to the home consumes transfer credit.
         """
--- a/puffintide/store/reads.py
+++ b/puffintide/store/reads.py
@@ -25,7 +25,7 @@
 class ReadHandler:
     """Answers reads from the durable state.
 
-    A response is encoded once for each revision and starting revision. It is sent at the pace of each reader.
+    A response is encoded once for each store revision and starting revision. It is sent at the pace of each reader.
 
     Args:
         durable: Durable state that is read.
--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -30,7 +30,7 @@
 REASSIGN_INTERVAL_S = 0.1
 LEASE_RENEWAL_INTERVAL_S = 1.0
 STATS_INTERVAL_S = 10.0
-MAX_STREAMS = 5000  # Proxies are rejected while this many streams are open.
+MAX_STREAMS = 5000  # Proxies are rejected while this many streams or more are open.
 
 
 class StoreService:
@@ -46,7 +46,7 @@
         snapshot: State that the engine has stored.
         zone_count: Number of zones. Zone numbers start at 0.
         run: Runs an engine method, in a separate thread if the method may block.
-        max_streams: Number of streams from which proxies are rejected.
+        max_streams: Number of open streams at which further proxies are rejected.
         backup_path: Returns the path for a backup's name, or raises ValueError. None if backups are not
             configured.
         table_restore: Collects replicas if the store is empty. None if restoring from replicas is not
@@ -138,7 +138,7 @@
             self.reactor.stop()
         elif isinstance(failure.value, StoreError):
             self.log.error(event, reason=str(failure.value))
-        else:  # A bug in the engine. Nothing more is stored, which must be visible at critical level.
+        else:  # A bug. Commits may keep failing, so it must be visible at critical level.
             self.log.critical("engine_failed", reason=failure.getTraceback())
 
     def _reassign(self) -> None:
@@ -212,7 +212,7 @@
             self._handle_assigner_hello(stream, hello)
 
     def _check_highest_token(self, hello: m.Hello) -> None:
-        """Detect that this store runs on an older copy of its data.
+        """Detect that this store runs on an older copy of its data, and grant all owned slices again.
 
         In that case a peer has seen a later token than any issued here.
         """
--- a/puffintide/store/sessions.py
+++ b/puffintide/store/sessions.py
@@ -16,7 +16,7 @@
     Args:
         deployment: Deployment name that peers must send.
         assigner_count: Number of assigners. Assigner ids start at 0.
-        max_streams: Number of streams from which proxies are rejected.
+        max_streams: Number of open streams at which further proxies are rejected.
     """
 
     def __init__(self, deployment: str, assigner_count: int, max_streams: int) -> None:
--- a/puffintide/store/sqlite.py
+++ b/puffintide/store/sqlite.py
@@ -44,14 +44,14 @@
 create table hand (zone integer primary key, revision integer not null, body blob not null, sum integer not null);
 """
 _ERROR_MAPPING: list[tuple[type[BaseException], type[StoreError], str]] = [
-    (apsw.BusyError, StoreInUseError, "is in use by another store process"),
-    (apsw.LockedError, StoreInUseError, "is in use by another store process"),
-    (apsw.NotADBError, StoreFormatError, "is not a store database"),
-    (apsw.CorruptError, StoreDamagedError, "is damaged"),
+    (apsw.BusyError, StoreInUseError, "the file is in use by another store process"),
+    (apsw.LockedError, StoreInUseError, "the file is in use by another store process"),
+    (apsw.NotADBError, StoreFormatError, "the file is not a store database"),
+    (apsw.CorruptError, StoreDamagedError, "the file is damaged"),
     (apsw.FullError, StoreFullError, "no space left on the disk"),
-    (apsw.ReadOnlyError, StoreError, "is read-only"),
-    (apsw.CantOpenError, StoreError, "cannot be opened"),
-    (apsw.IOError, StoreError, "could not be read or written"),
+    (apsw.ReadOnlyError, StoreError, "the file is read-only"),
+    (apsw.CantOpenError, StoreError, "the file cannot be opened"),
+    (apsw.IOError, StoreError, "the file could not be read or written"),
 ]
 
 
@@ -74,12 +74,18 @@
         os.close(descriptor)
 
 
-def _store_error(path: str, error: BaseException) -> StoreError:
-    """Convert an error of SQLite or of the operating system into a StoreError."""
+def _store_error(operation: str, path: str, error: BaseException) -> StoreError:
+    """Convert an error of SQLite or of the operating system into a StoreError.
+
+    Args:
+        operation: Operation that failed, as it follows "cannot" in the text.
+        path: Path of the file.
+        error: Error of SQLite or of the operating system.
+    """
     for error_type, store_error, text in _ERROR_MAPPING:
         if isinstance(error, error_type):
-            return store_error(f"{path}: {text} ({error})")
-    return StoreError(f"{path}: {error}")
+            return store_error(f"cannot {operation} {path}: {text} ({error})")
+    return StoreError(f"cannot {operation} {path}: {error}")
 
 
 class SqliteEngine:
@@ -102,7 +108,7 @@
             self._create_or_check_format()
             self.db.execute("commit")
         except (apsw.Error, ValueError) as error:
-            raise _store_error(path, error) from error
+            raise _store_error("open", path, error) from error
         except StoreError:
             self.db.close()
             raise
@@ -156,7 +162,7 @@
                 if problem is not None:
                     problems.append(problem)
         except apsw.Error as error:
-            problems.append(str(_store_error(self.path, error)))
+            problems.append(str(_store_error("verify", self.path, error)))
         return problems
 
     def load(self) -> StoreSnapshot:
@@ -184,11 +190,11 @@
             snapshot.revision = int(meta["revision"])
             snapshot.highest_token = int(meta["token"])
         except apsw.Error as error:
-            raise _store_error(self.path, error) from error
+            raise _store_error("load", self.path, error) from error
         except msgspec.DecodeError as error:
-            raise StoreDamagedError(f"{self.path}: {error}") from error
+            raise StoreDamagedError(f"cannot load {self.path}: a row cannot be decoded ({error})") from error
         except KeyError as error:
-            raise StoreDamagedError(f"{self.path}: meta row {error} is missing") from error
+            raise StoreDamagedError(f"cannot load {self.path}: meta row {error} is missing") from error
         return snapshot
 
     def commit(self, commit: Commit) -> None:
@@ -211,7 +217,7 @@
                     self.db.execute("rollback")
                 raise
         except apsw.Error as error:
-            raise _store_error(self.path, error) from error
+            raise _store_error("commit to", self.path, error) from error
 
     def _put_rows(
         self, table: str, revision: int, rows: Sequence[tuple[int, StoredSlice | ZoneCommand]]
@@ -239,7 +245,7 @@
             os.replace(partial_path, path)
             sync_path(str(Path(path).resolve().parent))
         except (apsw.Error, OSError) as error:
-            raise _store_error(path, error) from error
+            raise _store_error("write backup", path, error) from error
         return revision
 
     def _copy_to(self, path: str) -> int:
--- a/puffintide/store/sqlite_restore.py
+++ b/puffintide/store/sqlite_restore.py
@@ -23,7 +23,8 @@
         The state of the restored store.
 
     Raises:
-        StoreError: The backup was not restored, and the target is unchanged.
+        StoreError: The backup was not restored. The old file is kept at the target, or with the suffix .before if
+            the failure came after it was renamed.
     """
     if not Path(backup).exists():
         raise BackupError(f"restore of {backup} failed: the backup does not exist")
