--- a/puffintide/proxy/admission.py
+++ b/puffintide/proxy/admission.py
@@ -72,7 +72,7 @@
 
     def __init__(self, mode: AdmissionMode) -> None:
         self.mode = mode
-        # Accumulated fractions by (assigner, class). A sum of 1 admits a request and is reduced by 1.
+        # Accumulated fractions by (assigner, class). A sum of at least 1 admits a request and is reduced by 1.
         self._credit: dict[tuple[int, int], float] = {}
 
     def admits(self, assigner_id: int, class_index: int, fraction: float | None) -> bool:
--- a/puffintide/proxy/connection_attempts.py
+++ b/puffintide/proxy/connection_attempts.py
@@ -1,8 +1,8 @@
 """Limits on opening connections to one server. This module does no I/O and reads no clock.
 
 The limit on concurrent connection attempts starts at one for a new or returning server. It rises by one with
-each established connection, and a failure resets it to one. Without the limit, all waiting requests would
-open a connection at the same moment.
+each established connection. A failed connection attempt, or the loss of the last connection, resets it to
+one. Without the limit, all waiting requests would open a connection at the same moment.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
         return failed
 
     def on_connection_lost(self) -> None:
-        """Count an established connection as closed."""
+        """Count an established connection as closed, and reset the limit if none is left."""
         self.established -= 1
         if not self.established:
             self.max_connecting = 1  # The server may have restarted.
--- a/puffintide/proxy/connection_pools.py
+++ b/puffintide/proxy/connection_pools.py
@@ -25,7 +25,7 @@
         self._waiting: dict[int, tuple[int, HttpExchange]] = {}
 
     def begin_attempt(self, server_id: int, attempt_id: int, exchange: HttpExchange) -> None:
-        """Send an attempt on an idle connection, or queue it until a connection is ready."""
+        """Send an attempt on an idle connection, queue it for one, or fail it if it cannot be queued."""
         attempts = self._attempts.get(server_id)
         if attempts is None:
             attempts = self._attempts[server_id] = ConnectionAttempts(self.proxy.process.pool_most)
--- a/puffintide/proxy/dispatcher.py
+++ b/puffintide/proxy/dispatcher.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingState:
-    """The routing tables, counters and leases that all engines of one proxy share."""
+    """The tables, admission control, counters and write leases that all engines of one proxy share."""
 
     tables: WeightTables
     admission: AdmissionControl
@@ -42,7 +42,7 @@
 
 
 class Dispatcher:
-    """The open requests with their attempts, and the servers that hold them.
+    """The open requests with their attempts, and the connections to servers that they use.
 
     Args:
         settings: The limits and policies of the proxy.
@@ -81,7 +81,7 @@
         return len(server.in_flight) if server else 0
 
     def dispatch_queued(self, now_s: float, admission_changed: bool = False) -> list[Effect]:
-        """Dispatch the queued requests, and reject those whose class is no longer admitted.
+        """Dispatch the queued requests, and reject those whose class is no longer admitted at all.
 
         Args:
             now_s: The current time in seconds.
--- a/puffintide/proxy/downstream.py
+++ b/puffintide/proxy/downstream.py
@@ -233,7 +233,7 @@
             self.transport.resumeProducing()
 
     def pauseProducing(self) -> None:
-        """Pause reading from the server while the client reads slowly, and abort after `head_s`."""
+        """Pause reading from the server, and abort if the client does not read on within `head_s`."""
         self._set_timeout(self.limits.head_s)
         if self.exchange is not None and self.exchange.upstream is not None:
             self.exchange.upstream.set_paused(True)
--- a/puffintide/proxy/engine.py
+++ b/puffintide/proxy/engine.py
@@ -1,7 +1,7 @@
 """The state machine of requests: method calls report events and return the effects to carry out in order.
 
 The engine does no I/O; callers pass the current time and call on_timer() at next_timer_at(). A table change
-applies to later requests and attempts; an attempt that was already sent stays at its server.
+applies to later requests and attempts; an attempt that already has a server stays there.
 """
 
 from __future__ import annotations
@@ -113,7 +113,7 @@
         return effects
 
     def disable_retries(self, handle: RequestHandle) -> None:
-        """Rule out retries of a request: its body is not buffered, or its response has begun."""
+        """Rule out retries of a request whose body is not buffered or whose response has begun."""
         attempt_id = self.dispatcher.attempt_ids.get(handle)
         if attempt_id is not None:
             self.requests[attempt_id].attempt_number = max(MAX_RETRIES.values())
@@ -131,7 +131,7 @@
     # Servers -------------------------------------------------------------------------------------
 
     def on_server_connected(self, now_s: float, server_id: int) -> list[Effect]:
-        """Send the attempts that waited for this connection."""
+        """Send the attempts that waited for this connection, or close it if it is no longer wanted."""
         server = self.servers.get(server_id)
         if server is None:
             return [DisconnectServer(server_id)]
--- a/puffintide/proxy/http_messages.py
+++ b/puffintide/proxy/http_messages.py
@@ -8,7 +8,8 @@
 - `idempotency-key`: forwarded to the server.
 
 Responses created by the proxy carry `x-puffintide-ran: yes|no`, which says whether the request may have been
-executed. Rejections also carry `retry-after` and `x-puffintide-again-ms`.
+executed. A 503 response because no server could take the request also carries the delay after which the client
+may retry: `retry-after` in seconds and `x-puffintide-again-ms` in milliseconds.
 """
 
 from __future__ import annotations
--- a/puffintide/proxy/line_proxy.py
+++ b/puffintide/proxy/line_proxy.py
@@ -26,7 +26,7 @@
 from puffintide.proxy.request_timings import RequestTimings
 from puffintide.tls.context import TlsContextFactory
 
-# Maximum time that a client may wait for a response, in seconds. HTTP has the same limit.
+# Maximum time that a client may wait for a response, in seconds. For HTTP see DEADLINE_LIMIT_MS.
 MAX_TIMEOUT_S = 1e4
 KEY_LIMIT = 2**64  # A key must be below this value.
 DURATION_DIGITS = 2  # Decimal places of durations in the log, which are in milliseconds.
@@ -157,7 +157,7 @@
     # Servers -------------------------------------------------------------------------------------
 
     def on_upstream_lost(self, upstream: LineUpstream) -> None:
-        """Report a lost or failed stream to the engine, unless it was closed or replaced."""
+        """Report a lost or failed stream to the engine, unless this proxy closed or replaced it."""
         server_id = upstream.server_id
         if self.upstreams.get(server_id) is not upstream:
             return  # This proxy closed the stream; another one may have replaced it.
--- a/puffintide/proxy/outlier_detection.py
+++ b/puffintide/proxy/outlier_detection.py
@@ -6,7 +6,7 @@
 
 from puffintide.proxy.load_balancing import NO_SERVERS
 
-MAX_UNLISTED_SERVERS = 64  # Failure counts kept beyond twice the number of servers in a table.
+MAX_UNLISTED_SERVERS = 64  # Failure counts kept beyond twice the number of listed servers.
 
 
 class OutlierDetector:
@@ -33,8 +33,8 @@
         Args:
             now_s: The current time in seconds.
             server_id: The server at which the attempt failed.
-            listed_servers: The servers that are in a table. Failure counts of other servers are dropped once
-                there are too many.
+            listed_servers: The servers with a known address. Failure counts of other servers are dropped
+                once there are too many.
         """
         if not self.ejection_failures:
             return
--- a/puffintide/proxy/retry_policy.py
+++ b/puffintide/proxy/retry_policy.py
@@ -1,9 +1,9 @@
 """Retry policy: whether a failed attempt is retried, and at which servers.
 
 This module does no I/O; callers pass the current time. An attempt is proven not to have been executed in
-three cases: the connection was refused; the connection ended before the server's greeting, and so before any
-byte of the request was written; or the server answered that it is saturated. Any other failed attempt may
-have been executed.
+three cases: no connection could be established, or none was available; the connection ended before the server's
+greeting, and so before any byte of the request was written; or the server answered that it is saturated. Any
+other failed attempt may have been executed.
 """
 
 from __future__ import annotations
--- a/puffintide/proxy/state.py
+++ b/puffintide/proxy/state.py
@@ -1,4 +1,7 @@
-"""The state file: the last received tables, with which a proxy starts if no other process is reachable."""
+"""The state file: the last received tables.
+
+A proxy loads them at its start, so that it can serve while assigners and store are unreachable.
+"""
 
 from __future__ import annotations
 
--- a/puffintide/proxy/upstream.py
+++ b/puffintide/proxy/upstream.py
@@ -78,7 +78,7 @@
             self.proxy.pools.on_connect_failed(self.server_id)
 
     def abort(self) -> None:
-        """Close the connection immediately, because no client waits for the response any more."""
+        """Close the connection immediately, because the response to its attempt is no longer needed."""
         self.exchange = None
         self.closed = True
         self.transport.abortConnection()
--- a/puffintide/proxy/usage_counters.py
+++ b/puffintide/proxy/usage_counters.py
@@ -1,6 +1,7 @@
 """Usage counters for each assigner, by server, slice and request class.
 
-Each request and each attempt is counted exactly once, even if the stream that carries the reports fails.
+Each request and each attempt is counted in exactly one report. Counts accumulate while the stream to the
+assigner is down; a report that is lost with its stream is not sent again.
 """
 
 from __future__ import annotations
--- a/puffintide/proxy/weight_tables.py
+++ b/puffintide/proxy/weight_tables.py
@@ -28,7 +28,7 @@
     fencing_token: int = 0
     batch: int = 0  # Batch number of the last update in this tenure.
     tenure_token: int = UNKNOWN_TENURE  # The first fencing token of the tenure.
-    early_weights: dict[int, float] | None = None  # Weights received under a token before its ownership.
+    early_weights: dict[int, float] | None = None  # Weights received before the ownership of their token.
     weights: dict[int, float] = field(default_factory=dict)
     balancers: dict[bool, LoadBalancer] = field(default_factory=dict)  # By same_zone_only.
     current_balancers: set[bool] = field(default_factory=set)  # Keys of the up-to-date balancers.
@@ -88,7 +88,7 @@
         random: A source of uniform random numbers in [0, 1).
         zone: The zone of this proxy.
         in_flight: Returns the number of this proxy's requests in flight at a server.
-        single_writer: Whether each slice has exactly one server.
+        single_writer: Whether each slice has at most one server.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
         self.levels = AdmissionLevels()
         self.version = 0  # Incremented by each change.
         self.highest_token = 0  # The highest fencing token received.
-        self.stale_entries_dropped = 0  # Number of weight entries dropped for an old fencing token.
+        self.stale_entries_dropped = 0  # Weight entries dropped for an old token or unknown slice.
         self._max_tracked_servers = MIN_TRACKED_SERVERS
 
     # Received tables -----------------------------------------------------------------------------
@@ -229,7 +229,7 @@
     # Routing -------------------------------------------------------------------------------------
 
     def owner_of(self, slice_id: int) -> int:
-        """Return the assigner that owns a slice."""
+        """Return the assigner that owns a slice, or NO_OWNER."""
         return self.slices[slice_id].owner_id
 
     def available_weights(self, slice_id: int) -> dict[int, float]:
--- a/puffintide/proxy/write_lease.py
+++ b/puffintide/proxy/write_lease.py
@@ -1,6 +1,7 @@
-"""Write leases: with a single writer per slice, a proxy forwards writes only while its assigner is connected.
+"""Write leases: a proxy forwards writes to a slice only while the slice's assigner is connected.
 
-A lease continues for a limited time after the connection is lost.
+They apply to deployments with a single writer per slice. A lease continues for a limited time after
+the connection is lost.
 """
 
 from __future__ import annotations
--- a/puffintide/tls/context.py
+++ b/puffintide/tls/context.py
@@ -94,7 +94,7 @@
     except SSL.Error as error:
         reasons = error.args[0] if error.args else []
         text = "; ".join(str(reason[-1]) for reason in reasons)
-        raise TlsError(f"cannot load {path}: {text or 'OpenSSL gives no reason'}") from error
+        raise TlsError(f"cannot load {path}: {text or 'OpenSSL reported no reason'}") from error
 
 
 def peer_dns_names(transport: Any) -> set[str] | None:
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -253,7 +253,7 @@
             connection.wait_for(lambda x: isinstance(x, m.WriteAcknowledged), 1.0)
         etcd.faults.no_leader = False
         connection.wait_for(lambda x: isinstance(x, m.WriteAcknowledged))
-        # Without the pause, its next renewal could acquire the lease again before the second store is up.
+        # Without the pause, the first store's next renewal could acquire the lease again before the second is up.
         first.send_signal(signal.SIGSTOP)
         advance(etcd, 30)
         second = dict(section, listen=f"127.0.0.1:{PORTS.take()}")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -164,7 +164,7 @@
         assert bodies == [b"you asked /%d" % k for k in range(200)] + [b"you asked /z"]
 
 
-def test_bodies_are_forwarded_completely_and_oversized_ones_are_not_buffered(
+def test_bodies_are_forwarded_in_both_directions_and_oversized_ones_are_not_buffered(
     tmp_path: Path,
 ) -> None:
     large_body = random.Random(1).randbytes(3_000_000)
--- a/tests/test_proxy_service.py
+++ b/tests/test_proxy_service.py
@@ -57,9 +57,9 @@
         return m.SliceOwnerships([m.SliceOwnership(0, next(self.fencing_tokens), 0, entries)])
 
     def client(self) -> PeerConnection:
-        line = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "client", 0))
-        line.wait_for(lambda x: isinstance(x, m.Welcome))
-        return line
+        connection = dial(self.port, m.Hello(m.PROTOCOL_VERSION, "client", 0))
+        connection.wait_for(lambda x: isinstance(x, m.Welcome))
+        return connection
 
 
 @pytest.fixture
@@ -109,7 +109,7 @@
         )
         assigner.wait_for(lambda x: isinstance(x, m.CheckpointReply))
         client = setting.client()
-        for number in (1, 2):  # One of the two requests selects the silent server first.
+        for number in (1, 2):  # Round robin: one of them selects the silent server first.
             client.send(m.ClientRequest(number, 0, 5, 3.0))
         # Connections to server 0 are accepted by the kernel only and get no greeting.
         server = setting.servers[1].accept("server")
@@ -214,7 +214,7 @@
         incomplete_client = setting.client()
         incomplete_client.send_bytes(b'{"t":"ask","id":1')  # The line is never completed.
         connections = [dial(setting.port, m.Hello(m.PROTOCOL_VERSION, "client", k)) for k in range(30)]
-        first_messages = [line.read() for line in connections]
+        first_messages = [connection.read() for connection in connections]
         assert sum(isinstance(x, m.ConnectionRejected) for x in first_messages) >= 10
         valid_client.send(m.ClientRequest(1, 0, 5, 1.0))
         # Without a table, the request is rejected after the queue timeout.
@@ -254,9 +254,9 @@
     with setting.running(shared_port="yes"), second_setting.running(shared_port="yes", id="4"):
         proxy_ids = set()
         for _ in range(60):
-            line = dial(setting.port, m.Hello(m.PROTOCOL_VERSION, "client", 0))
-            proxy_ids.add(line.wait_for(lambda x: isinstance(x, m.Welcome)).id)
-            line.close()
+            connection = dial(setting.port, m.Hello(m.PROTOCOL_VERSION, "client", 0))
+            proxy_ids.add(connection.wait_for(lambda x: isinstance(x, m.Welcome)).id)
+            connection.close()
         assert proxy_ids == {3, 4}
 
 
@@ -297,7 +297,7 @@
                 break
         assigner.close()
         setting.assigner.accept("assigner")
-        for _ in (1, 2):  # One read at once, and a second one after a delay.
+        for _ in (1, 2):  # One read at once, and one for writes that were on their way to the store.
             assert store.wait_for(lambda x: isinstance(x, m.ReadRequest))
         # The slice was moved back during the disconnection.
         store.send(m.SliceOwnerships([m.SliceOwnership(0, 1, 0, entries, 6)]))
--- a/tests/test_sqlite.py
+++ b/tests/test_sqlite.py
@@ -85,7 +85,8 @@
     engine = open_on(disk.after_power_cut(random.Random(seed)))
     assert engine.problems() == []
     snapshot = engine.load()
-    assert acknowledged <= snapshot.revision <= attempted  # If durable, the last commit is complete.
+    # The last attempted commit may be durable, and must then be complete.
+    assert acknowledged <= snapshot.revision <= attempted
     assert (snapshot.slices, snapshot.zone_commands) == state_at(snapshot.revision)
     engine.commit(commit_at(snapshot.revision + 1))  # The store accepts further commits.
 
@@ -101,7 +102,7 @@
 
 
 def test_without_syncs_a_power_cut_loses_acknowledged_commits() -> None:
-    """Shows that the power cut test can fail: without syncs, acknowledged commits are lost."""
+    """Show that the power cut test can fail: without syncs, acknowledged commits are lost."""
     lossy_count = 0
     for seed in range(10):
         disk = Disk()
