--- a/puffintide/audit/audit.py
+++ b/puffintide/audit/audit.py
@@ -1,9 +1,9 @@
 """Checks all rules on the records of a scenario, without I/O: records and ground truth in, a report out.
 
 Every result is derived from the recorded messages: which processes were connected and when, what each
-assigner was notified of and when, which tables each proxy had, and what was sent where. A statement of an
-assigner about itself is used in one place only, the time of an update. That time is corrected by the
-assigner's own write to the store.
+assigner was notified of and when, which tables each proxy had, and what was sent where. The only statement of
+an assigner about itself that is used is the time of an update. For the capacity of the channel, that time
+counts no later than the assigner's own write of the update to the store.
 """
 
 from __future__ import annotations
--- a/puffintide/audit/intervals.py
+++ b/puffintide/audit/intervals.py
@@ -4,7 +4,7 @@
 
 from bisect import bisect_right
 
-Interval = tuple[float, float]  # Begin and end, in seconds.
+Interval = tuple[float, float]  # Start and end, in seconds.
 FOREVER = float("inf")
 
 
@@ -37,6 +37,6 @@
 
 
 def start_of_interval_at(intervals: list[Interval], at_s: float) -> float | None:
-    """Return the begin of the interval that contains a time, or None if no interval does."""
+    """Return the start of the interval that contains a time, or None if no interval does."""
     index = bisect_right(intervals, at_s, key=lambda interval: interval[0]) - 1
     return intervals[index][0] if index >= 0 and at_s <= intervals[index][1] else None
--- a/puffintide/audit/linearizability.py
+++ b/puffintide/audit/linearizability.py
@@ -36,7 +36,7 @@
     token: int
     value: int  # The value that is written or was read; unused for GRANT.
     invoked_at_s: float
-    responded_at_s: float  # Infinity if there was no response, which only a write may lack.
+    responded_at_s: float  # Infinity if no response arrived; only a write may lack one.
 
     @property
     def is_complete(self) -> bool:
--- a/puffintide/audit/records.py
+++ b/puffintide/audit/records.py
@@ -28,7 +28,9 @@
     number: int
     received_at_s: float  # Time at which the recording proxy received it, in seconds.
     delivered_at_s: float | None  # Time at which it was forwarded, in seconds; None if it never was.
-    link: str  # Type of the link and number of the process that was dialled, such as "try:3".
+    # Type of the link and number of the process that was dialled, such as "try:3". Links between assigners have
+    # both numbers, that of the initiator first: "peer:0:1".
+    link: str
     connection_id: int
     to_initiator: bool  # Whether it was sent to the process that dialled.
     message: AnyMessage | None  # None if the record is the end of the connection.
@@ -40,7 +42,10 @@
 
     @property
     def link_number(self) -> int:
-        """Return the number of the process that was dialled."""
+        """Return the first number of the link.
+
+        It is that of the process that was dialled, except on links between assigners.
+        """
         return int(self.link.split(":")[1])
 
 
--- a/puffintide/audit/rules/available_servers.py
+++ b/puffintide/audit/rules/available_servers.py
@@ -25,9 +25,9 @@
     def __init__(self, context: AuditContext) -> None:
         self.context = context
         self.tables: dict[int, WeightTables] = {}  # Tables by proxy.
-        # Begin, end and first record of each interval without a server, by proxy and slice.
+        # Start, end and first record of each interval without a server, by proxy and slice.
         self.empty_intervals: dict[tuple[int, int], list[tuple[float, float, int]]] = defaultdict(list)
-        # Begin and first record of the intervals that have not ended, by proxy and slice.
+        # Start and first record of the intervals that have not ended, by proxy and slice.
         self._empty_since: dict[tuple[int, int], tuple[float, int]] = {}
 
     def run(self) -> None:
--- a/puffintide/audit/rules/channel_capacity.py
+++ b/puffintide/audit/rules/channel_capacity.py
@@ -1,8 +1,8 @@
 """Rule: the entries that an assigner has ordered and not yet sent stay within the capacity of the channel.
 
 An update counts from the time that the assigner states, but no later than its own write of the same batch to
-the store. If the deployment limits the number of messages to one proxy within a window, that limit is checked
-too.
+the store and no later than its sending. If the deployment limits the number of messages to one proxy within a
+window, that limit is checked too.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 
-Connection = tuple[int, int, float]  # Assigner, proxy, begin of the connection.
+Connection = tuple[int, int, float]  # Assigner, proxy, start of the connection.
 
 
 class _ChannelHistory:
--- a/puffintide/audit/rules/single_owner.py
+++ b/puffintide/audit/rules/single_owner.py
@@ -1,4 +1,4 @@
-"""Rule: with one writer per slice, its writes are in flight at one server only, never at a former owner."""
+"""Rule: with a single writer, writes of a slice are in flight at one server, and none at a former owner."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffintide.decisions.settings import RepeatSafety
 from puffintide.protocol import messages as m
 
-NO_ASSIGNMENT = -1  # Index that is below those of all assignments.
+NO_ASSIGNMENT = -1  # Index of no assignment; it is below the index of every assignment.
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,9 +26,8 @@
     """The delivered writes that were not answered yet, by slice and server."""
 
     def __init__(self, context: AuditContext) -> None:
-        self._open: dict[
-            tuple[int, int], tuple[int, int]
-        ] = {}  # Slice and server, by connection and attempt.
+        # Slice and server of each write in flight, by connection and attempt.
+        self._open: dict[tuple[int, int], tuple[int, int]] = {}
         # Number of writes in flight, by slice and server.
         self._counts: dict[int, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         runs = context.truth.server_runs
--- a/puffintide/audit/rules/slow_start.py
+++ b/puffintide/audit/rules/slow_start.py
@@ -1,7 +1,8 @@
 """Rule: a server that warms up is not sent more work than a multiple of its current capacity.
 
-The work in a sliding window is checked if at least two thirds of it came from proxies that had an update from
-after their assigner learned of the server's start.
+The work in a sliding window is checked if at least two thirds of it is informed, which means that its proxy
+could take the server's start into account: the proxy had an update from after its assigner learned of the
+start, or the assigner has known of the start for the grace period.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from puffintide.audit.report import Rule
 from puffintide.protocol import messages as m
 
-LIMIT_TOLERANCE = 1.1  # Factor on the limit, for requests that by chance need more work.
+LIMIT_TOLERANCE = 1.1  # Factor on the limit, as requests may need more work by chance.
 # A window is checked if at least this fraction of its work is informed.
 MIN_INFORMED_NUMERATOR = 2
 MIN_INFORMED_DENOMINATOR = 3
--- a/puffintide/audit/timeline.py
+++ b/puffintide/audit/timeline.py
@@ -60,7 +60,7 @@
         # Times at which the assigner learned of a start, by assigner and server.
         self.known_starts: dict[tuple[int, int], list[float]] = defaultdict(list)
         self.zones: dict[int, int] = {}  # Zone numbers, by server.
-        # Begins of ownerships that have not ended, by assigner and slice.
+        # Start times of ownerships that have not ended, by assigner and slice.
         self._open_ownerships: dict[tuple[int, int], float] = {}
         self._listed: dict[int, set[int]] = defaultdict(set)  # Listed servers, by assigner.
         # Start times, by assigner, server and incarnation.
@@ -131,7 +131,10 @@
         self.streams[proxy.id, assigner_id].append((connected_at_s, end_s))
 
     def _add_ownership(self, assigner_id: int, record: Record, ownership: m.SliceOwnership) -> None:
-        """Begin an ownership when its assigner is notified; end the former one when the store sends it."""
+        """Start an ownership when its owner handles the message, and end the former one.
+
+        The former ownership ends when the store sends the message.
+        """
         slice_id = ownership.slice_id
         for (owner_id, other_slice), since_s in list(self._open_ownerships.items()):
             if other_slice == slice_id:
@@ -174,7 +177,7 @@
         self.endpoints[assigner_id][entry.server_id].states.append(state)
 
     def _finish(self) -> None:
-        """End the ownerships that are open after the last record, and sort all intervals."""
+        """Add the ownerships that no record ended, which last until the next kill, and sort all intervals."""
         for (assigner_id, slice_id), since_s in self._open_ownerships.items():
             interval = (since_s, self._next_kill_at(assigner_id, since_s))
             self.ownerships[assigner_id][slice_id].append(interval)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -25,7 +25,7 @@
 
 
 def kept_scenario() -> RecordedScenario:
-    """A scenario with faults that keeps every rule, some of them just within the limit."""
+    """Return a scenario with faults that keeps every rule, some of them just within the limit."""
     scenario = RecordedScenario()
     for k in range(40):
         scenario.send_attempt(101 + k * 0.1, k % 4, k % 3, k % 4, class_index=READ)
@@ -70,7 +70,7 @@
 def emptied_tables(
     proxy_ids: tuple[int, ...] = (0,), method: str = "zero", slice_id: int = 0, until_s: float | None = None
 ) -> RecordedScenario:
-    """Tables of a slice have no available server from 140 s on, by one of several methods."""
+    """Return a scenario in which tables of a slice lose all available servers at 140 s, by a given method."""
     scenario = kept_scenario()
     assigner_id = slice_id % 2
     for proxy_id in proxy_ids:
@@ -120,7 +120,7 @@
 def repeated_attempt(
     class_index: int, first_server: int, second_server: int, delay_s: float, **options: object
 ) -> RecordedScenario:
-    """A request has a second attempt after a first one with the given options, which fails by default."""
+    """Return a scenario with two attempts of a request; the first fails unless `status` is given."""
     scenario = kept_scenario()
     status = options.pop("status", m.AttemptStatus.ERROR)
     request_id = scenario.send_attempt(140, first_server, class_index=class_index, status=status, **options)  # type: ignore[arg-type]
@@ -131,7 +131,10 @@
 
 
 def three_attempts() -> RecordedScenario:
-    """The first attempt is saturated, the second may have been executed, and the third is a violation."""
+    """Return a scenario with three attempts of a request.
+
+    The first is answered as saturated, the second may have been executed, and the third is a violation.
+    """
     scenario = kept_scenario()
     request_id = scenario.send_attempt(140, 0, class_index=ONCE, status=m.AttemptStatus.SATURATED)
     scenario.send_attempt(
@@ -162,7 +165,7 @@
 def attempt_after_loss(
     status: int = 2, delay_s: float = 2.2, proxy_id: int = 0, slice_id: int = 0, update_type: str = "delta"
 ) -> RecordedScenario:
-    """Server 3 gets an attempt some time after the owner of the slice was notified of its loss."""
+    """Return a scenario with an attempt at server 3 after the owner of the slice was notified of its loss."""
     scenario = kept_scenario()
     if update_type == "delta":
         entries = [scenario.endpoint(3, status=status)]
@@ -174,7 +177,7 @@
 
 
 def attempt_after_reconnection(delay_s: float) -> RecordedScenario:
-    """The grace period of a proxy that reconnects begins again, and is not longer."""
+    """Return a scenario in which the grace period starts again, at full length, as the proxy reconnects."""
     scenario = kept_scenario()
     scenario.send_endpoints(140, 0, scenario.endpoint(3, status=0))
     scenario.disconnect(141, "order:0", "proxy", 0)
@@ -184,7 +187,7 @@
 
 
 def attempt_after_ownership_change(delay_s: float) -> RecordedScenario:
-    """The grace period of a slice whose owner changes begins again, and is not longer."""
+    """Return a scenario in which the grace period starts again, at full length, as the slice changes owner."""
     scenario = kept_scenario()
     scenario.send_endpoints(140, 0, scenario.endpoint(3, status=0))
     scenario.send_ownership(145, 1, 0, 3, token=70)
@@ -193,7 +196,7 @@
 
 
 def attempt_after_drain_and_removal() -> RecordedScenario:
-    """The grace period of a server that drains and is then removed runs from the first notification."""
+    """Return a scenario in which a server drains and is then removed; the grace period starts at the drain."""
     scenario = attempt_after_loss(status=2, delay_s=1.0)
     scenario.send_endpoints(141, 0, scenario.endpoint(3, status=0))
     scenario.send_attempt(142.5, 3)
@@ -226,7 +229,10 @@
     server_id: int = 1,
     proxy_count: int = 1,
 ) -> RecordedScenario:
-    """A server starts cold at 150 s, assigners are notified at 150.2 s, and then attempts share the work."""
+    """Return a scenario in which attempts share some work at a server in slow start.
+
+    The server starts at 150 s, and the assigners are notified at 150.2 s.
+    """
     scenario = kept_scenario()
     scenario.truth.server_runs[server_id] = ServerRun(server_id, 150.0, 1e9, False, 2.0, 0.5, 8.0)
     for assigner_id in (0, 1):
@@ -263,7 +269,7 @@
     assigner_id: int = 0,
     ordered_at_s: float | None = 140.0,
 ) -> RecordedScenario:
-    """Updates are ordered at the same time and sent one after another."""
+    """Return a scenario with updates that are ordered at the same time and sent one after another."""
     scenario = kept_scenario()
     for k in range(count):
         scenario.send_update(
@@ -279,7 +285,7 @@
 
 
 def order_times_later_than_write() -> RecordedScenario:
-    """An assigner states order times equal to the send times, but wrote the batch to the store before."""
+    """Return a scenario whose assigner states the send times as order times, but wrote the batch before."""
     scenario = kept_scenario()
     scenario.add(140, "store", "assigner", 0, m.WriteRequest(500, []))
     for k in range(9):
@@ -288,7 +294,7 @@
 
 
 def costs_below_entry_counts() -> RecordedScenario:
-    """The stated cost of each update is less than the number of its entries."""
+    """Return a scenario in which the stated cost of each update is below its number of entries."""
     scenario = kept_scenario()
     for k in range(3):
         weights = [(0, server_id, 1.0) for server_id in range(40)]
@@ -297,7 +303,7 @@
 
 
 def many_messages(count: int, duration_s: float, assigner_id: int = 0, proxy_id: int = 0) -> RecordedScenario:
-    """One proxy receives a number of updates within a time."""
+    """Return a scenario in which one proxy receives a number of updates within a time."""
     scenario = kept_scenario()
     for k in range(count):
         scenario.send_update(141 + k * duration_s / count, assigner_id, proxy_id, (assigner_id, 3, 1.0))
@@ -385,7 +391,12 @@
 def single_writer_scenario(
     *writes: tuple[float, int, float], assignments: tuple[tuple[float, int], ...] = ()
 ) -> RecordedScenario:
-    """Writes of slice 0 as time, server and response delay; assignments of slice 0 as time and server."""
+    """Return a scenario with a single writer per slice.
+
+    Args:
+        writes: Writes of slice 0, as time, server and response delay.
+        assignments: Assignments of slice 0, as time and server.
+    """
     scenario = RecordedScenario(deployment={"single_writer": "yes"})
     for at_s, server_id in assignments:
         write = m.WriteRequest(int(at_s), [m.WeightEntry(0, server_id, 1.0, 1)])
@@ -444,7 +455,7 @@
 
 
 def record_lines(count: int) -> list[bytes]:
-    """Lines of a complete file of a recording proxy, with the closing count."""
+    """Return the lines of a complete file of a recording proxy, with the closing count."""
     rows = [
         b'{"i":%d,"t":%d.5,"o":null,"l":"try:1","c":1,"d":0,"m":{"t":"cancel","id":%d}}\n' % (k, k, k)
         for k in range(1, count + 1)
