--- a/puffintide/emulators/endpoint_list.py
+++ b/puffintide/emulators/endpoint_list.py
@@ -21,7 +21,7 @@
 
     status: EndpointStatus
     incarnation: int
-    started_at_s: float  # Start in seconds; UNKNOWN_TIME_S if it was before the start of the list.
+    started_at_s: float  # Start in seconds; UNKNOWN_TIME_S if warm from the start, removed or unknown.
 
 
 DescribeEndpoint = Callable[[int, ListedState], m.EndpointEntry]
@@ -112,7 +112,7 @@
             case m.SnapshotRequest():
                 self.send_snapshot(stream)
             case _:
-                stream.reject(f"the endpoint list does not accept message {type(message).__name__}")
+                stream.reject(f"unexpected {type(message).__name__} message from an assigner")
 
     def _watch_requested(self, stream: Stream, request: m.WatchRequest) -> None:
         if not request.enabled:
--- a/puffintide/emulators/etcd.py
+++ b/puffintide/emulators/etcd.py
@@ -35,7 +35,7 @@
 
     no_leader: bool = False  # Whether all calls fail with UNAVAILABLE.
     call_delay_s: float = 0.0  # Delay added to each call, in seconds.
-    lose_responses: int = 0  # Number of next writing transactions to execute and answer with UNAVAILABLE.
+    lose_responses: int = 0  # Number of upcoming writes to execute and answer with UNAVAILABLE.
     no_space: bool = False  # Whether writing transactions fail with RESOURCE_EXHAUSTED.
     compacted_revision: int = 0  # Reads at lower revisions fail with OUT_OF_RANGE.
 
@@ -113,7 +113,7 @@
         return pb.ResponseHeader(cluster_id=1, member_id=1, revision=self.revision, raft_term=1)
 
     def _keys_in_range(self, key: bytes, end: bytes) -> list[bytes]:
-        """Return the existing keys from key to before end in order; without an end, only key."""
+        """Return the existing keys from key up to, but not including, end; without an end, only key."""
         if not end:
             return [key] if key in self.keys else []
         return sorted(k for k in self.keys if key <= k < end)
--- a/puffintide/emulators/model.py
+++ b/puffintide/emulators/model.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """The properties of a server, which are not disclosed to assigners."""
+    """The true properties of a server; assigners know only its endpoint entry and its load reports."""
 
     cores: int
     speed: float  # Speed of a core, relative to 1.
--- a/puffintide/emulators/server.py
+++ b/puffintide/emulators/server.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """The entry of a server in the endpoint list, and its port."""
+    """The ids and the address by which the endpoint list names a server, and the port on which it listens."""
 
     server_id: int
     zone: int
@@ -152,7 +152,7 @@
             case m.CancelAttempt():
                 pass  # Work that was accepted is not cancelled.
             case _:
-                stream.reject(f"a server does not accept message {type(message).__name__}")
+                stream.reject(f"unexpected {type(message).__name__} message from a proxy or an assigner")
 
     def _handshake_received(self, stream: Stream, model: ServerModel) -> None:
         self._streams.add(stream)
