--- a/puffintide/scenarios/faults.py
+++ b/puffintide/scenarios/faults.py
@@ -155,7 +155,7 @@
         return sorted(self.random.sample(range(self.proxy_count), count))
 
     def _sample(self, pool: list[int]) -> list[int]:
-        """Return a random sample of a pool: the fault's `part` of it, and at least one member."""
+        """Return a random sample of a pool: the fraction `part` of it, but at least one member."""
         count = min(len(pool), max(1, round(self.fault.part * len(pool))))
         return sorted(self.random.sample(pool, count))
 
@@ -285,7 +285,10 @@
         return self._link_fault(kinds=["peer"], cut="silent", parties=inside, facing=outside, **senders)
 
     def _peer_mess(self) -> list[Step]:
-        """Delay and reorder messages by at most `size` seconds, and duplicate a fraction `extra` of them."""
+        """Delay, reorder and duplicate the replication messages between assigners.
+
+        Each is delayed by a random time of at most `size` seconds, and a fraction `extra` is duplicated.
+        """
         return self._link_fault(
             kinds=["peer"],
             words=["copies", "digest"],
@@ -302,8 +305,8 @@
     def _proxies_cut_off(self) -> list[Step]:
         """Cut the links between some proxies and the assigners.
 
-        If `way` is "refuse", connections are closed. If it is "silent", all messages are lost. If it is
-        "empty", only updates to the proxies are lost.
+        If `way` is "refuse" or not set, connections are closed. If it is "silent", all messages are lost. If
+        it is "empty", only updates to the proxies are lost.
         """
         proxy_ids = self._selected_proxies()
         if self.fault.way == "empty":
--- a/puffintide/scenarios/importer.py
+++ b/puffintide/scenarios/importer.py
@@ -2,8 +2,8 @@
 
 The script cannot express the cells of servers, report noise by field, periodic changes of the request rate
 and link jitter. They are left out, and the header of the script names them. The scale factor applies equally
-to servers, proxies, slices, keys and requests. The rate and limit of the channel follow the number of proxies
-and slices.
+to servers, proxies, slices, keys and requests, so that their ratios are kept. The rate and limit of the
+channel follow the number of proxies and slices.
 """
 
 from __future__ import annotations
--- a/puffintide/scenarios/record_writer.py
+++ b/puffintide/scenarios/record_writer.py
@@ -10,7 +10,8 @@
     m: the message, unchanged.
     x: 1 instead of m if the connection was closed.
 
-The last line of a file contains the number of records, so that the reader detects missing records.
+Heartbeats are not recorded. The last line of a file contains the number of records, so that the reader
+detects missing records.
 """
 
 from __future__ import annotations
--- a/puffintide/scenarios/recording_proxy.py
+++ b/puffintide/scenarios/recording_proxy.py
@@ -191,7 +191,7 @@
         return connection
 
     def close_connection(self, connection: RelayedConnection, closed_side: Any) -> None:
-        """Close a connection; queued lines are recorded as lost.
+        """Close a connection, and record its queued lines as lost.
 
         Args:
             connection: The connection to close.
@@ -225,7 +225,7 @@
                 self._set_reading(connection, fault, reading=False)
 
     def clear_fault(self, name: str) -> None:
-        """End the fault of a name, if it is active."""
+        """End the fault with a name, if it is active."""
         fault = self.faults.pop(name, None)
         if fault is not None and fault.pauses_initiator:
             for connection in list(self.connections.values()):
--- a/puffintide/scenarios/steps.py
+++ b/puffintide/scenarios/steps.py
@@ -21,7 +21,7 @@
 class Step:
     """One operation of a party at a given time."""
 
-    at_s: float  # Time in seconds since the clients were started.
+    at_s: float  # Time in seconds since the clients were told to send requests.
     party: Party
     operation: str
     arguments: dict[str, Any] = field(default_factory=dict)
--- a/puffintide/scenarios/zone_scenarios.py
+++ b/puffintide/scenarios/zone_scenarios.py
@@ -100,7 +100,7 @@
         THREE_ZONES | {"load": {"requests_per_s": "90"}},
     ),
     "one-server": ZoneScenario(
-        "one of three zones with one server each fails",
+        "one of three zones fails; each zone has one server",
         {"zone": {"kind": "crash", "at_s": "12", "for_s": "15", "servers": "0"}},
         {
             "deployment": {"zones": "north, south, east", "proxies": "9"},
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -401,7 +401,7 @@
     tables.apply_update(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 4)]))
     assert tables.stale_entries_dropped == 1
     assert {tables.pick(1) for _ in range(9)} == {2}
-    # An entry with a newer fencing token makes its sender the owner, and only its withdrawals apply.
+    # An entry with a newer fencing token makes its sender the owner; only this owner's withdrawals apply.
     tables.apply_update(1, m.ProxyUpdate(1, 0.0, 1.0, [m.WeightEntry(1, 3, 1.0, 6)]))
     assert tables.slices[1].owner_id == 1
     assert {1, 2, 3} == {tables.pick(1) for _ in range(30)}
