--- a/puffintide/cli/emulator_processes.py
+++ b/puffintide/cli/emulator_processes.py
@@ -23,7 +23,7 @@
 
 MAX_CLIENTS_PER_PROXY = 10
 COMPLETION_CHECK_INTERVAL_S = 0.2
-# Time between the end of the last request and that of the process, in seconds.
+# Time for which the process runs on after the clients are done, in seconds.
 FINAL_RESPONSE_GRACE_S = 0.5
 
 CommandHandler = Callable[[str, dict[str, Any]], object]  # Takes an operation and its arguments.
@@ -73,22 +73,22 @@
     from puffintide.emulators.fleet import FleetService
 
     reactor = monotonic_reactor()
-    config, place = _read_scenario(folder)
-    addresses = [place.proxied_address(f"try:{server_id}") for server_id in range(len(place.servers))]
+    config, layout = _read_scenario(folder)
+    addresses = [layout.proxied_address(f"try:{server_id}") for server_id in range(len(layout.servers))]
     with (folder / "fleet.jsonl").open("w", encoding="utf-8") as record:
-        service = FleetService(reactor, config, place.servers, addresses, record)
+        service = FleetService(reactor, config, layout.servers, addresses, record)
         with _exit_if_port_in_use():
-            service.start(place.news)
+            service.start(layout.news)
         _run_controlled(reactor, service.execute)
 
 
 def run_recording_proxy(folder: Path) -> None:
-    """Run the recording proxy until the runner ends."""
+    """Run the recording proxy until the scenario runner closes standard input."""
     from puffintide.scenarios.link_faults import parse_link_fault
     from puffintide.scenarios.recording_proxy import RecordingProxy
 
     reactor = monotonic_reactor()
-    config, place = _read_scenario(folder)
+    config, layout = _read_scenario(folder)
     assert config.day is not None
 
     def execute(operation: str, arguments: dict[str, Any]) -> None:
@@ -99,7 +99,7 @@
             proxy.set_fault(name, parse_link_fault(arguments))
 
     with (folder / "tap.jsonl").open("wb", buffering=1 << 16) as sink:
-        proxy = RecordingProxy(reactor, place.links, config.net.model_dump(), config.day.seed, sink)
+        proxy = RecordingProxy(reactor, layout.links, config.net.model_dump(), config.day.seed, sink)
         with _exit_if_port_in_use():
             proxy.listen()
         _run_controlled(reactor, execute)
@@ -112,17 +112,19 @@
     from puffintide.proxy.service import ProxyService
 
     reactor = monotonic_reactor()
-    config, place = _read_scenario(folder)
+    config, layout = _read_scenario(folder)
     log = setup(f"proxies-{first}")
     zone_count = len(config.deployment.zones)
-    assigners = [place.proxied_address(f"order:{assigner_id}") for assigner_id in range(len(place.assigners))]
+    assigners = [
+        layout.proxied_address(f"order:{assigner_id}") for assigner_id in range(len(layout.assigners))
+    ]
     for proxy_id in range(first, last):
         process = ProxyProcess(
             id=proxy_id,
             zone=proxy_id % zone_count,
-            listen=f"127.0.0.1:{place.fronts[proxy_id]}",
+            listen=f"127.0.0.1:{layout.fronts[proxy_id]}",
             assigners=assigners,
-            store=place.proxied_address("store"),
+            store=layout.proxied_address("store"),
             clients_most=MAX_CLIENTS_PER_PROXY,
         )
         service = ProxyService(reactor, config, process, log)
@@ -132,11 +134,11 @@
 
 
 def run_clients(folder: Path) -> None:
-    """Run the clients until their last request has ended."""
+    """Run the clients until all requests have been sent and none is in flight."""
     from puffintide.emulators.clients import Clients
 
     reactor = monotonic_reactor()
-    config, place = _read_scenario(folder)
+    config, layout = _read_scenario(folder)
 
     def stop_when_done() -> None:
         if clients.done():
@@ -149,6 +151,6 @@
         stop_when_done()
 
     with (folder / "clients.jsonl").open("w", encoding="utf-8") as record:
-        proxies = [f"127.0.0.1:{port}" for port in place.fronts]
+        proxies = [f"127.0.0.1:{port}" for port in layout.fronts]
         clients = Clients(reactor, config, proxies, record)
         _run_controlled(reactor, execute)
--- a/puffintide/cli/scenario_commands.py
+++ b/puffintide/cli/scenario_commands.py
@@ -85,7 +85,7 @@
         if quiet:
             runner.run_scenario()
         else:
-            _play_with_progress(runner)
+            _run_with_progress(runner)
     except (ScenarioRunError, PortError) as error:
         raise CommandError(str(error)) from error
     except KeyboardInterrupt as error:
@@ -103,13 +103,15 @@
     return output.getvalue()
 
 
-def _play_with_progress(runner: ScenarioRunner) -> None:
+def _run_with_progress(runner: ScenarioRunner) -> None:
     from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task("starting", total=1.0)
-        runner.on_progress = lambda text, played: progress.update(task, description=text, completed=played)
+        runner.on_progress = lambda text, fraction: progress.update(
+            task, description=text, completed=fraction
+        )
         runner.run_scenario()
 
 
--- a/puffintide/config/loader.py
+++ b/puffintide/config/loader.py
@@ -154,7 +154,7 @@
     values: dict[str, str],
     model: type[schema.Section],
 ) -> str:
-    """Describe an error of one key as `KEY = VALUE: MESSAGE`.
+    """Describe an error as `KEY = VALUE: MESSAGE`, or `: MESSAGE` if it is one of the whole section.
 
     Args:
         error_type: Type of the error in pydantic's terms.
--- a/puffintide/config/schema/deployment.py
+++ b/puffintide/config/schema/deployment.py
@@ -61,7 +61,8 @@
         unknown = sorted(set(self.names) - LOAD_VALUE_NAMES)
         if unknown:
             raise ValueError(
-                f"unknown names {', '.join(unknown)}; allowed: {', '.join(sorted(LOAD_VALUE_NAMES))}"
+                f"names = {', '.join(self.names)!r}: unknown {', '.join(unknown)}; "
+                f"allowed: {', '.join(sorted(LOAD_VALUE_NAMES))}"
             )
         return self
 
@@ -69,7 +70,7 @@
 class ListSection(Section):
     """[list]: how the endpoint list is watched."""
 
-    asked: bool = False  # watch events are sent only to those who requested them
+    asked: bool = False  # Whether watch events are sent only to those who requested them.
 
 
 class ProbeSection(Section):
@@ -133,7 +134,7 @@
 class ClassSection(Section):
     """[class NAME]: properties of a request class."""
 
-    share: Fraction = 1.0  # Fraction of the requests; used in scenarios only.
+    share: Fraction = 1.0  # Share of the requests, relative to the other classes; used in scenarios only.
     effect: RepeatSafety = RepeatSafety.IDEMPOTENT  # Whether a request may be executed twice.
     group: Literal["all", "zone", "cell"] = "all"  # Servers that share idempotency keys.
     window_s: NonNegative = 0.0  # Time for which these servers remember an idempotency key, in seconds.
--- a/puffintide/config/schema/scenarios.py
+++ b/puffintide/config/schema/scenarios.py
@@ -89,7 +89,7 @@
     retries: int = Field(default=1, ge=0, le=3)  # Maximum number of retries by a client.
     retry_s: NonNegative = 0.1
     try_share: Fraction = 0.9  # Fraction of the deadline after which an attempt is cancelled.
-    honour: Fraction = 0.9  # Fraction of the clients that obey Retry-After.
+    honour: Fraction = 0.9  # Fraction of the requests whose client obeys Retry-After.
 
 
 class Net(Section):
@@ -121,7 +121,7 @@
     servers: Ints = Field(default=[])
     part: Fraction = 0.1
     zone: int = Field(default=0, ge=0)
-    size: NonNegative = 2.0  # Factor, count or seconds, depending on the kind.
+    size: NonNegative = 2.0  # Factor, fraction, count or seconds, depending on the kind.
     extra: NonNegative = 0.0
     assigners: Ints = Field(default=[])
     # Ids of the assigners on the other side of a peer_cut; empty means all others.
--- a/puffintide/config/schema/types.py
+++ b/puffintide/config/schema/types.py
@@ -25,9 +25,9 @@
     """
     host, _, port = value.rpartition(":")
     if host not in ("127.0.0.1", "localhost") and not host.startswith(LOOPBACK_PREFIX):
-        raise ValueError("must be HOST:PORT on loopback (127.x.x.x or localhost)")
+        raise ValueError(f"address {value!r} must be HOST:PORT on loopback (127.x.x.x or localhost)")
     if not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
-        raise ValueError("must end in a port from 0 to 65535")
+        raise ValueError(f"address {value!r} must end in a port from 0 to 65535")
     return value
 
 
