--- a/puffintide/assigner/channel.py
+++ b/puffintide/assigner/channel.py
@@ -2,8 +2,8 @@
 
 The rate limit is in entries per second. A message leaves the queue once the entries before it have been sent
 at that rate. A proxy that does not read delays only its own messages, which wait in a backlog. The entries of
-a backlog count as queued. When all queued entries would exceed the capacity, the proxy with the largest
-backlog is removed, and the caller has to close its stream.
+a backlog count as queued. While all queued entries exceed the capacity, the proxy with the largest backlog is
+removed, and the caller has to close its stream. Without any backlog, the queue may exceed the capacity.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
     Attributes:
         entries_per_s: Rate at which entries leave the queue, including those of message headers.
-        capacity_entries: Maximum number of entries queued for all proxies together.
+        capacity_entries: Number of entries queued for all proxies together above which backlogs are removed.
         max_queued_entries: Highest number of entries that were queued at one time.
         messages_sent: Number of messages sent to all proxies.
         max_messages_per_window: Highest number of messages sent to one proxy within message_window_s.
@@ -67,7 +67,7 @@
             self._queue_entries -= dropped_entries
 
     def enqueue(self, proxy_id: int, update: ProxyUpdate) -> None:
-        """Queue an update; it is dropped when its proxy was not added."""
+        """Queue an update for a proxy, or drop it if the proxy was not added or has been removed."""
         if proxy_id not in self._backlogs:
             return
         self._queue.append((proxy_id, update))
@@ -81,7 +81,9 @@
         return self._queue_entries + sum(backlog.entry_count for backlog in self._backlogs.values())
 
     def dequeue(self, now: float) -> tuple[list[tuple[int, ProxyUpdate]], list[int]]:
-        """Remove and return the messages that the rate limit allows to be sent by now.
+        """Remove the messages that the rate limit allows by now from the queue, and return those to send.
+
+        Messages to proxies that do not read are moved to their backlogs instead.
 
         Returns:
             The messages with the ids of their proxies, and the ids of the proxies that were removed since the
@@ -127,7 +129,7 @@
         return self._departure_at(self._queue[0][1]) if self._queue else None
 
     def _departure_at(self, update: ProxyUpdate) -> float:
-        """Return the time at which the first message of the queue leaves.
+        """Return the time at which an update leaves if it is the first one in the queue.
 
         An idle channel accumulates no credit for a later burst.
         """
--- a/puffintide/assigner/endpoint_directory.py
+++ b/puffintide/assigner/endpoint_directory.py
@@ -9,7 +9,7 @@
 from puffintide.protocol.messages import EndpointEntry, TableEntry, WatchEvent
 from puffintide.protocol.validation import split_valid_endpoints
 
-# Number of removed servers whose data is retained, in addition to as many servers as are listed.
+# Data of removed servers is dropped once they outnumber the listed servers by more than this number.
 MAX_UNLISTED_SERVERS = 64
 
 
@@ -95,7 +95,7 @@
         return start.started_at_s
 
     def _forget_unlisted(self) -> None:
-        """Remove the data of servers that are no longer listed if there are too many of them.
+        """Remove the data of all servers that are no longer listed if there are too many of them.
 
         The data would otherwise grow without bound, as a replaced machine has a new id.
         """
--- a/puffintide/assigner/endpoint_watch.py
+++ b/puffintide/assigner/endpoint_watch.py
@@ -74,7 +74,7 @@
             case m.WatchEvent() if message.update_type not in WATCH_EVENT_TYPES:
                 known_types = ", ".join(WATCH_EVENT_TYPES)
                 update_type = message.update_type[:MAX_UPDATE_TYPE_CHARS]
-                stream.reject(f"watch event of type {update_type!r}; there are {known_types}")
+                stream.reject(f"watch event of unknown type {update_type!r}; known types are {known_types}")
             case m.WatchEvent():
                 self._on_watch_event(now, message)
 
@@ -87,7 +87,10 @@
         self.stream = None
 
     def _on_connected(self, stream: Stream) -> None:
-        """Start watching the list, or request a first list if the decision module starts the watch itself."""
+        """Start watching the list.
+
+        If the decision module starts the watch itself, only a first list is requested, unless there is one.
+        """
         self.stream = stream
         self.log.info("endpoint_list_connected")
         if not self.runtime.settings.watch_on_request:
--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -1,17 +1,19 @@
-"""Migration of slices that have a single writer: no two servers execute writes of a slice at the same time.
+"""Migration of slices that have a single writer: no two servers execute writes of a slice concurrently.
 
-No I/O; time is passed in. Migrations happen one at a time, in three stages:
+The module does no I/O, and the caller passes the time. Migrations run one at a time, in three steps:
 
-1. Draining: every proxy clears the tables of the slices, and answers a checkpoint once none of its writes is
-   in flight there.
-2. Storing: the weights are written to the store, so that whoever takes over the slices knows the new servers.
+1. Draining: every proxy clears the tables of the slices. It acknowledges a checkpoint once it has no more
+   writes in flight there.
+2. Storing: the weights are written to the store, so that an assigner that takes over the slices knows the new
+   servers.
 3. The proxies receive the new weights.
 
-A proxy that disconnects stops writing by itself after its write lease, and its writes in flight end with the
-longest deadline: it is waited for that long. A proxy that connects takes writes only after its first update,
-which it gets when no migration is in progress. Writes that outlast max_drain_s are not waited for, as a slice
-may not be without a server for longer; a server may then still execute a write for a client that has given
-up. Withdrawals and admission levels are never delayed.
+A proxy that disconnects stops accepting writes when its write lease ends, and its writes in flight end
+within the longest deadline of a write. Draining waits for the sum of both times. A proxy that connects
+accepts writes only after its first update, which it gets at once or, during a migration, with step 3.
+
+Draining ends after max_drain_s at the latest, as a slice may not be without a server for longer. A server may
+then still execute a write for a client that has given up. Withdrawals and admission levels are never delayed.
 """
 
 from __future__ import annotations
@@ -131,7 +133,7 @@
         return HandoverSteps(proxy_updates=[(proxy_id, ProxyUpdate(0, now, self.header_entries))])
 
     def on_proxy_disconnected(self, now: float, proxy_id: int) -> HandoverSteps:
-        """Remove a proxy, and wait until the writes that it may have in flight have ended."""
+        """Remove a proxy; draining waits until the writes that it may have in flight have ended."""
         self.proxies.discard(proxy_id)
         self._disconnected_at[proxy_id] = now
         if self.migrations and proxy_id in self.migrations[0].unacknowledged:
@@ -191,7 +193,7 @@
             migration.weights = [entry for entry in migration.weights if entry.slice_id != slice_id]
 
     def unacknowledged_writes(self) -> list[tuple[int, list[WeightEntry]]]:
-        """Return the weights that the store has not committed yet, with the number of their batch.
+        """Return the weights in the storing stage, which the store has not committed yet, with their batch.
 
         They are written again after the store was unreachable.
         """
@@ -283,7 +285,10 @@
         return updates
 
     def _immediate_part(self, update: ProxyUpdate) -> ProxyUpdate:
-        """What of an update is not delayed: withdrawals and admission levels."""
+        """Return the part of an update that is not delayed.
+
+        It consists of withdrawals, readmissions and admission levels.
+        """
         entry_count = (
             len(update.withdrawn_servers) + len(update.readmitted_servers) + len(update.admission_levels)
         )
@@ -304,7 +309,7 @@
 
 
 def _deferred_part(update: ProxyUpdate) -> ProxyUpdate:
-    """What of an update waits for the migration: weights and the checkpoint."""
+    """Return the part of an update that waits for the migration: its weights and its checkpoint."""
     return msgspec.structs.replace(update, withdrawn_servers=[], readmitted_servers=[], admission_levels=[])
 
 
--- a/puffintide/assigner/inbound_streams.py
+++ b/puffintide/assigner/inbound_streams.py
@@ -25,7 +25,7 @@
         deployment: The deployment name that a Hello has to contain.
         proxy_sessions: The handler of proxies.
         peer_sessions: The handler of other assigners; None if they are not accepted.
-        zone_director: The source of the answers to operators; None without a zone plan.
+        zone_director: The source of the zone states that operators request; None without a zone plan.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         if hello.role not in (PROXY, OPERATOR) and not is_peer:
             return f"role {hello.role!r} is not served by an assigner"
         if hello.deployment != self.deployment:
-            return f"deployment {hello.deployment!r} is not {self.deployment!r}"
+            return f"deployment {hello.deployment!r} is not this assigner's deployment {self.deployment!r}"
         if hello.role == PROXY and not 0 <= hello.id <= MAX_PROXY_ID:
             return f"proxy id {hello.id} is not from 0 to {MAX_PROXY_ID}"
         if self.peer_sessions is not None and hello.role == ASSIGNER:
@@ -78,7 +78,8 @@
             case m.ReplicaRequest() if stream.peer.role == OPERATOR and self.peer_sessions is not None:
                 send_replica(self.clock.seconds(), stream, self.peer_sessions.replica)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for an assigner")
+                name = type(message).__name__
+                stream.reject(f"unexpected {name} message from a peer of role {stream.peer.role!r}")
 
     def on_lost(self, stream: Stream, _reason: AnyMessage) -> None:
         """Handle the loss of a proxy's stream; the sessions of other assigners detect the loss of theirs."""
--- a/puffintide/assigner/load_reports.py
+++ b/puffintide/assigner/load_reports.py
@@ -14,11 +14,13 @@
 from puffintide.decisions.events import Event, ServerLoadReport, SliceLoadReport
 from puffintide.protocol.messages import ServerUsage, SliceUsage, UsageReport
 
-MAX_COVERED_INTERVALS = 4  # Maximum number of usage report intervals that one load report covers.
+# Counting for a load report starts at most this number of usage report intervals before the first usage
+# report that it covers.
+MAX_COVERED_INTERVALS = 4
 # Time for which the times of load reports are retained, in seconds.
-# It is longer than any interval that a report covers.
+# It has to exceed MAX_COVERED_INTERVALS intervals of usage reports.
 REPORT_TIMES_RETENTION_S = 60.0
-# Interval whose entries the first call may report, in seconds, as no earlier call measures one.
+# Time for which the first call of drain_reports earns credit, in seconds, as there is no earlier call.
 FIRST_CREDIT_S = 0.5
 
 
--- a/puffintide/assigner/operator_requests.py
+++ b/puffintide/assigner/operator_requests.py
@@ -7,7 +7,7 @@
 from puffintide.replication.replica import Replica
 from puffintide.zones.director import ZonedDirector
 
-MAX_REPLICA_ROWS = 200_000  # Maximum number of rows sent in answer to one request.
+MAX_REPLICA_ROWS = 200_000  # Maximum number of rows and deletions sent in answer to one request.
 FRACTION_DECIMALS = 4
 SECONDS_DECIMALS = 3
 
@@ -34,7 +34,7 @@
 
 
 def send_replica(now: float, stream: Stream, replica: Replica) -> None:
-    """Send all rows of the replica, followed by its digest, which marks the end."""
+    """Send at most MAX_REPLICA_ROWS rows of the replica, followed by its digest, which marks the end."""
     for delta in replica.deltas_for(now, [], MAX_REPLICA_ROWS):
         stream.send(delta)
     stream.send(m.VersionDigest(replica.digest()))
--- a/puffintide/assigner/proxy_sessions.py
+++ b/puffintide/assigner/proxy_sessions.py
@@ -78,7 +78,7 @@
             case m.CheckpointReply():
                 self._on_checkpoint_reply(stream.peer.id, message.checkpoint_id)
             case _:
-                stream.reject(f"a {type(message).__name__} is not for an assigner")
+                stream.reject(f"unexpected {type(message).__name__} message from a proxy")
 
     def on_lost(self, stream: Stream) -> None:
         """Remove the proxy whose stream was lost, unless it has connected again."""
@@ -101,7 +101,7 @@
         settings = self.runtime.settings
         problem = usage_report_problem(report, settings.slice_count, len(settings.request_classes))
         if problem is not None:
-            stream.reject(f"usage report: {problem}")
+            stream.reject(f"invalid usage report: {problem}")
             return
         zone = self.runtime.proxy_zones.get(stream.peer.id)
         if zone is not None:
--- a/puffintide/assigner/proxy_updates.py
+++ b/puffintide/assigner/proxy_updates.py
@@ -8,8 +8,8 @@
 from puffintide.protocol.stream import PeerIdentity, Stream
 
 PROXY = "proxy"
-CHECKPOINT_RETENTION_S = 120.0  # Time for which an unanswered checkpoint is retained, in seconds.
-MIN_FLUSH_DELAY_S = 0.002  # Minimum delay before queued messages are sent, in seconds.
+CHECKPOINT_RETENTION_S = 120.0  # Time for which the time of sending of a checkpoint is retained, in seconds.
+MIN_FLUSH_DELAY_S = 0.002  # Minimum delay of the flush timer, in seconds.
 # Interval between checks of the streams while only proxies that do not read have messages, in seconds.
 BACKLOG_POLL_INTERVAL_S = 0.05
 
@@ -52,7 +52,11 @@
         self._flush()
 
     def on_checkpoint_reply(self, checkpoint_id: int) -> float:
-        """Return the time since a checkpoint was sent in seconds, or 0 if the checkpoint is unknown."""
+        """Update the longest checkpoint delay for a checkpoint reply.
+
+        Returns:
+            The time since the checkpoint was sent in seconds, or 0 if the checkpoint is unknown.
+        """
         now = self.clock.seconds()
         delay_s = now - self._checkpoints_sent_at.get(checkpoint_id, now)
         self.max_checkpoint_delay_s = max(self.max_checkpoint_delay_s, delay_s)
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -1,7 +1,7 @@
-"""Turns input into events of the decision module, and its actions into effects. No I/O and no clock of its own.
+"""Converts input into events of the decision module, and its actions into effects.
 
-All events between two ticks form one batch; what the module answers becomes one update for each proxy. The
-runtime itself decides nothing.
+All events between two ticks form one batch. The actions that the decision module returns for a batch become
+at most one update for each proxy. The runtime makes no decisions, does no I/O and has no clock of its own.
 """
 
 from __future__ import annotations
@@ -56,12 +56,14 @@
         """Return the actions for a batch of events, given the current time in seconds."""
 
     def findings(self) -> tuple[float | None, dict[int, int]]:
-        """Return the learned capacity, if any, and the level of each server that is still recovering."""
+        """Return the learned capacity, if any, and the recovery level of each server below its top level."""
 
 
 @dataclass(slots=True)
 class Effects:
-    """The effects of a tick, which the service carries out in this order.
+    """The effects of a tick.
+
+    The service carries out writes, updates, health checks, watch requests and log messages in this order.
 
     Attributes:
         weight_writes: Weights to write to the store.
@@ -164,7 +166,7 @@
         """Apply a watch event of the endpoint list.
 
         Returns:
-            Why entries were rejected; what was listed before of these servers stays.
+            The reason for each rejected entry. A server whose entry is rejected keeps its previous entry.
 
         Raises:
             ValueError: The update type is unknown.
@@ -307,7 +309,7 @@
     def _proxy_update(
         self, now: float, weights: list[WeightEntry], content: _UpdateContent
     ) -> ProxyUpdate | None:
-        """The batch's update, or None when it would change nothing; a checkpoint alone is not sent."""
+        """Return the update of the batch, or None if it changes nothing; a checkpoint alone is not sent."""
         entry_count = len(weights) + len(content.withdrawn) + len(content.admission_levels)
         if not entry_count:
             return None
--- a/puffintide/assigner/store_client.py
+++ b/puffintide/assigner/store_client.py
@@ -110,7 +110,8 @@
     def write(self, batch: int, weights: list[m.WeightEntry]) -> None:
         """Write weights.
 
-        While the store is not connected, the write is deferred until it is connected again.
+        While the store is not connected, nothing is sent. The weights are written once the store has granted
+        the slices again in an unbroken tenure.
         """
         if self.stream is not None:
             self.stream.send(m.WriteRequest(batch, weights))
@@ -124,7 +125,7 @@
         for ownership in message.ownerships:
             problem = weights_problem(ownership.entries)
             if problem is not None:
-                stream.reject(f"ownerships: {problem}")
+                stream.reject(f"invalid ownership of slice {ownership.slice_id}: {problem}")
                 return False
         self._on_granted(
             [ownership for ownership in message.ownerships if ownership.owner_id == self.assigner_id]
--- a/puffintide/protocol/messages/handshake.py
+++ b/puffintide/protocol/messages/handshake.py
@@ -37,7 +37,7 @@
     deployment: str = ""  # Name of the deployment that the sender belongs to.
     incarnation: int = 0  # Increases each time the sender's process starts.
     first_connection: bool = False  # Whether this is a proxy's first connection to the peer since its start.
-    # Highest fencing token that the sender has seen. It tells a store that it runs on an outdated copy.
+    # Highest fencing token that the sender has seen. A store detects by it that its data is an outdated copy.
     highest_token: int = 0
 
 
--- a/puffintide/protocol/messages/proxy_channel.py
+++ b/puffintide/protocol/messages/proxy_channel.py
@@ -45,7 +45,8 @@
 ):
     """Set of changes from an assigner that a proxy applies atomically."""
 
-    # Increases by one with each update of this assigner. The update has the same batch at all proxies.
+    # Number of the assigner's batch that issued the update, the same at all proxies; 0 if no batch did. It
+    # increases by one with each batch, but not every batch issues an update.
     batch: int
     ordered_at_s: float  # Time at which the update was issued, on the assigner's monotonic clock.
     channel_cost: float  # Cost of the update in the channel, in entries, including its fixed overhead.
--- a/puffintide/replication/catch_up.py
+++ b/puffintide/replication/catch_up.py
@@ -85,9 +85,9 @@
     """Builds the digest for each peer so that each row is requested from one peer instead of from all.
 
     An origin's rows are requested from the origin itself if it is connected, else from one of the peers that
-    hold its latest version. The digests for the other peers state these rows as received. If the selected
-    peer makes no progress for SOURCE_TIMEOUT_S, because it is incomplete or unreachable, the rows are
-    requested from all peers.
+    hold its latest version. The digests for the other peers state these rows as received. If no further rows
+    of the origin arrive for SOURCE_TIMEOUT_S, because the selected peer is incomplete or unreachable, the
+    rows are requested from all peers.
     """
 
     def __init__(self, origin_count: int) -> None:
@@ -183,8 +183,8 @@
 ) -> bool:
     """Return whether the current stream between two assigners is kept after a new one was opened.
 
-    Both ends make the same decision, so that exactly one stream remains. The stream of the peer's later
-    incarnation is kept; with equal incarnations it is the one that the assigner with the lower id opened.
+    Both ends make the same decision, so that exactly one stream remains. The new stream replaces the current
+    one if it belongs to a later incarnation of the peer, or if the assigner with the lower id opened it.
 
     Args:
         current_incarnation: Incarnation of the peer on the current stream.
--- a/puffintide/replication/conflict_resolution.py
+++ b/puffintide/replication/conflict_resolution.py
@@ -3,8 +3,8 @@
 All functions are pure and depend only on the set of readings, not on their order or on duplicates. The rules
 are:
 
-- Server: a later incarnation takes precedence over an earlier one, whichever origin observed it. Within an
-  incarnation the safest reading wins, which is the lowest recovery level.
+- Server: among trusted origins, a later incarnation takes precedence over an earlier one, whichever origin
+  observed it. Within an incarnation the safest reading wins, which is the lowest recovery level.
 - Learned value: the local reading wins while it is fresh, else the freshest reading. Of two equally fresh
   readings, the one of the lower origin id wins.
 - Table: the highest fencing token wins, and under one token the latest write.
@@ -67,7 +67,10 @@
 
 
 def server_level(readings: Iterable[Reading], trusted: Collection[int]) -> ServerLevel | None:
-    """Return the lowest level that a trusted origin reports for one server in its latest incarnation."""
+    """Return the lowest level that a trusted origin reports for one server in its latest incarnation.
+
+    Without readings of trusted origins, None is returned.
+    """
     levels = [
         ServerLevel(int(reading.value[0]), int(reading.value[1]))
         for reading in readings
--- a/puffintide/replication/peer_observations.py
+++ b/puffintide/replication/peer_observations.py
@@ -77,7 +77,11 @@
     def new_observations(
         self, now: float, replica: Replica, endpoint_list: EndpointListState
     ) -> list[PeerObservation]:
-        """Return the observations of other assigners that the decision module has not been notified of."""
+        """Return the observations of other assigners that the decision module has not been notified of.
+
+        They include an observation with is_leaving=False for each listed server that is no longer reported as
+        leaving.
+        """
         observations = {
             *_capacity_observations(now, replica),
             *_recovery_level_observations(now, replica, endpoint_list.incarnations),
--- a/puffintide/replication/peer_sessions.py
+++ b/puffintide/replication/peer_sessions.py
@@ -27,7 +27,7 @@
 from puffintide.replication.table_replicas import adopt_orphans, delete_superseded, publish_tables
 
 ASSIGNER = "assigner"
-DELETE_SUPERSEDED_INTERVAL_S = 10.0  # Seconds between two deletions of superseded rows.
+DELETE_SUPERSEDED_INTERVAL_S = 10.0  # Interval between searches for superseded rows, in seconds.
 MAX_LOGGED_REASONS = 5  # Maximum number of rejected rows that are logged for one message.
 
 
--- a/puffintide/replication/replica.py
+++ b/puffintide/replication/replica.py
@@ -116,7 +116,10 @@
     def deltas_for(
         self, now: float, versions: Iterable[ReplicaVersion], max_rows: int
     ) -> list[ReplicationDelta]:
-        """Return at most max_rows of the rows that a peer lacks by its versions; it requests more later."""
+        """Return at most max_rows of the rows and deletions that a peer lacks according to its versions.
+
+        The peer requests the remaining ones later.
+        """
         known = {version.origin_id: version for version in versions}
         deltas: list[ReplicationDelta] = []
         for origin_id, state in sorted(self.origin_states.items()):
--- a/puffintide/replication/row_validation.py
+++ b/puffintide/replication/row_validation.py
@@ -45,7 +45,8 @@
     token, batch = value[:TABLE_HEADER_VALUES]
     if min(float(token), float(batch)) < 0:
         return f"table of slice {slice_id}: token {token} or batch {batch} is negative"
-    return weights_problem(unpack_table(value))
+    entry_problem = weights_problem(unpack_table(value))
+    return None if entry_problem is None else f"table of slice {slice_id}: {entry_problem}"
 
 
 def _table_value_problem(position: int, item: float | str) -> str | None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -197,9 +197,9 @@
             self.folder, "assigner", self.section, "--life", str(next(self.incarnations)), **changes
         )
 
-    def proxy(self, number: int, fresh: bool = True) -> PeerConnection:
+    def proxy(self, number: int, first_connection: bool = True) -> PeerConnection:
         """Return a connection from a proxy to the assigner, after the handshake."""
-        hello = m.Hello(m.PROTOCOL_VERSION, "proxy", number, 0, "t", first_connection=fresh)
+        hello = m.Hello(m.PROTOCOL_VERSION, "proxy", number, 0, "t", first_connection=first_connection)
         connection = dial(self.port, hello)
         connection.wait_for(lambda message: isinstance(message, m.Welcome))
         return connection
--- a/tests/test_assigner_processes.py
+++ b/tests/test_assigner_processes.py
@@ -119,7 +119,7 @@
     (encode(m.Hello(1, "proxy", 1, 0, "t")) + b'\n{"t":"sums","span_s":"x"}\n', "span_s"),
     (
         encode(m.Hello(1, "proxy", 1, 0, "t")) + b'\n{"t":"write","batch":1,"lines":[]}\n',
-        "not for an assigner",
+        "unexpected WriteRequest message from a proxy",
     ),
     (b"x" * (MAX_LINE_BYTES + 10), "limit"),
 ]
@@ -187,7 +187,7 @@
         harness.store.accept("store").send(charges(server=1, token=100))
         list_stream = harness.list.accept("list")
         list_stream.send(m.WatchEvent("full", 2, servers(1, 2)))
-        proxy = harness.proxy(0, fresh=False)
+        proxy = harness.proxy(0, first_connection=False)
         update = proxy.wait_for(lambda message: stops_traffic(message, 1))
         assert all(entry.fencing_token >= 100 for entry in update.weights if entry.server_id == 1)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -148,6 +148,8 @@
         writable_until: Time until which each proxy takes writes.
         writes: The proxy, the server and the end time of each write in flight.
         messages: The arrival time, sequence number, type and content of each message in flight.
+        stored: The server of the only slice in the store.
+        incarnation: Number of the current connection of each proxy, which marks messages of earlier ones.
         max_servers: Highest number of servers that executed writes at the same time.
     """
 
@@ -161,6 +163,7 @@
         self.messages: list[tuple[float, int, str, Any]] = []
         self.message_count = 0
         self.stored = 0
+        self.incarnation: dict[int, int] = {}
         self.max_servers = 0
 
     def send(self, message_type: str, content: Any, max_delay_s: float = 0.4) -> None:
@@ -187,8 +190,6 @@
         for number, weights in steps.writes:
             self.send("write", (number, weights[0].server_id if weights else None))
 
-    incarnation: dict[int, int]
-
     def has_writes_in_flight(self, proxy: int) -> bool:
         return any(writer == proxy and end > self.now for writer, _, end in self.writes)
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -262,9 +262,8 @@
         (at_s, lambda deployment, operation=operation, name=name: deployment.control_process(operation, name))
         for at_s, operation, name in operations
     ]
-    weight_samples: list[
-        dict[int, dict[int, float]]
-    ] = []  # Weights by slice, then by server, in each sample.
+    # Weights by slice, then by server, in each sample.
+    weight_samples: list[dict[int, dict[int, float]]] = []
     outcomes: list[tuple[int, set[int]]] = []  # Number of changed slices, and slices with lost writes.
 
     def sample_weights(deployment: Deployment) -> None:
