--- a/puffintide/store/service.py
+++ b/puffintide/store/service.py
@@ -176,7 +176,7 @@
             case _ if stream.peer.role == m.PeerRole.OPERATOR:
                 self._handle_operator_message(stream, message)
             case _:
-                self._reject(stream, message)
+                self._reject(stream, message, "a proxy")
 
     def _handle_assigner_message(self, stream: Stream, message: m.AnyMessage) -> None:
         match message:
@@ -185,7 +185,7 @@
             case m.ReplicationDelta():
                 self.restoration.handle_delta(stream, message)
             case _:
-                self._reject(stream, message)
+                self._reject(stream, message, "an assigner")
 
     def _handle_operator_message(self, stream: Stream, message: m.AnyMessage) -> None:
         match message:
@@ -198,11 +198,11 @@
             case m.RestoreFromReplicas():
                 self.restoration.handle_command(stream, message)
             case _:
-                self._reject(stream, message)
+                self._reject(stream, message, "an operator")
 
     @staticmethod
-    def _reject(stream: Stream, message: m.AnyMessage) -> None:
-        stream.reject(f"message {type(message).__name__} is not accepted by the store")
+    def _reject(stream: Stream, message: m.AnyMessage, sender: str) -> None:
+        stream.reject(f"unexpected {type(message).__name__} message from {sender}")
 
     def _handle_hello(self, stream: Stream, hello: m.Hello) -> None:
         if not self.restoration.pending:
