--- a/puffintide/bench_adapter/host.py
+++ b/puffintide/bench_adapter/host.py
@@ -55,7 +55,7 @@
             else:
                 name = type(event).__name__
                 raise BenchProtocolError(
-                    f"cannot handle {name} for instance {instance}: the instance was not started by a hello"
+                    f"cannot handle {name} for instance {instance}: the instance is not running"
                 )
         return events_by_instance
 
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -102,7 +102,7 @@
             "cannot read byte string at byte 15: 900 bytes expected, 2 left",
         ),
         (batch(struct.pack("<BHQI", 0, 0, 5, 2) + b"{]"), "not JSON"),
-        (batch(struct.pack("<BHI", 2, 4, 1)), "the instance was not started by a hello"),
+        (batch(struct.pack("<BHI", 2, 4, 1)), "the instance is not running"),
     ],
 )
 def test_malformed_input_is_reported_in_one_line(data: bytes, expected_text: str) -> None:
