--- a/puffintide/assigner/handover.py
+++ b/puffintide/assigner/handover.py
@@ -283,7 +283,7 @@
         return updates
 
     def _immediate_part(self, update: ProxyUpdate) -> ProxyUpdate:
-        """What of an update is not delayed: withdrawals and admission levels."""
+        """Return the part of an update that is not delayed: withdrawals and admission levels."""
         entry_count = (
             len(update.withdrawn_servers) + len(update.readmitted_servers) + len(update.admission_levels)
         )
@@ -304,7 +304,7 @@
 
 
 def _deferred_part(update: ProxyUpdate) -> ProxyUpdate:
-    """What of an update waits for the migration: weights and the checkpoint."""
+    """Return the part of an update that waits for the migration: weights and the checkpoint."""
     return msgspec.structs.replace(update, withdrawn_servers=[], readmitted_servers=[], admission_levels=[])
 
 
--- a/puffintide/assigner/runtime.py
+++ b/puffintide/assigner/runtime.py
@@ -307,7 +307,7 @@
     def _proxy_update(
         self, now: float, weights: list[WeightEntry], content: _UpdateContent
     ) -> ProxyUpdate | None:
-        """The batch's update, or None when it would change nothing; a checkpoint alone is not sent."""
+        """Return the batch's update, or None if it would change nothing; a checkpoint alone is not sent."""
         entry_count = len(weights) + len(content.withdrawn) + len(content.admission_levels)
         if not entry_count:
             return None
