--- a/benchmarks/bench_servers.py
+++ b/benchmarks/bench_servers.py
@@ -22,7 +22,7 @@
 # Messages are recognised by their first bytes, which costs less than decoding them.
 ATTEMPT_PREFIX = b'{"t":"try","id":'
 HELLO_PREFIX = b'{"t":"hello"'
-COUNT_REQUEST = b'{"t":"count"'  # Not part of the protocol: requests the number of attempts so far.
+COUNT_REQUEST = b'{"t":"count"'  # Requests the number of attempts so far; not part of the protocol.
 PING_PREFIX = b'{"t":"ping"'
 HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
 
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -129,8 +129,8 @@
         self._now_s = 0.0
         self._events: list[_Event] = []
         self._last_sequence = 0
-        self._executed_attempt_counts: Counter[Hashable] = Counter()  # By request handle.
-        self._completion_check_at_s: dict[int, float] = {}  # By server id.
+        self._executed_attempt_counts: Counter[Hashable] = Counter()  # Keyed by request handle.
+        self._completion_check_at_s: dict[int, float] = {}  # Keyed by server id.
         self._configure_engine(retry_mode)
 
     def run(self) -> None:
--- a/puffintide/audit/rules/duplicate_execution.py
+++ b/puffintide/audit/rules/duplicate_execution.py
@@ -33,7 +33,7 @@
     for record in context.records:
         if isinstance(record.message, m.AttemptResponse) and record.delivered_at_s is not None:
             statuses[record.connection_id, record.message.attempt_id] = record.message.status
-    attempts: dict[tuple[int, int], list[_Attempt]] = defaultdict(list)  # By proxy and request.
+    attempts: dict[tuple[int, int], list[_Attempt]] = defaultdict(list)  # Keyed by proxy id and request id.
     for record in context.records_in_order_received():
         message = record.message
         if isinstance(message, m.AttemptRequest):
--- a/puffintide/audit/rules/replica_agreement.py
+++ b/puffintide/audit/rules/replica_agreement.py
@@ -10,7 +10,7 @@
 from puffintide.replication.replica import Replica
 from puffintide.replication.row_types import RowType
 
-# In seconds; tables that were first sent within this time before the end may not have reached all replicas.
+# Time in seconds; tables first sent within this time before the end may not have reached all replicas.
 PROPAGATION_S = 5.0
 NO_ORIGIN = -1  # Origin id of replayed replicas, which write no rows of their own.
 BEFORE_ALL_RECORDS_S = -1.0  # Kill time of an assigner that was never killed.
--- a/puffintide/cli/result_tables.py
+++ b/puffintide/cli/result_tables.py
@@ -33,7 +33,7 @@
             f"{finding.limit:.3g}, records {list(finding.records)}"
         )
     for gap in result.gaps[:MAX_SHOWN_GAPS]:
-        console.print(f"can't tell: {gap}")
+        console.print(f"records incomplete: {gap}")
 
 
 def _print_rules(result: ScenarioResult, folder: Path) -> None:
--- a/puffintide/config/model.py
+++ b/puffintide/config/model.py
@@ -23,7 +23,7 @@
     rules: schema.Rules = field(default_factory=schema.Rules)
     charge: schema.StoreSection = field(default_factory=schema.StoreSection)
     zones: schema.ZonesSection = field(default_factory=schema.ZonesSection)
-    zone_sections: dict[str, schema.ZoneSection] = field(default_factory=dict)  # By zone name.
+    zone_sections: dict[str, schema.ZoneSection] = field(default_factory=dict)  # Keyed by zone name.
     operator: schema.OperatorSection | None = None
     peers: schema.PeersSection | None = None
     classes: dict[str, schema.ClassSection] = field(default_factory=dict)
--- a/puffintide/config/schema/processes.py
+++ b/puffintide/config/schema/processes.py
@@ -81,8 +81,8 @@
     backups: str = ""  # Path of a folder for backups; empty means that no backups can be made.
     streams_most: Count = 5000  # Maximum number of streams.
     refill: bool = False  # Whether an empty store restores its tables from the assigners' replicas.
-    # Time after the first answer, in seconds, at which the restore goes on with the answers of more than half
-    # of the assigners.
+    # Time in seconds to wait for further assigners after the first complete answer. After it, the restore uses
+    # the answers received so far, once more than half of the assigners have answered.
     refill_wait_s: Positive = 5.0
 
     @model_validator(mode="after")
--- a/puffintide/decisions/channel.py
+++ b/puffintide/decisions/channel.py
@@ -41,8 +41,8 @@
     def __init__(self, fleet: FleetState) -> None:
         self._fleet = fleet
         self._unacknowledged_messages: dict[int, _SentMessage] = {}  # Keyed by checkpoint id.
-        self._send_times_s: list[float] = []  # Of the messages in the window.
-        self.outstanding_entries = 0.0  # Sent and not yet acknowledged, summed over proxies.
+        self._send_times_s: list[float] = []  # Send times of the messages in the window.
+        self.outstanding_entries = 0.0  # Entries sent and not yet acknowledged, summed over proxies.
 
     @property
     def proxy_count(self) -> int:
--- a/puffintide/decisions/director.py
+++ b/puffintide/decisions/director.py
@@ -39,7 +39,7 @@
 
     # Capacity of a server of listed weight 1, in requests per second; None if it is not learned.
     capacity_per_s: float | None
-    recovery_levels: dict[int, int]  # By server id, for ready servers that are not fully recovered.
+    recovery_levels: dict[int, int]  # Levels of ready servers that are not fully recovered, by server id.
 
 
 class Director:
--- a/puffintide/decisions/events.py
+++ b/puffintide/decisions/events.py
@@ -82,9 +82,9 @@
     server_id: int
     attempts: int
     failed_attempts: int
-    mean_latency_s: float  # Of the successful attempts.
+    mean_latency_s: float  # Mean over the successful attempts.
     interval_s: float
-    load_values: tuple[float, ...]  # In the order of Settings.load_value_names.
+    load_values: tuple[float, ...]  # Ordered as in Settings.load_value_names.
 
 
 @dataclass(frozen=True, slots=True)
--- a/puffintide/decisions/observations.py
+++ b/puffintide/decisions/observations.py
@@ -91,7 +91,7 @@
 def _forget_removed_servers(fleet: FleetState) -> None:
     """Forget servers that were removed long ago and are in no table.
 
-    A replaced machine gets a new id, so its old id would otherwise be kept for ever.
+    A replaced machine gets a new id, so its old id would otherwise never be removed.
     """
     expired_ids = {
         server_id
--- a/puffintide/decisions/parameters.py
+++ b/puffintide/decisions/parameters.py
@@ -35,7 +35,7 @@
 # A reported load is overridden if the own requests in flight exceed the reported number times this ratio,
 # plus the margin.
 UNDERSTATED_IN_FLIGHT_RATIO = 3
-UNDERSTATED_IN_FLIGHT_MARGIN = 3  # In requests.
+UNDERSTATED_IN_FLIGHT_MARGIN = 3  # Number of requests.
 
 # Placement.
 OVERLOAD_UTILIZATION = 0.85  # Fraction of capacity above which a server sheds slices.
--- a/puffintide/decisions/state.py
+++ b/puffintide/decisions/state.py
@@ -71,7 +71,7 @@
 
     default_server: int | None = None
     weights: dict[int, float] = field(default_factory=dict)  # The table in the store.
-    request_rates: defaultdict[int, AverageRate] = field(default_factory=_new_rates)  # By request class.
+    request_rates: defaultdict[int, AverageRate] = field(default_factory=_new_rates)  # Keyed by class index.
     assigned_servers: list[int] = field(default_factory=list)  # They share it evenly.
     previous_servers: list[int] = field(default_factory=list)  # Those before the last move.
     moved_at_s: float = -math.inf
--- a/puffintide/emulators/clients.py
+++ b/puffintide/emulators/clients.py
@@ -16,7 +16,7 @@
 from puffintide.protocol.messages import AnyMessage
 from puffintide.protocol.stream import Stream
 
-MIN_TIMEOUT_S = 0.005  # In seconds; a request with this much time left or less is not sent.
+MIN_TIMEOUT_S = 0.005  # Time in seconds; a request with this much time left or less is not sent.
 # Names of outcomes in records, by the status of the response.
 OUTCOMES: dict[int, str] = {
     m.AttemptStatus.SATURATED: "refused",
--- a/puffintide/emulators/server.py
+++ b/puffintide/emulators/server.py
@@ -82,7 +82,7 @@
     _jobs: dict[int, _Job] = field(default_factory=dict)
     _last_job_id: int = 0
     _timer: Any = None
-    _load_values: list[float] = field(default_factory=list)  # Sent with responses; measured periodically.
+    _load_values: list[float] = field(default_factory=list)  # Values for responses, measured periodically.
 
     def start(self, is_warm: bool) -> None:
         """Clear injected faults and listen. A server that is not warm begins its slow start.
--- a/puffintide/platform/listener.py
+++ b/puffintide/platform/listener.py
@@ -191,7 +191,7 @@
         self.max_unidentified = max_unidentified
         self.serving = False
         self.port: Any = None
-        self.unidentified: dict[ClientConnection, None] = {}  # In order of age, oldest first.
+        self.unidentified: dict[ClientConnection, None] = {}  # Ordered by age, oldest first.
         self.collectors: dict[ClientConnection, None] = {}
         self.counters = ListenerCounters()
         self._on_report = on_report
--- a/puffintide/platform/relay_orders.py
+++ b/puffintide/platform/relay_orders.py
@@ -39,8 +39,8 @@
 class SendPriority(IntEnum):
     """Sending priority of orders when a batch exceeds one call. The lowest value is sent first.
 
-    Sent in this sequence, each part of a split batch is safe by itself: weights are added before any are
-    removed.
+    Sent in this sequence, each part of a split batch is safe without the others: weights are added before
+    any are removed.
     """
 
     WITHDRAWAL = 0
--- a/puffintide/protocol/messages/store.py
+++ b/puffintide/protocol/messages/store.py
@@ -45,7 +45,7 @@
 class SliceOwnerships(Message, tag="charges", frozen=True, rename={"ownerships": "charges"}):
     """Part of the response to a read, or all ownerships that one event changed."""
 
-    ownerships: list[SliceOwnership]  # At most MAX_OWNERSHIPS_PER_MESSAGE.
+    ownerships: list[SliceOwnership]  # Holds at most MAX_OWNERSHIPS_PER_MESSAGE items.
 
 
 class OwnershipRevoked(
--- a/puffintide/proxy/dispatcher.py
+++ b/puffintide/proxy/dispatcher.py
@@ -56,7 +56,7 @@
         self.tables = self.routing.tables
         self.outliers = OutlierDetector(settings.ejection_failures, settings.ejection_s)
         self.servers: dict[int, ServerConnection] = {}
-        self.requests: dict[int, RequestState] = {}  # By id of the current attempt.
+        self.requests: dict[int, RequestState] = {}  # Keyed by the id of the current attempt.
         self.queued: dict[int, None] = {}  # Attempts that wait for an available server.
         self.attempt_ids: dict[RequestHandle, int] = {}  # Ids of the current attempts.
         self.timers = TimerQueue(self._is_current_timer)
--- a/puffintide/proxy/http_exchange.py
+++ b/puffintide/proxy/http_exchange.py
@@ -26,7 +26,7 @@
             self.headers.append((b"host", b""))  # HTTP/1.0 may omit it, HTTP/1.1 requires it.
         self.content_length = next((v for name, v in request.headers if name == b"content-length"), None)
         self.chunked = any(name == b"transfer-encoding" for name, _ in request.headers)
-        self.body_chunks: list[bytes] = []  # Sent again in a retry.
+        self.body_chunks: list[bytes] = []  # Chunks that a retry sends again.
         self.body_size = 0  # Size of the body received so far, in bytes.
         self.request_complete = False
         self.replayable = True
--- a/puffintide/proxy/outlier_detection.py
+++ b/puffintide/proxy/outlier_detection.py
@@ -20,8 +20,8 @@
     def __init__(self, ejection_failures: int, ejection_s: float) -> None:
         self.ejection_failures = ejection_failures
         self.ejection_s = ejection_s
-        self.consecutive_failures: dict[int, int] = {}  # By server id.
-        self.ejected_until_s: dict[int, float] = {}  # By server id.
+        self.consecutive_failures: dict[int, int] = {}  # Keyed by server id.
+        self.ejected_until_s: dict[int, float] = {}  # Keyed by server id.
 
     def record_success(self, server_id: int) -> None:
         """Reset the consecutive failures of a server that answered successfully."""
--- a/puffintide/proxy/request_state.py
+++ b/puffintide/proxy/request_state.py
@@ -25,8 +25,8 @@
     assigner_id: int  # The owner of the slice, to which usage is reported.
     attempt_number: int = 0
     server_id: int = NO_SERVER
-    sent_at_s: float | None = None  # When the current attempt was sent.
-    maybe_executed_at_s: float | None = None  # When the first attempt that may have been executed was sent.
+    sent_at_s: float | None = None  # Time at which the current attempt was sent.
+    maybe_executed_at_s: float | None = None  # Send time of the first attempt that may have been executed.
     maybe_executed_zone: int = UNKNOWN_ZONE
     maybe_executed_status: int = AttemptStatus.TIMEOUT  # The final status if no later attempt is answered.
     required_zone: int = ANY_ZONE
--- a/puffintide/proxy/retry_policy.py
+++ b/puffintide/proxy/retry_policy.py
@@ -59,7 +59,7 @@
 
     last_attempt_number: int  # 0 is the first attempt.
     proven_not_executed: bool  # Whether the last attempt is proven not to have been executed.
-    maybe_executed_at_s: float | None  # When the first attempt that may have been executed was sent.
+    maybe_executed_at_s: float | None  # Send time of the first attempt that may have been executed.
     maybe_executed_zone: int  # The zone of the server of that attempt.
 
 
--- a/puffintide/proxy/settings.py
+++ b/puffintide/proxy/settings.py
@@ -16,7 +16,7 @@
 
     slice_count: int
     request_classes: tuple[RequestClassPolicy, ...]
-    same_zone_only: tuple[bool, ...]  # By class: whether only servers in the proxy's zone may serve.
+    same_zone_only: tuple[bool, ...]  # For each class, whether only servers in the proxy's zone may serve.
     default_retry_mode: int
     retry_wait_objectives: float  # Wait for a response before a retry, in latency objectives.
     ejection_failures: int  # Consecutive failures that eject a server; 0 disables ejection.
--- a/puffintide/proxy/state.py
+++ b/puffintide/proxy/state.py
@@ -38,7 +38,7 @@
     format_version: int
     saved_at_s: float  # Seconds since the Unix epoch.
     ownerships: list[SliceOwnership]
-    withdrawn_servers: dict[int, list[int]]  # By assigner.
+    withdrawn_servers: dict[int, list[int]]  # Keyed by assigner id.
     # Pairs of (assigner, levels), with the levels as pairs of (slice, level).
     admission_levels: list[tuple[int, list[tuple[int, AdmissionLevel]]]]
 
--- a/puffintide/proxy/usage_counters.py
+++ b/puffintide/proxy/usage_counters.py
@@ -31,7 +31,7 @@
 class _AssignerCounts:
     since_s: float
     servers: dict[int, _ServerCounts] = field(default_factory=dict)
-    slices: dict[tuple[int, int], _SliceCounts] = field(default_factory=dict)  # By (slice, class).
+    slices: dict[tuple[int, int], _SliceCounts] = field(default_factory=dict)  # Keyed by (slice, class).
 
 
 class UsageCounters:
--- a/puffintide/proxy/weight_tables.py
+++ b/puffintide/proxy/weight_tables.py
@@ -30,7 +30,7 @@
     tenure_token: int = UNKNOWN_TENURE  # The first fencing token of the tenure.
     early_weights: dict[int, float] | None = None  # Weights received before the ownership of their token.
     weights: dict[int, float] = field(default_factory=dict)
-    balancers: dict[bool, LoadBalancer] = field(default_factory=dict)  # By same_zone_only.
+    balancers: dict[bool, LoadBalancer] = field(default_factory=dict)  # Keyed by same_zone_only.
     current_balancers: set[bool] = field(default_factory=set)  # Keys of the up-to-date balancers.
 
     def invalidate_balancers(self) -> None:
--- a/puffintide/proxy/write_lease.py
+++ b/puffintide/proxy/write_lease.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self) -> None:
-        self._expires_at_s: dict[int, float] = {}  # By assigner.
+        self._expires_at_s: dict[int, float] = {}  # Keyed by assigner id.
 
     def grant(self, assigner_id: int) -> None:
         """Let the assigner's slices accept writes until the connection to it is lost."""
--- a/puffintide/replication/catch_up.py
+++ b/puffintide/replication/catch_up.py
@@ -92,8 +92,8 @@
 
     def __init__(self, origin_count: int) -> None:
         self.origin_count = origin_count
-        self._peer_versions: dict[int, dict[int, ReplicaVersion]] = {}  # By peer, then by origin.
-        self._progress: dict[int, _Progress] = {}  # By origin.
+        self._peer_versions: dict[int, dict[int, ReplicaVersion]] = {}  # Keyed by peer id, then by origin id.
+        self._progress: dict[int, _Progress] = {}  # Keyed by origin id.
 
     def on_digest(self, peer_id: int, versions: Iterable[ReplicaVersion]) -> None:
         """Record the versions that a peer holds; origins that are not configured are ignored."""
--- a/puffintide/store/etcd/engine.py
+++ b/puffintide/store/etcd/engine.py
@@ -289,7 +289,7 @@
 
     def close(self) -> None:
         """Revoke the lease, so that the next store process need not wait until it expires."""
-        with contextlib.suppress(StoreError):  # An unrevoked lease expires by itself.
+        with contextlib.suppress(StoreError):  # Otherwise the lease expires after its time to live.
             if self._lease_id:
                 self.client.revoke_lease(self._lease_id)
         self.client.close()
--- a/puffintide/store/etcd/rows.py
+++ b/puffintide/store/etcd/rows.py
@@ -11,8 +11,8 @@
 from puffintide.store.engine import Commit, StoredSlice, StoreSnapshot
 from puffintide.store.errors import StoreDamagedError
 
-MAX_TRANSACTION_ROWS = 100  # Below etcd's default limit of 128 operations in one transaction.
-MAX_TRANSACTION_BYTES = 1 << 20  # Below etcd's default limit of 1.5 MiB in one request.
+MAX_TRANSACTION_ROWS = 100  # This is below etcd's default limit of 128 operations in one transaction.
+MAX_TRANSACTION_BYTES = 1 << 20  # This is below etcd's default limit of 1.5 MiB in one request.
 ROW_OVERHEAD_BYTES = 20  # Encoded size of a staged row besides its name and body.
 
 SLICE_PREFIX = "slice/"
--- a/puffintide/zones/paths.py
+++ b/puffintide/zones/paths.py
@@ -42,7 +42,7 @@
 
     def __init__(self, zones: Sequence[int]) -> None:
         self._zones = sorted(zones)
-        self._paths: dict[tuple[int, int], _PathStatistics] = {}  # By (proxy zone, server zone).
+        self._paths: dict[tuple[int, int], _PathStatistics] = {}  # Keyed by (proxy zone, server zone).
         self._reported_at_s: dict[int, float] = {}  # Time of the last load report, by proxy zone.
         self._proxy_zones: dict[int, int] = {}  # Zone of each connected proxy, by proxy id.
 
--- a/puffintide/zones/servers.py
+++ b/puffintide/zones/servers.py
@@ -28,7 +28,7 @@
     def __init__(self, slow_start_duration_s: float) -> None:
         self._slow_start_duration_s = slow_start_duration_s
         self.endpoints: dict[int, Endpoint] = {}
-        self._missing: dict[int, MissingServer] = {}  # By server id.
+        self._missing: dict[int, MissingServer] = {}  # Keyed by server id.
 
     def apply(self, now_s: float, event: EndpointListUpdate) -> list[int]:
         """Apply an update of the endpoint list, and return the ids of servers that it removed without draining."""
--- a/tests/proxy_random_history.py
+++ b/tests/proxy_random_history.py
@@ -40,10 +40,10 @@
             max_queued_requests=5,
         )
         self.now_s = 1.0
-        self.deadlines_s: dict[int, float] = {}  # By request handle.
-        self.completed: dict[int, CompleteRequest] = {}  # By request handle.
-        self.attempts: dict[int, list[SendAttempt]] = {}  # By request handle.
-        self.proven_not_executed: dict[int, bool] = {}  # By attempt id.
+        self.deadlines_s: dict[int, float] = {}  # Keyed by request handle.
+        self.completed: dict[int, CompleteRequest] = {}  # Keyed by request handle.
+        self.attempts: dict[int, list[SendAttempt]] = {}  # Keyed by request handle.
+        self.proven_not_executed: dict[int, bool] = {}  # Keyed by attempt id.
         self.connecting: set[int] = set()
         self.in_flight: list[SendAttempt] = []
         self.reported_requests = self.reported_attempts = self.reported_unanswered = 0
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -148,7 +148,7 @@
         [m.EndpointEntry(1, 0, 0, 0, 1, 2.0, 4, 5.0, ADDRESS), m.EndpointEntry(2, 0, 0, 0, 1, 2.0, 1, -1.0)],
     )
     save_cache(str(path), 100.0, event)
-    (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # As left by a writer that was killed.
+    (tmp_path / "list.json.1.new").write_bytes(path.read_bytes()[:30])  # A partial file of a killed writer.
     loaded = load_cache(str(path), 107.5)
     assert loaded.update_type == "cached"
     assert loaded.version == 3
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -36,7 +36,7 @@
     # The repetition is within the deduplication window and zone.
     scenario.send_attempt(104.9, 2, class_index=KEYED, request_id=scenario.last_request_id, attempt_number=1)
     scenario.send_endpoints(110, 0, scenario.endpoint(0, status=2))
-    scenario.send_attempt(111.9, 0, slice_id=0)  # Within the grace period.
+    scenario.send_attempt(111.9, 0, slice_id=0)  # This is within the grace period.
     scenario.send_attempt(115, 0, slice_id=1)  # Assigner 1 owns slice 1 and was not notified.
     for proxy_id in range(3):
         scenario.send_update(112, 0, proxy_id, (0, 2, 1.0), (0, 0, 0.0), withdrawn=(0,), ordered_at_s=111.9)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -27,7 +27,7 @@
     ("lines", "result", "out"),
     [
         ("", 1, "*FAILED test_it.py::test_red*"),
-        (RED, 1, "*FAILED test_it.py::test_some[[]2]*"),  # the others count as ever
+        (RED, 1, "*FAILED test_it.py::test_some[[]2]*"),  # A failure that is not listed still counts.
         (
             RED + "\n" + SOME,
             0,
@@ -54,7 +54,7 @@
     assert ran.ret == result
     both = ran.outlines + ran.errlines
     pytest.LineMatcher(both).fnmatch_lines([out])
-    for workers in [] if result == 1 else ["2"]:  # and where the run is handed out
+    for workers in [] if result == 1 else ["2"]:  # A run on several workers must agree.
         assert (pytester.runpytest_subprocess("-p", "no:cacheprovider", "-n", workers).ret == 0) is (
             result == 0
         )
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -44,7 +44,7 @@
     running.advance_clock(5)
     for assigner_id in range(ASSIGNERS):
         ledger.assigner_disconnected(running.now_s, assigner_id)
-        assert sum(running.advance_clock(3)) == 30  # Not rate limited, as the owner's lease has expired.
+        assert sum(running.advance_clock(3)) == 30  # This is not rate limited, as the lease has expired.
         running.count(ledger.assigner_connected(running.now_s, assigner_id, incarnation=2))
         returned = running.advance_clock(6)
         assert 25 <= sum(returned) <= 30
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -183,7 +183,7 @@
     """Wait until connections are refused, and check that those completed before then end without a byte.
 
     The event "stopping" is logged before the port closes, at the end of that turn of the reactor. Until then
-    the kernel completes handshakes by itself, but such connections are never accepted.
+    the kernel completes handshakes without the process, but such connections are never accepted.
     """
     unaccepted: list[socket.socket] = []
     deadline_s = time.monotonic() + limit_s
@@ -275,7 +275,8 @@
     )
     platform.assigner.wait_for("ownership_changed", granted=1)  # The pause after the last line has passed.
     platform.drain(1)
-    platform.answer_calls_until_withdrawn("s-1")  # In all tables, though the new watch has sent only one.
+    # s-1 is withdrawn from all tables, though the new watch has sent only one.
+    platform.answer_calls_until_withdrawn("s-1")
     platform.relay_watch.send_lines(
         *map(proxy_joined, (1, 2)), *platform.store.snapshot_messages(*range(6)), HEARTBEAT
     )
@@ -547,7 +548,7 @@
     platform.assigner.write(discovery=new_server.address, store={"address": new_server.address})
     platform.assigner.signal(signal.SIGHUP)
     first = [platform.accept_watch(RELAY_WATCH, new_server), platform.accept_watch(LIST_WATCH, new_server)]
-    platform.drain(1)  # Sent on the old stream.
+    platform.drain(1)  # The update is sent on the old stream.
     platform.answer_calls_until_withdrawn("s-1", address=new_server)
     for connection in first:
         connection.reset()
@@ -704,7 +705,8 @@
     client.sendall(b'{"msg":"ping"}\n')
     rejected_client = platform.assigner.connect()
     rejected_client.sendall(b"malformed\n")
-    assert read_to_end(rejected_client) == b'{"msg":"refused"}\n'  # So the ping has been read, too.
+    assert read_to_end(rejected_client) == b'{"msg":"refused"}\n'
+    # The ping was sent earlier, so it has been read, too.
     client.setblocking(False)
     with pytest.raises(BlockingIOError):
         client.recv(100)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -215,7 +215,7 @@
     """Server 1 drains at 6 s and stops at 9 s. Assigner 1 receives no endpoint list from 4 s on."""
     drain = {"kind": "shrink", "at_s": 6, "for_s": 1, "servers": "1", "extra": 3}
     sections = PEERS if with_replication else {"deployment": {"assigners": 3}}
-    slices_on_server: dict[float, list[int]] = {}  # By time in seconds.
+    slices_on_server: dict[float, list[int]] = {}  # Keyed by time in seconds.
 
     def record_slices_on_server(deployment: Deployment, at_s: float) -> None:
         """Record the slices of assigner 1 whose table at some proxy contains the draining server."""
